--- a/benchmarks/acceptance.py
+++ b/benchmarks/acceptance.py
@@ -5,6 +5,7 @@
 the one nearest to what is wanted of it; thirds: in time of what was offered, over the day's windows. The reports do not
 say which effect a class had.
 """
+
 from __future__ import annotations
 
 import json
@@ -27,7 +28,7 @@
 def thirds(windows: list[dict[str, Any]]) -> str:
     count, shares = len(windows), []
     for k in range(3):
-        part = windows[k * count // 3:(k + 1) * count // 3]
+        part = windows[k * count // 3 : (k + 1) * count // 3]
         offered = sum(w["offered"] for w in part)
         shares.append(sum(w["in_time"] for w in part) / offered if offered else 1.0)
     return " ".join(f"{share:.2f}" for share in shares)
@@ -39,8 +40,16 @@
     never = " (one class made unsafe)" if row.get("made_unsafe") else ""
     gate = "passed" if row["gate"] is None else row["gate"]
     served = f"{row['served']:.2f}/{row['served_least']:.2f}"
-    cells = [seed, day["name"] + never, gate, broken, served, nearest(row["by_class"]), nearest(row["by_tenant"]),
-             thirds(day["windows"])]
+    cells = [
+        seed,
+        day["name"] + never,
+        gate,
+        broken,
+        served,
+        nearest(row["by_class"]),
+        nearest(row["by_tenant"]),
+        thirds(day["windows"]),
+    ]
     return "| " + " | ".join(cells) + " |"
 
 
@@ -54,8 +63,11 @@
 
 
 def served(folder: str) -> dict[tuple[str, str], float]:
-    return {(path.stem, day["name"]): day["row"]["served"]
-            for path in sorted(Path(folder).glob("*.json")) for day in json.loads(path.read_text())["days"]}
+    return {
+        (path.stem, day["name"]): day["row"]["served"]
+        for path in sorted(Path(folder).glob("*.json"))
+        for day in json.loads(path.read_text())["days"]
+    }
 
 
 def compare(before: str, after: str) -> None:
--- a/benchmarks/duties_days.py
+++ b/benchmarks/duties_days.py
@@ -1,10 +1,11 @@
 """Duties on real processes: the days under faults over seeds, what they cost, and what lease or fence alone would give.
 
-    python -m benchmarks.duties_days faults [SEEDS] [AT ONCE] [HEADS]     all duty days: breaches, hand-overs by cause
-    python -m benchmarks.duties_days worth [SEEDS]                the same day with duties off, idle, draining
-    python -m benchmarks.duties_days idle [SECONDS]               no fault, all cores busy: hand-overs without a cause
-    python -m benchmarks.duties_days baselines                    a lease without a fence, a fence without a lease
+python -m benchmarks.duties_days faults [SEEDS] [AT ONCE] [HEADS]     all duty days: breaches, hand-overs by cause
+python -m benchmarks.duties_days worth [SEEDS]                the same day with duties off, idle, draining
+python -m benchmarks.duties_days idle [SECONDS]               no fault, all cores busy: hand-overs without a cause
+python -m benchmarks.duties_days baselines                    a lease without a fence, a fence without a lease
 """
+
 from __future__ import annotations
 
 import json
@@ -42,7 +43,7 @@
         for name in DAYS:
             day = load(f"days/{name}.hcl", Day, check)
             assert day.duties is not None
-            if heads != day.day.heads:      # from 12 heads on five of them vote
+            if heads != day.day.heads:  # from 12 heads on five of them vote
                 voters = tuple(range(5 if heads >= 12 else 3))
                 day = replace(day, day=replace(day.day, heads=heads), duties=replace(day.duties, voters=voters))
             (Path(folder) / f"{name}.hcl").write_text(render(day))
@@ -59,15 +60,22 @@
             for rule in row["rules"]:
                 for text in rule["first"]:
                     print(f"  {day}, seed {row['seed']}: BROKEN {rule['rule']}: {text}")
-        total = {k: sum(row["duties"][k] for row in mine) for k in ("moved", "left", "fenced", "handed_over",
-                                                                    "without_cause")}
+        total = {
+            k: sum(row["duties"][k] for row in mine)
+            for k in ("moved", "left", "fenced", "handed_over", "without_cause")
+        }
         worth = [row["whole"]["share"] for row in mine]
-        print(f"{day}: {len(mine)}, {sum(row['kept'] for row in mine)}, {', '.join(map(str, total.values()))}, "
-              f"{min(worth):.3f} to {max(worth):.3f}", flush=True)
+        print(
+            f"{day}: {len(mine)}, {sum(row['kept'] for row in mine)}, {', '.join(map(str, total.values()))}, "
+            f"{min(worth):.3f} to {max(worth):.3f}",
+            flush=True,
+        )
         for why, found in sorted(gaps.items()):
             found.sort()
-            print(f"    {why}: {len(found)}, {found[len(found) // 2]:.3f}, {found[int(len(found) * 0.99)]:.3f}, "
-                  f"{found[-1]:.3f}")
+            print(
+                f"    {why}: {len(found)}, {found[len(found) // 2]:.3f}, {found[int(len(found) * 0.99)]:.3f}, "
+                f"{found[-1]:.3f}"
+            )
 
 
 def worth(seeds: int) -> None:
@@ -78,9 +86,16 @@
     with tempfile.TemporaryDirectory() as folder:
         for name, arm in arms.items():
             (Path(folder) / f"{name}.hcl").write_text(render(arm))
-        with ThreadPoolExecutor(len(arms)) as pool:     # the arms side by side: the machine's noise is the same for all
-            rows = dict(zip(arms, pool.map(lambda name: [played(str(Path(folder) / f"{name}.hcl"), s)
-                                                         for s in range(1, seeds + 1)], arms), strict=True))
+        with ThreadPoolExecutor(len(arms)) as pool:  # the arms side by side: the machine's noise is the same for all
+            rows = dict(
+                zip(
+                    arms,
+                    pool.map(
+                        lambda name: [played(str(Path(folder) / f"{name}.hcl"), s) for s in range(1, seeds + 1)], arms
+                    ),
+                    strict=True,
+                )
+            )
     print("arm: worth by seed, mean")
     for name, found in rows.items():
         shares = [row["whole"]["share"] for row in found]
@@ -107,29 +122,44 @@
         for process in busy:
             process.kill()
     d = said["duties"]
-    print(f"{seconds} s, {os.cpu_count()} cores busy: {d['handed_over']} hand-overs, "
-          f"{d['without_cause']} without a cause, "
-          f"{d['relieved']} passed on; rules {'kept' if said['kept'] else 'BROKEN'}; noise {said['allowance_ms']} ms, "
-          f"worth {said['whole']['share']:.3f}")
+    print(
+        f"{seconds} s, {os.cpu_count()} cores busy: {d['handed_over']} hand-overs, "
+        f"{d['without_cause']} without a cause, "
+        f"{d['relieved']} passed on; rules {'kept' if said['kept'] else 'BROKEN'}; noise {said['allowance_ms']} ms, "
+        f"worth {said['whole']['share']:.3f}"
+    )
 
 
 def baselines() -> None:
     from fawnspool.drill.play import Play
-    arms = (("lease and fence", "", ""), ("a lease without a fence", "", "forgets_fence"),
-            ("a fence without a lease", "ignores_end", ""), ("neither", "ignores_end", "forgets_fence"))
+
+    arms = (
+        ("lease and fence", "", ""),
+        ("a lease without a fence", "", "forgets_fence"),
+        ("a fence without a lease", "ignores_end", ""),
+        ("neither", "ignores_end", "forgets_fence"),
+    )
     for name, head, node in arms:
         for day_name in ("duty-stall", "duty-cut"):
             path = Path(f"days/{day_name}.hcl").resolve()
             with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
-                out = Play(load(path, Day, check), path, Path(folder), 1,
-                           head_command=(head, "serve") if head else ("serve",),
-                           head_module="tests.e2e.doctored" if head else "fawnspool.cli",
-                           node_command=(node,) if node else (),
-                           node_module="tests.e2e.doctored" if node else "fawnspool.cli").run()
+                out = Play(
+                    load(path, Day, check),
+                    path,
+                    Path(folder),
+                    1,
+                    head_command=(head, "serve") if head else ("serve",),
+                    head_module="tests.e2e.doctored" if head else "fawnspool.cli",
+                    node_command=(node,) if node else (),
+                    node_module="tests.e2e.doctored" if node else "fawnspool.cli",
+                ).run()
             d = out.duties
             assert d is not None
-            print(f"{name}, {day_name}: {len(d.finding.breaches)} breaches, {d.fenced} steps refused, {d.moved} moved, "
-                  f"{d.left} left", flush=True)
+            print(
+                f"{name}, {day_name}: {len(d.finding.breaches)} breaches, {d.fenced} steps refused, {d.moved} moved, "
+                f"{d.left} left",
+                flush=True,
+            )
 
 
 def main() -> None:
--- a/benchmarks/duties_walks.py
+++ b/benchmarks/duties_walks.py
@@ -1,10 +1,11 @@
 """Duties in simulated time: random walks for safety, hand-overs, and what they cost on the wire.
 
-    python -m benchmarks.duties_walks safety [SEEDS] [HEADS]    walks with cuts, stops, kills, wiped disks, bad weather
-    python -m benchmarks.duties_walks handover                  one fault a walk, by fault: multiples of the lease
-    python -m benchmarks.duties_walks cost                      datagrams and bytes a second a head, by fleet
-    python -m benchmarks.duties_walks clocks                    clocks beyond the bound: what the leases no longer give
+python -m benchmarks.duties_walks safety [SEEDS] [HEADS]    walks with cuts, stops, kills, wiped disks, bad weather
+python -m benchmarks.duties_walks handover                  one fault a walk, by fault: multiples of the lease
+python -m benchmarks.duties_walks cost                      datagrams and bytes a second a head, by fleet
+python -m benchmarks.duties_walks clocks                    clocks beyond the bound: what the leases no longer give
 """
+
 from __future__ import annotations
 
 import sys
@@ -22,15 +23,22 @@
     return Terms(heads, tuple(range(voters)), lease, drift, (("a", shards),), max(64, -(-shards * 4 // heads)))
 
 
-def walk(seed: int, heads: int = 9, voters: int = 3, shards: int = 8, seconds: float = 40.0, drift: float = 0.01,
-         beyond: float = 0.0) -> tuple[list[str], int, int]:
+def walk(
+    seed: int,
+    heads: int = 9,
+    voters: int = 3,
+    shards: int = 8,
+    seconds: float = 40.0,
+    drift: float = 0.01,
+    beyond: float = 0.0,
+) -> tuple[list[str], int, int]:
     """One walk: (what was wrong, times a duty was taken, duties held 15 s after all faults were over). beyond: how far
     clocks run off beyond the bound."""
     r = Random(f"{seed}-walk")
     off = drift + beyond
     d = Duties(terms(heads, voters, shards, drift=drift), seed, BAD, [1 + r.uniform(-off, off) for _ in range(heads)])
     end = seconds
-    lost_until = 0.0        # a second disk is lost only once the first voter has learned
+    lost_until = 0.0  # a second disk is lost only once the first voter has learned
     while d.engine.now < end:
         d.run(r.uniform(0.05, 1.5))
         host, what = r.choice(d.hosts), r.random()
@@ -46,8 +54,12 @@
         elif what < 0.55:
             for v in range(voters):
                 d.kill(d.hosts[v])
-        elif what < 0.6 and host.number < voters and d.engine.now > lost_until and all(
-                h.floor >= 0 and (h.voter is None or h.voter.voting) for h in d.hosts[:voters]):
+        elif (
+            what < 0.6
+            and host.number < voters
+            and d.engine.now > lost_until
+            and all(h.floor >= 0 and (h.voter is None or h.voter.voting) for h in d.hosts[:voters])
+        ):
             d.kill(host)
             d.wipe(host)
             lost_until = d.engine.now + 3.0
@@ -85,8 +97,11 @@
             wrong = [w for row in rows for w in row[0]]
             unheld = sum(row[2] < shards for row in rows)
             taken = sum(row[1] for row in rows)
-            print(f"{heads} heads, {voters} voters, {shards} duties: {seeds} walks of {seconds:g} s, {len(wrong)} wrong"
-                  f", {taken} takings; {unheld} walks with a duty unheld 25 s after the last fault", flush=True)
+            print(
+                f"{heads} heads, {voters} voters, {shards} duties: {seeds} walks of {seconds:g} s, {len(wrong)} wrong"
+                f", {taken} takings; {unheld} walks with a duty unheld 25 s after the last fault",
+                flush=True,
+            )
             for text in wrong[:5]:
                 print("  ", text)
 
@@ -94,8 +109,11 @@
 def clocks() -> None:
     for beyond in (0.0, 0.05, 0.3):
         wrong = [w for s in range(200) for w in walk(s, beyond=beyond)[0]]
-        print(f"clocks off by 0.01 + {beyond:g}, bound 0.01: {sum('hold it' in w for w in wrong)} overlaps, "
-              f"{sum('after' in w for w in wrong)} tokens that did not rise, in 200 walks", flush=True)
+        print(
+            f"clocks off by 0.01 + {beyond:g}, bound 0.01: {sum('hold it' in w for w in wrong)} overlaps, "
+            f"{sum('after' in w for w in wrong)} tokens that did not rise, in 200 walks",
+            flush=True,
+        )
 
 
 def handover() -> None:
@@ -124,8 +142,11 @@
                 assert not d.wrong, d.wrong
                 assert began < d.engine.now
             gaps.sort()
-            print(f"{fault}, {heads}, {voters}, {shards}: {len(gaps)}, {gaps[len(gaps) // 2]:.3f}, "
-                  f"{gaps[int(len(gaps) * 0.99)]:.3f}, {gaps[-1]:.3f}", flush=True)
+            print(
+                f"{fault}, {heads}, {voters}, {shards}: {len(gaps)}, {gaps[len(gaps) // 2]:.3f}, "
+                f"{gaps[int(len(gaps) * 0.99)]:.3f}, {gaps[-1]:.3f}",
+                flush=True,
+            )
 
 
 def cost() -> None:
@@ -137,10 +158,13 @@
         d.run(60.0)
         rows = [((h.sent - s) / 60, (h.bytes - b) / 60) for h, (s, b) in zip(d.hosts, before, strict=True)]
         mine, others = rows[:voters], rows[voters:]
-        print(f"{heads}, {voters}, 64: {sum(r[0] for r in mine) / voters:.0f} and "
-              f"{sum(r[1] for r in mine) / voters:.0f}; "
-              f"{sum(r[0] for r in others) / len(others):.1f} and {sum(r[1] for r in others) / len(others):.0f}; "
-              f"{max(r[0] for r in rows):.0f} and {max(r[1] for r in rows):.0f}", flush=True)
+        print(
+            f"{heads}, {voters}, 64: {sum(r[0] for r in mine) / voters:.0f} and "
+            f"{sum(r[1] for r in mine) / voters:.0f}; "
+            f"{sum(r[0] for r in others) / len(others):.1f} and {sum(r[1] for r in others) / len(others):.0f}; "
+            f"{max(r[0] for r in rows):.0f} and {max(r[1] for r in rows):.0f}",
+            flush=True,
+        )
 
 
 def main() -> None:
--- a/benchmarks/extent_map.py
+++ b/benchmarks/extent_map.py
@@ -3,6 +3,7 @@
 Two persistent tables from the registry beside a dict: look-up, memory an extent, time and allocation of deltas; the
 map on disk.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -76,20 +77,26 @@
     picks = Random(1).choices(keys, k=50_000)
     values = dict.fromkeys(keys, 1)
     made: dict[str, Callable[[], Any]] = {
-        "dict": lambda: dict(values), "immutables": lambda: immutables.Map(values),
-        "pyrsistent": lambda: pyrsistent.pmap(values)}
+        "dict": lambda: dict(values),
+        "immutables": lambda: immutables.Map(values),
+        "pyrsistent": lambda: pyrsistent.pmap(values),
+    }
     change: dict[str, Callable[[Any, Any], Any]] = {
-        "dict": lambda t, k: t.__setitem__(k, 2), "immutables": lambda t, k: t.set(k, 2),
-        "pyrsistent": lambda t, k: t.set(k, 2)}
+        "dict": lambda t, k: t.__setitem__(k, 2),
+        "immutables": lambda t, k: t.set(k, 2),
+        "pyrsistent": lambda t, k: t.set(k, 2),
+    }
     for name, make in made.items():
         gc.collect()
         before = resident()
         table = make()
         size = max(0, resident() - before)
         found = each(table.__getitem__, picks)
-        changed = each(lambda k, t=table, c=change[name]: c(t, k), picks[:5000])      # type: ignore[misc]
-        print(f"| {n:,} | {name} | {found * 1e6:.2f} | {changed * 1e6:.2f} | {size / 2**20:.0f} | {size / n:.0f} |",
-              flush=True)
+        changed = each(lambda k, t=table, c=change[name]: c(t, k), picks[:5000])  # type: ignore[misc]
+        print(
+            f"| {n:,} | {name} | {found * 1e6:.2f} | {changed * 1e6:.2f} | {size / 2**20:.0f} | {size / n:.0f} |",
+            flush=True,
+        )
 
 
 def made_of(keys: list[tuple[str, str]]) -> ExtentMap:
@@ -161,8 +168,11 @@
         gone = gone.apply(d)
     many = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    print(f"| {n:,} | {base * 1e6:.2f} | {found * 1e6:.2f} | {built:.2f} | {size / 2**20:.0f} | {one * 1e6:.0f}, "
-          f"{allocated / 1024:.1f} | {took:.2f}, {many / 2**20:.1f} |", flush=True)
+    print(
+        f"| {n:,} | {base * 1e6:.2f} | {found * 1e6:.2f} | {built:.2f} | {size / 2**20:.0f} | {one * 1e6:.0f}, "
+        f"{allocated / 1024:.1f} | {took:.2f}, {many / 2**20:.1f} |",
+        flush=True,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/first_question.py
+++ b/benchmarks/first_question.py
@@ -2,6 +2,7 @@
 
 Three kinds of day, fleets of 3, 30 and 190 heads with nodes and load to match; each setting against today's.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -25,10 +26,14 @@
     Arm("basic weight 0.5", changes=("plan.basic.weight=0.5",)),
 ]
 # Up to six heads share BOUND_ALL; more have 2 START_BOUND each, which is then the ceiling.
-FEW = [Arm("ceiling 6 over all heads (was 12)", constants=(("BOUND_ALL", 6.0),)),
-       Arm("ceiling 24 over all heads", constants=(("BOUND_ALL", 24.0),))]
-MANY = [Arm("ceiling 2 a head (was 4)", constants=(("START_BOUND", 1.0),)),
-        Arm("ceiling 8 a head", constants=(("START_BOUND", 4.0),))]
+FEW = [
+    Arm("ceiling 6 over all heads (was 12)", constants=(("BOUND_ALL", 6.0),)),
+    Arm("ceiling 24 over all heads", constants=(("BOUND_ALL", 24.0),)),
+]
+MANY = [
+    Arm("ceiling 2 a head (was 4)", constants=(("START_BOUND", 1.0),)),
+    Arm("ceiling 8 a head", constants=(("START_BOUND", 4.0),)),
+]
 
 
 def main() -> None:
@@ -50,8 +55,11 @@
                 v = c.intervals[MAIN]
                 others = ", ".join(f"{f} {c.intervals[f].mean:+.3f}" for f in sorted(c.told - {MAIN}))
                 today = sum(r.figures[MAIN] for r in c.a) / c.runs
-                print(f"| {heads} | {nodes} | {name} | {arm.name} | {today:.3f} | {v.mean:+.4f} | {v.low:+.4f} to "
-                      f"{v.high:+.4f} | {c.runs} | {'yes' if MAIN in c.told else ''} | {others} |", flush=True)
+                print(
+                    f"| {heads} | {nodes} | {name} | {arm.name} | {today:.3f} | {v.mean:+.4f} | {v.low:+.4f} to "
+                    f"{v.high:+.4f} | {c.runs} | {'yes' if MAIN in c.told else ''} | {others} |",
+                    flush=True,
+                )
                 for text in c.broken[:3]:
                     print(f"BROKEN {text}", flush=True)
     print(f"\n{time.perf_counter() - began:.0f} s, {asked.workers} processes")
--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -6,6 +6,7 @@
 Closed loop at 1, 64 and 1,000 connections, then open loop at half the aimed load for the time that is added; last a
 1 GiB PUT and GET. The arms take turns within one run, and each ratio is of figures of that run.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -45,6 +46,7 @@
 
 def free_port() -> int:
     import socket
+
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
@@ -53,6 +55,7 @@
 
 def wait_listening(port: int) -> None:
     import socket
+
     end = time.monotonic() + 20
     while True:
         try:
@@ -85,7 +88,7 @@
         cores = sorted(os.sched_getaffinity(0))
         self.cores = cores[-2:] if len(cores) > 3 else [cores[-1]] * 2
         if len(cores) > 3:
-            os.sched_setaffinity(0, set(cores[:-2]))        # nodes and load keep off the heads' cores
+            os.sched_setaffinity(0, set(cores[:-2]))  # nodes and load keep off the heads' cores
         self.node_ports = [free_port() for _ in range(NODES)]
 
     def open(self) -> None:
@@ -93,17 +96,38 @@
         self.list_port, self.catalogue_port = free_port(), free_port()
         cli = [sys.executable, "-m", "fawnspool.cli"]
         for k, port in enumerate(self.node_ports):
-            self.start([*cli, "standin", "node", "--ident", str(k + 1), "--listen", f"127.0.0.1:{port}", "--data",
-                        str(folder / f"node-{k}"), "--unit-time", "0"], port)
+            self.start(
+                [
+                    *cli,
+                    "standin",
+                    "node",
+                    "--ident",
+                    str(k + 1),
+                    "--listen",
+                    f"127.0.0.1:{port}",
+                    "--data",
+                    str(folder / f"node-{k}"),
+                    "--unit-time",
+                    "0",
+                ],
+                port,
+            )
         nodes = [f"{k + 1}=127.0.0.1:{p}" for k, p in enumerate(self.node_ports)]
         self.start([*cli, "standin", "list", "--listen", f"127.0.0.1:{self.list_port}", *nodes], self.list_port)
-        self.start([*cli, "standin", "catalogue", "--listen", f"127.0.0.1:{self.catalogue_port}"],
-                   self.catalogue_port)
+        self.start([*cli, "standin", "catalogue", "--listen", f"127.0.0.1:{self.catalogue_port}"], self.catalogue_port)
         for policy, core in zip(("pass", "module"), self.cores, strict=True):
             port = free_port()
             config = folder / f"{policy}.hcl"
-            config.write_text(CONFIG.format(port=port, data=folder / policy, policy=policy, services=self.list_port,
-                                            catalogue=self.catalogue_port, nodes=NODES))
+            config.write_text(
+                CONFIG.format(
+                    port=port,
+                    data=folder / policy,
+                    policy=policy,
+                    services=self.list_port,
+                    catalogue=self.catalogue_port,
+                    nodes=NODES,
+                )
+            )
             proc = self.start([*cli, "serve", str(config)], port)
             os.sched_setaffinity(proc.pid, {core})
             self.heads[policy] = (port, proc.pid)
@@ -128,8 +152,22 @@
     """Runs load processes; p50 and p99 in milliseconds over all."""
     workers = 1 if connections == 1 else 3
     each = -(-connections // workers)
-    procs = [subprocess.Popen([sys.executable, "-m", "benchmarks.load", f"127.0.0.1:{port}", str(each), str(seconds),
-                               str(rate / workers), *targets], stdout=subprocess.PIPE) for _ in range(workers)]
+    procs = [
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "benchmarks.load",
+                f"127.0.0.1:{port}",
+                str(each),
+                str(seconds),
+                str(rate / workers),
+                *targets,
+            ],
+            stdout=subprocess.PIPE,
+        )
+        for _ in range(workers)
+    ]
     total, counts, per_s = HdrHistogram(1, 60_000_000, 3), dict[str, int](), 0.0
     for proc in procs:
         out = json.loads(proc.communicate()[0])
@@ -137,23 +175,29 @@
         per_s += out["per_s"]
         for status, count in out["counts"].items():
             counts[status] = counts.get(status, 0) + count
-    return {"per_s": per_s, "p50": total.get_value_at_percentile(50) / 1000,
-            "p99": total.get_value_at_percentile(99) / 1000,
-            "good": counts.get("200", 0) / max(1, sum(counts.values()))}
+    return {
+        "per_s": per_s,
+        "p50": total.get_value_at_percentile(50) / 1000,
+        "p99": total.get_value_at_percentile(99) / 1000,
+        "good": counts.get("200", 0) / max(1, sum(counts.values())),
+    }
 
 
 def module_share(port: int) -> tuple[float, int]:
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=5)
     connection.request("GET", "/-/metrics")
-    rows = dict(line.rsplit(" ", 1) for line in connection.getresponse().read().decode().splitlines()
-                if line.startswith("fawnspool_module_") and "{" not in line)
+    rows = dict(
+        line.rsplit(" ", 1)
+        for line in connection.getresponse().read().decode().splitlines()
+        if line.startswith("fawnspool_module_") and "{" not in line
+    )
     return float(rows["fawnspool_module_seconds_total"]), int(float(rows["fawnspool_module_events_total"]))
 
 
 def big(port: int, pid: int) -> dict[str, float]:
     """1 GiB up and down, MB/s, and the head's growth in MiB."""
     piece, size = bytes(1 << 20), 1 << 30
-    Path(f"/proc/{pid}/clear_refs").write_text("5")     # the peak counts anew
+    Path(f"/proc/{pid}/clear_refs").write_text("5")  # the peak counts anew
     before = memory(pid, "VmRSS")
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=120)
     place = "/v1/volumes/demo/objects/big"
@@ -199,9 +243,9 @@
 
 def bodies(setup: Setup) -> None:
     print("\n| arm | 1 GiB PUT MB/s | GET MB/s | growth MiB |\n| --- | --- | --- | --- |")
-    for arm in ("pass", "module", "module", "pass"):     # each is first and second once
+    for arm in ("pass", "module", "module", "pass"):  # each is first and second once
         port, pid = setup.heads[arm]
-        os.sync()           # what an arm wrote is on the disk before the next begins
+        os.sync()  # what an arm wrote is on the disk before the next begins
         row = big(port, pid)
         print(f"| {arm} | {row['put_mb_s']:.0f} | {row['get_mb_s']:.0f} | {row['growth_mib']:.0f} |", flush=True)
 
@@ -241,8 +285,11 @@
                 cost = f"{(cpu(pid) - before) / asked * 1e6:.0f}"
                 own = f"{(module_share(port)[0] - spent) / asked * 1e6:.0f}"
             label = f"{connections}, open at {rate:.0f}/s" if rate else str(connections)
-            print(f"| {label} | {arm} | {got['per_s']:.0f} | {got['p50']:.2f} | {got['p99']:.2f} | "
-                  f"{got['good']:.3f} | {cost} | {own} |", flush=True)
+            print(
+                f"| {label} | {arm} | {got['per_s']:.0f} | {got['p50']:.2f} | {got['p99']:.2f} | "
+                f"{got['good']:.3f} | {cost} | {own} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -3,6 +3,7 @@
 RATE 0: closed loop, each connection asks again when answered. RATE > 0: open loop, arrivals at even times over all
 connections, and an answer's time counts from when its request was due (no coordinated omission).
 """
+
 from __future__ import annotations
 
 import json
@@ -14,7 +15,7 @@
 from gevent import socket
 from hdrh.histogram import HdrHistogram
 
-WARM = 0.25      # part of the run that does not count
+WARM = 0.25  # part of the run that does not count
 
 
 def connect(address: tuple[str, int]) -> Any:
@@ -35,7 +36,7 @@
     head = data[:end].lower()
     at = head.index(b"content-length:") + 15
     stop = head.find(b"\r", at)
-    length = int(head[at:stop if stop > 0 else None])
+    length = int(head[at : stop if stop > 0 else None])
     left = length - (len(data) - end - 4)
     while left > 0:
         piece = sock.recv(65536)
@@ -45,9 +46,10 @@
     return int(data[9:12])
 
 
-def run(address: tuple[str, int], connections: int, seconds: float, rate: float, requests: list[bytes]
-        ) -> dict[str, Any]:
-    histogram = HdrHistogram(1, 60_000_000, 3)      # microseconds
+def run(
+    address: tuple[str, int], connections: int, seconds: float, rate: float, requests: list[bytes]
+) -> dict[str, Any]:
+    histogram = HdrHistogram(1, 60_000_000, 3)  # microseconds
     counts: dict[int, int] = {}
     start = time.perf_counter()
     count_from, end = start + seconds * WARM, start + seconds
@@ -76,8 +78,7 @@
     jobs = [gevent.spawn(one, k * 7) for k in range(connections)]
     gevent.joinall(jobs, raise_error=True)
     span = time.perf_counter() - count_from if rate else seconds * (1 - WARM)
-    return {"counts": counts, "per_s": sum(counts.values()) / span,
-            "histogram": histogram.encode().decode()}
+    return {"counts": counts, "per_s": sum(counts.values()) / span, "histogram": histogram.encode().decode()}
 
 
 def main() -> None:
@@ -86,8 +87,10 @@
     requests = []
     for target in targets:
         head, _, more = target.partition("|")
-        requests.append(f"GET {head} HTTP/1.1\r\nHost: t\r\n{more.replace('|', chr(13) + chr(10))}".encode()
-                        + (b"\r\n" if not more else b"\r\n\r\n"))
+        requests.append(
+            f"GET {head} HTTP/1.1\r\nHost: t\r\n{more.replace('|', chr(13) + chr(10))}".encode()
+            + (b"\r\n" if not more else b"\r\n\r\n")
+        )
     print(json.dumps(run((host, int(port)), int(connections), float(seconds), float(rate), requests)))
 
 
--- a/benchmarks/model_power.py
+++ b/benchmarks/model_power.py
@@ -4,6 +4,7 @@
 (other random numbers in the heads, so that the two arms differ by luck alone). What the worse one really costs is
 measured first, by runs that no comparison uses.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -20,7 +21,7 @@
 from fawnspool.model.params import Params
 
 ROOT = Path(__file__).parent.parent
-PART = 0.061           # of extents that the worse version turns away, at every try
+PART = 0.061  # of extents that the worse version turns away, at every try
 
 
 def worse(folder: Path, part: float) -> str:
@@ -28,8 +29,14 @@
     text = (ROOT / "fawnspool/control.py").read_text()
     at = text.index("    def handle(self, now: float, event: Event) -> list[Action]:\n")
     end = text.index("\n", at) + 1
-    text = text[:end] + (f"        if isinstance(event, Request) and event.extent % 10_000 < {part * 10_000:.0f}:\n"
-                         "            return [Refuse(event.id, 0.1)]\n") + text[end:]
+    text = (
+        text[:end]
+        + (
+            f"        if isinstance(event, Request) and event.extent % 10_000 < {part * 10_000:.0f}:\n"
+            "            return [Refuse(event.id, 0.1)]\n"
+        )
+        + text[end:]
+    )
     (folder / "control.py").write_text(text)
     return str(folder / "control.py")
 
@@ -50,8 +57,11 @@
         jobs = [(day, arm, seed, Params(), None) for seed in range(5001, 5041) for arm in (a, b)]
         came = list(run(jobs))
         cost = np.array([x.figures[MAIN] - y.figures[MAIN] for x, y in zip(came[::2], came[1::2], strict=True)])
-        print(f"the worse version costs {cost.mean():.4f} (standard error {cost.std(ddof=1) / len(cost) ** 0.5:.4f}, "
-              f"one pair varies by {cost.std(ddof=1):.4f})", flush=True)
+        print(
+            f"the worse version costs {cost.mean():.4f} (standard error {cost.std(ddof=1) / len(cost) ** 0.5:.4f}, "
+            f"one pair varies by {cost.std(ddof=1):.4f})",
+            flush=True,
+        )
         print("\n| arms | comparisons | told apart | runs a comparison, in the mean |\n| --- | --- | --- | --- |")
         equal = Arm("itself", seed_shift=1)
         for name, other, number in (("worse by that", b, 10), ("equal, other random numbers", equal, 20)):
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -2,6 +2,7 @@
 
 A fleet of 190 heads and 45 nodes at 600 requests a second, whole and at parts of its size.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -27,8 +28,12 @@
     """The day at another size; volumes and plans' figures go with the nodes."""
     part = nodes / day.day.nodes
     through = min(heads, day.volumes[0].heads)
-    return replace(day, day=replace(day.day, heads=heads, nodes=nodes), load=replace(day.load, rate=rate),
-                   volumes=tuple(replace(v, count=max(1, round(v.count * part)), heads=through) for v in day.volumes))
+    return replace(
+        day,
+        day=replace(day.day, heads=heads, nodes=nodes),
+        load=replace(day.load, rate=rate),
+        volumes=tuple(replace(v, count=max(1, round(v.count * part)), heads=through) for v in day.volumes),
+    )
 
 
 def main() -> None:
@@ -50,9 +55,12 @@
             world.run()
         took = time.perf_counter() - began
         verdict = judge(read(world.rows), terms_of(day))
-        print(f"| {heads} | {nodes} | {rate:.0f} | {took:.1f} | {day.day.length / took:.2f} | "
-              f"{took / world.events * 1e6:.0f} | {'kept' if verdict.kept else 'BROKEN'} | "
-              f"{count(day, world.ended).whole.share:.3f} |", flush=True)
+        print(
+            f"| {heads} | {nodes} | {rate:.0f} | {took:.1f} | {day.day.length / took:.2f} | "
+            f"{took / world.events * 1e6:.0f} | {'kept' if verdict.kept else 'BROKEN'} | "
+            f"{count(day, world.ended).whole.share:.3f} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/same_actions.py
+++ b/benchmarks/same_actions.py
@@ -1,7 +1,8 @@
 """Do two versions of the module do the same where heads may not speak to each other?
 
-    git show REV:fawnspool/control.py > old.py && python -m benchmarks.same_actions old.py
+git show REV:fawnspool/control.py > old.py && python -m benchmarks.same_actions old.py
 """
+
 from __future__ import annotations
 
 import sys
@@ -23,7 +24,7 @@
     """All that the module was told, and what it asked for, in simulated time."""
     rows: list[tuple[float, int, str]] = []
 
-    class Noted(kind):      # type: ignore[misc,valid-type]
+    class Noted(kind):  # type: ignore[misc,valid-type]
         def handle(self, now: float, event: i.Event) -> list[i.Action]:
             out: list[i.Action] = super().handle(now, event)
             rows.append((now, self.s.me, repr(out)))
--- a/benchmarks/shared_days.py
+++ b/benchmarks/shared_days.py
@@ -1,9 +1,10 @@
 """Shared limits on real processes: days under faults over seeds, and what sharing gains on the same day and seeds.
 
-    python -m benchmarks.shared_days faults [SEEDS] [AT ONCE] [HEADS]     all days: breaches, refused within limits
-    python -m benchmarks.shared_days cpu [SEEDS]      processor time of heads with and without sharing, side by side
-    python -m benchmarks.shared_days gain [SEEDS] [AT ONCE]               even parts, today's lending, shared; by day
+python -m benchmarks.shared_days faults [SEEDS] [AT ONCE] [HEADS]     all days: breaches, refused within limits
+python -m benchmarks.shared_days cpu [SEEDS]      processor time of heads with and without sharing, side by side
+python -m benchmarks.shared_days gain [SEEDS] [AT ONCE]               even parts, today's lending, shared; by day
 """
+
 from __future__ import annotations
 
 import sys
@@ -18,8 +19,17 @@
 from fawnspool.config.schema import load
 from fawnspool.days.day import Day, check
 
-DAYS = ("shared-skew", "shared-surge", "shared-cut", "shared-heal", "shared-restart", "shared-stall", "shared-liar",
-        "shared-node", "shared-overlap")
+DAYS = (
+    "shared-skew",
+    "shared-surge",
+    "shared-cut",
+    "shared-heal",
+    "shared-restart",
+    "shared-stall",
+    "shared-liar",
+    "shared-node",
+    "shared-overlap",
+)
 GAIN = ("shared-skew", "shared-surge", "shared-cut")
 
 
@@ -27,14 +37,18 @@
     """One day: with even parts of limits alone, with units that the module lends, with parts lent as well."""
     day = load(f"days/{name}.hcl", Day, check)
     still = tuple(x for x in day.trouble if x.kind != "heads_cut")
-    return {"even": replace(day, shared=None, day=replace(day.day, peers=False), trouble=still),
-            "lending": replace(day, shared=None, trouble=still), "shared": day}
+    return {
+        "even": replace(day, shared=None, day=replace(day.day, peers=False), trouble=still),
+        "lending": replace(day, shared=None, trouble=still),
+        "shared": day,
+    }
 
 
 def _row(said: dict[str, Any]) -> str:
     s = said["shared"]
     return f"worth {said['whole']['share']:.3f}" + (
-        f", refused {s['refused']}, within {s['within']} of {s['asked']}" if s else "")
+        f", refused {s['refused']}, within {s['within']} of {s['asked']}" if s else ""
+    )
 
 
 def faults(seeds: int, at_once: int, heads: int) -> None:
@@ -49,8 +63,10 @@
         runs = [(str(Path(folder) / f"{name}.hcl"), seed) for name in DAYS for seed in range(1, seeds + 1)]
         with ThreadPoolExecutor(at_once) as pool:
             rows = list(pool.map(lambda run: played(*run), runs))
-    print(f"{heads} heads; day: plays, all rules kept, nearest to a limit, refused within limits of asked, worth, "
-          "bytes a second and head")
+    print(
+        f"{heads} heads; day: plays, all rules kept, nearest to a limit, refused within limits of asked, worth, "
+        "bytes a second and head"
+    )
     for name in DAYS:
         mine = [row for (path, _), row in zip(runs, rows, strict=True) if Path(path).stem == name]
         for row in mine:
@@ -60,9 +76,12 @@
         nearest = max(r["nearest"] for row in mine for r in row["rules"] if r["rule"] == "limits kept")
         s = [row["shared"] for row in mine]
         worth = [row["whole"]["share"] for row in mine]
-        print(f"{name}: {len(mine)}, {sum(row['kept'] for row in mine)}, {nearest:.2f}, "
-              f"{sum(x['within'] for x in s)} of {sum(x['asked'] for x in s)}, {min(worth):.3f} to {max(worth):.3f}, "
-              f"{max(x['bytes_s'] for x in s):.0f}", flush=True)
+        print(
+            f"{name}: {len(mine)}, {sum(row['kept'] for row in mine)}, {nearest:.2f}, "
+            f"{sum(x['within'] for x in s)} of {sum(x['asked'] for x in s)}, {min(worth):.3f} to {max(worth):.3f}, "
+            f"{max(x['bytes_s'] for x in s):.0f}",
+            flush=True,
+        )
 
 
 def gain(seeds: int, at_once: int) -> None:
@@ -75,7 +94,7 @@
                 path = Path(folder) / f"{name}-{arm}.hcl"
                 path.write_text(render(day))
                 runs += [(name, arm, str(path), seed) for seed in range(1, seeds + 1)]
-        runs.sort(key=lambda run: (run[0], run[3]))     # the arms of one seed side by side
+        runs.sort(key=lambda run: (run[0], run[3]))  # the arms of one seed side by side
         with ThreadPoolExecutor(at_once) as pool:
             rows = pool.map(lambda run: played(run[2], run[3]), runs)
             for (name, arm, _, seed), said in zip(runs, rows, strict=True):
@@ -103,11 +122,16 @@
                 for name, said in zip(sums, rows, strict=True):
                     sums[name][0] += said["head_cpu_s"]
                     sums[name][1] += said["whole"]["asked"]
-                    print(f"  {name}, seed {seed}: {said['head_cpu_s']} s of six heads, "
-                          f"{said['whole']['asked']} asked, worth {said['whole']['share']:.3f}", flush=True)
+                    print(
+                        f"  {name}, seed {seed}: {said['head_cpu_s']} s of six heads, "
+                        f"{said['whole']['asked']} asked, worth {said['whole']['share']:.3f}",
+                        flush=True,
+                    )
     each = {name: seconds / asked * 1000 for name, (seconds, asked) in sums.items()}
-    print(f"ms a request: {', '.join(f'{n} {x:.3f}' for n, x in each.items())}; "
-          f"{each['shared'] / each['lending'] - 1:+.1%}")
+    print(
+        f"ms a request: {', '.join(f'{n} {x:.3f}' for n, x in each.items())}; "
+        f"{each['shared'] / each['lending'] - 1:+.1%}"
+    )
 
 
 def main() -> None:
@@ -116,9 +140,9 @@
     if what == "cpu":
         cpu(*(numbers or [4]))
     elif what == "gain":
-        gain(*(numbers + [5, 4][len(numbers):]))
+        gain(*(numbers + [5, 4][len(numbers) :]))
     else:
-        faults(*(numbers + [5, 4, 6][len(numbers):]))
+        faults(*(numbers + [5, 4, 6][len(numbers) :]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/shared_model.py
+++ b/benchmarks/shared_model.py
@@ -1,11 +1,12 @@
 """Shared limits in simulated time, with the real module and the heads' own sharer.
 
-    python -m benchmarks.shared_model nodes [SEEDS]     a node that gives no answers: until it is left, and found again
-    python -m benchmarks.shared_model quorum [SEEDS]    the same with 190 heads and lower quorums
-    python -m benchmarks.shared_model scale [SEEDS]     3, 30, 190 heads, of which none, a third, all hear nothing
-    python -m benchmarks.shared_model cost              what it adds to a request
-    python -m benchmarks.shared_model gain [SEEDS]      days by arm: even parts, lending alone, and shared
+python -m benchmarks.shared_model nodes [SEEDS]     a node that gives no answers: until it is left, and found again
+python -m benchmarks.shared_model quorum [SEEDS]    the same with 190 heads and lower quorums
+python -m benchmarks.shared_model scale [SEEDS]     3, 30, 190 heads, of which none, a third, all hear nothing
+python -m benchmarks.shared_model cost              what it adds to a request
+python -m benchmarks.shared_model gain [SEEDS]      days by arm: even parts, lending alone, and shared
 """
+
 from __future__ import annotations
 
 import sys
@@ -49,17 +50,27 @@
     story = read(world.rows)
     verdict = judge(story, terms_of(day))
     found = judge_shared(story, terms_of(day), day.day.heads)
-    return Outcome(count(day, ops).whole.share, found.refused, found.within, found.asked,
-                   tuple(f"{f.rule}: {b.text}" for f in verdict.findings for b in f.breaches),
-                   next(f.nearest for f in verdict.findings if f.rule == "limits kept"),
-                   max(world.between.sent.values(), default=0) / day.day.length,
-                   max(world.between.bytes.values(), default=0) / day.day.length, wrongly(world))
+    return Outcome(
+        count(day, ops).whole.share,
+        found.refused,
+        found.within,
+        found.asked,
+        tuple(f"{f.rule}: {b.text}" for f in verdict.findings for b in f.breaches),
+        next(f.nearest for f in verdict.findings if f.rule == "limits kept"),
+        max(world.between.sent.values(), default=0) / day.day.length,
+        max(world.between.bytes.values(), default=0) / day.day.length,
+        wrongly(world),
+    )
 
 
 def wrongly(world: World) -> int:
     """Times a head of those that tell the truth shunned a well node on hearsay."""
-    ill = {world.cells[k].number for x in world.day.trouble if x.kind in NODE_FAULTS
-           for k in targets(world.day, world.seed, x)[0]}
+    ill = {
+        world.cells[k].number
+        for x in world.day.trouble
+        if x.kind in NODE_FAULTS
+        for k in targets(world.day, world.seed, x)[0]
+    }
     liars = {h for x in world.day.trouble if x.kind == "head_lies" for h in targets(world.day, world.seed, x)[1]}
     told = {(h, o.node) for _, h, o in world.between.hearsay if not o.well and h not in liars}
     return len({x for x in told if x[1] not in ill})
@@ -70,19 +81,23 @@
 
 
 def gain(seeds: int) -> None:
-    runs = [(name, arm, day, seed) for name in GAIN for arm, day in arms(name).items()
-            for seed in range(1, seeds + 1)]
+    runs = [(name, arm, day, seed) for name in GAIN for arm, day in arms(name).items() for seed in range(1, seeds + 1)]
     with ProcessPoolExecutor() as pool:
         rows = list(pool.map(_play, [(day, seed) for _, _, day, seed in runs]))
-    print("day, arm: mean worth, refused, within the limit, share of tries, nearest to a limit, broken; busiest head: "
-          "datagrams, bytes a second")
+    print(
+        "day, arm: mean worth, refused, within the limit, share of tries, nearest to a limit, broken; busiest head: "
+        "datagrams, bytes a second"
+    )
     for name, arm in dict.fromkeys((name, arm) for name, arm, _, _ in runs):
         mine = [row for row, run in zip(rows, runs, strict=True) if run[:2] == (name, arm)]
         within, asked = sum(r.within for r in mine), sum(r.asked for r in mine)
         broken = Counter(text.partition(":")[0] for r in mine for text in r.broken)
-        print(f"{name}, {arm}: {sum(r.worth for r in mine) / len(mine):.4f}, {sum(r.refused for r in mine)}, {within}, "
-              f"{within / asked:.4f}, {max(r.nearest for r in mine):.2f}, {dict(broken) or 'none'}; "
-              f"{max(r.said for r in mine):.1f}, {max(r.bytes for r in mine):.0f}", flush=True)
+        print(
+            f"{name}, {arm}: {sum(r.worth for r in mine) / len(mine):.4f}, {sum(r.refused for r in mine)}, {within}, "
+            f"{within / asked:.4f}, {max(r.nearest for r in mine):.2f}, {dict(broken) or 'none'}; "
+            f"{max(r.said for r in mine):.1f}, {max(r.bytes for r in mine):.0f}",
+            flush=True,
+        )
 
 
 def bad_node(heads: int, nodes: int, rate: float, shared: bool, kind: str) -> Day:
@@ -91,9 +106,15 @@
     volumes = tuple(replace(v, heads=min(heads, 6), count=v.count * max(1, heads // 6)) for v in day.volumes)
     x = TroubleBlock("bad node", kind, 6.0, 6.0, 1 / nodes, 1.0)
     assert day.shared is not None
-    block = day.shared if heads <= 12 else replace(day.shared, every=0.25)      # as the settings' default has it
-    return replace(day, day=replace(day.day, heads=heads, nodes=nodes, peers=True), volumes=volumes, trouble=(x,),
-                   load=replace(day.load, rate=rate, skew=0.0), shared=block if shared else None)
+    block = day.shared if heads <= 12 else replace(day.shared, every=0.25)  # as the settings' default has it
+    return replace(
+        day,
+        day=replace(day.day, heads=heads, nodes=nodes, peers=True),
+        volumes=volumes,
+        trouble=(x,),
+        load=replace(day.load, rate=rate, skew=0.0),
+        shared=block if shared else None,
+    )
 
 
 def left_in(day: Day, seed: int) -> tuple[float, float, float, float, int, float]:
@@ -110,13 +131,13 @@
             sent.append(world.engine.now - BEGIN)
         real(self, action)
 
-    _Head._send = send                                      # type: ignore[method-assign]
+    _Head._send = send  # type: ignore[method-assign]
     try:
         ops = world.run()
     finally:
-        _Head._send = real                                  # type: ignore[method-assign]
+        _Head._send = real  # type: ignore[method-assign]
     usual = sum(2.0 <= t < x.at for t in sent) / (x.at - 2.0)
-    window = max(0.5, 10 / usual)       # such that a tenth is one request
+    window = max(0.5, 10 / usual)  # such that a tenth is one request
 
     def share(t: float) -> float:
         return sum(t <= s < t + window for s in sent) / window / usual
@@ -125,8 +146,14 @@
     left = next((s for s in steps if s < x.length - window and share(x.at + s) < 0.1), x.length)
     back = next((s for s in steps if s < 5.0 and share(over + s) >= 0.5), 5.0)
     tries = sum(x.at + 3 <= t < over for t in sent) / (x.length - 3)
-    return (left, back, count(day, ops).whole.share, max(world.between.bytes.values(), default=0) / day.day.length,
-            wrongly(world), tries)
+    return (
+        left,
+        back,
+        count(day, ops).whole.share,
+        max(world.between.bytes.values(), default=0) / day.day.length,
+        wrongly(world),
+        tries,
+    )
 
 
 def _left(args: tuple[Day, int]) -> tuple[float, float, float, float, int, float]:
@@ -134,8 +161,10 @@
 
 
 def nodes(seeds: int) -> None:
-    print("fault, heads, nodes, arm: until a tenth of its share: mean, worst; until half of it again: mean, worst; "
-          "worth; bytes a second of the busiest head; well nodes shunned by a head on hearsay; tries a second at it")
+    print(
+        "fault, heads, nodes, arm: until a tenth of its share: mean, worst; until half of it again: mean, worst; "
+        "worth; bytes a second of the busiest head; well nodes shunned by a head on hearsay; tries a second at it"
+    )
     for kind in ("answers_lost", "refused"):
         for heads, count_, rate in ((6, 6, 70.0), (30, 15, 250.0), (190, 45, 900.0)):
             for shared in (False, True):
@@ -143,14 +172,19 @@
                 with ProcessPoolExecutor() as pool:
                     rows = list(pool.map(_left, [(day, seed) for seed in range(1, seeds + 1)]))
                 mean = [sum(r[k] for r in rows) / len(rows) for k in range(6)]
-                print(f"{kind}, {heads}, {count_}, {'shared' if shared else 'alone'}: {mean[0]:.2f}, "
-                      f"{max(r[0] for r in rows):.2f}; {mean[1]:.2f}, {max(r[1] for r in rows):.2f}; {mean[2]:.4f}; "
-                      f"{max(r[3] for r in rows):.0f}; {sum(r[4] for r in rows)}; {mean[5]:.1f}", flush=True)
+                print(
+                    f"{kind}, {heads}, {count_}, {'shared' if shared else 'alone'}: {mean[0]:.2f}, "
+                    f"{max(r[0] for r in rows):.2f}; {mean[1]:.2f}, {max(r[1] for r in rows):.2f}; {mean[2]:.4f}; "
+                    f"{max(r[3] for r in rows):.0f}; {sum(r[4] for r in rows)}; {mean[5]:.1f}",
+                    flush=True,
+                )
 
 
 def quorum(seeds: int) -> None:
-    print("fault, quorum, 190 heads: until a tenth of its share, until half of it again (means); worth; well nodes "
-          "shunned")
+    print(
+        "fault, quorum, 190 heads: until a tenth of its share, until half of it again (means); worth; well nodes "
+        "shunned"
+    )
     for kind in ("answers_lost", "refused"):
         for part in (0.02, 0.05, 0.25):
             day = bad_node(190, 45, 900.0, True, kind)
@@ -173,13 +207,21 @@
         troubles.append(TroubleBlock("no news", "bad_net", 5.0, 8.0, 1.0, 0.0))
     elif news:
         troubles.append(TroubleBlock("cut", "heads_cut", 5.0, 8.0, news, every=60.0))
-    return replace(day, day=replace(day.day, heads=heads, nodes=nodes), volumes=volumes, trouble=tuple(troubles),
-                   load=replace(day.load, rate=rate), shared=replace(day.shared, every=0.25) if shared else None)
+    return replace(
+        day,
+        day=replace(day.day, heads=heads, nodes=nodes),
+        volumes=volumes,
+        trouble=tuple(troubles),
+        load=replace(day.load, rate=rate),
+        shared=replace(day.shared, every=0.25) if shared else None,
+    )
 
 
 def scale(seeds: int) -> None:
-    print("heads, nodes, heads that hear nothing, arm: worth, refused within limits, share of tries, nearest to a "
-          "limit, broken; well nodes shunned on hearsay by honest heads; bytes a second of the busiest head")
+    print(
+        "heads, nodes, heads that hear nothing, arm: worth, refused within limits, share of tries, nearest to a "
+        "limit, broken; well nodes shunned on hearsay by honest heads; bytes a second of the busiest head"
+    )
     for heads, nodes_, rate in ((3, 6, 35.0), (30, 15, 350.0), (190, 45, 1200.0)):
         for news in (0.0, 0.33, 1.0):
             for shared in (False, True):
@@ -188,16 +230,20 @@
                     rows = list(pool.map(_play, [(day, seed) for seed in range(1, seeds + 1)]))
                 asked, within = sum(r.asked for r in rows), sum(r.within for r in rows)
                 broken = Counter(text.partition(":")[0] for r in rows for text in r.broken)
-                print(f"{heads}, {nodes_}, {news:g}, {'shared' if shared else 'lending alone'}: "
-                      f"{sum(r.worth for r in rows) / seeds:.4f}, {within}, {within / max(1, asked):.4f}, "
-                      f"{max(r.nearest for r in rows):.2f}, {dict(broken) or 'none'}; {sum(r.shunned for r in rows)}; "
-                      f"{max(r.bytes for r in rows):.0f}", flush=True)
+                print(
+                    f"{heads}, {nodes_}, {news:g}, {'shared' if shared else 'lending alone'}: "
+                    f"{sum(r.worth for r in rows) / seeds:.4f}, {within}, {within / max(1, asked):.4f}, "
+                    f"{max(r.nearest for r in rows):.2f}, {dict(broken) or 'none'}; {sum(r.shunned for r in rows)}; "
+                    f"{max(r.bytes for r in rows):.0f}",
+                    flush=True,
+                )
 
 
 def cost() -> None:
     """What sharing adds to a request in the head, beside what the module takes for one: microseconds, one thread."""
     from fawnspool.shared.sharer import Sharer
     from fawnspool.shared.terms import Terms
+
     sharer, n = Sharer(Terms(190), 3, 1, 1, 0.0), 200_000
     served = i.Outcome(1, 0, 101, 0.01, i.Result.SERVED, True, 0, None, None)
     began = time.perf_counter()
@@ -221,10 +267,10 @@
         spent += time.perf_counter() - start
         return actions
 
-    Controller.handle = handle                              # type: ignore[method-assign]
+    Controller.handle = handle  # type: ignore[method-assign]
     world = World(day, 1, Controller)
     world.run()
-    Controller.handle = real                                # type: ignore[method-assign]
+    Controller.handle = real  # type: ignore[method-assign]
     module = spent / len(world.ops) * 1e6
     print(f"sharing: {a_request:.1f} us a request, {a_look:.0f} us a look; the module: {module:.0f} us a request")
 
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -2,6 +2,7 @@
 
 Twelve heads, 150 s with two surges; five seeds of each version. The decisions know nothing of which version it is.
 """
+
 from __future__ import annotations
 
 import argparse
@@ -64,17 +65,25 @@
 
 
 VERSIONS: dict[str, type[Controller]] = {
-    "equal": Controller, "turns 25 of 100 extents away": Little, "turns 70 of 100 away": Much,
-    "turns 70 of 100 away under a surge only": InSurges, "sends everything twice": Twice,
-    "raises on one request of 200": Raises}
+    "equal": Controller,
+    "turns 25 of 100 extents away": Little,
+    "turns 70 of 100 away": Much,
+    "turns 70 of 100 away under a surge only": InSurges,
+    "sends everything twice": Twice,
+    "raises on one request of 200": Raises,
+}
 
 
 def day() -> Day:
     one = load(Path(__file__).parent.parent / "days/lead-moves.hcl", Day, check)
     surges = tuple(TroubleBlock(f"surge {k}", "burst", 60.0 + 45 * k, 10.0, size=2.2) for k in range(2))
-    return replace(one, trouble=surges, day=replace(one.day, heads=12, nodes=12, length=150.0),
-                   volumes=tuple(replace(v, count=2 * v.count) for v in one.volumes),
-                   load=replace(one.load, rate=180.0))
+    return replace(
+        one,
+        trouble=surges,
+        day=replace(one.day, heads=12, nodes=12, length=150.0),
+        volumes=tuple(replace(v, count=2 * v.count) for v in one.volumes),
+        load=replace(one.load, rate=180.0),
+    )
 
 
 def play(job: tuple[str, int, float]) -> Trial:
@@ -97,11 +106,14 @@
     for name in VERSIONS:
         some = [t for (n, _, _), t in zip(jobs, came, strict=True) if n == name]
         said = [t.verdict.value for t in some]
-        print(f"| {name} | {said.count('done')} | {said.count('go back')} | "
-              f"{len(said) - said.count('done') - said.count('go back')} | "
-              f"{min(t.upgraded for t in some)} to {max(t.upgraded for t in some)} of 12 | "
-              f"{min(t.steps[-1][0] for t in some):.0f} to {max(t.steps[-1][0] for t in some):.0f} | "
-              f"{min(t.share for t in some):.3f} to {max(t.share for t in some):.3f} |", flush=True)
+        print(
+            f"| {name} | {said.count('done')} | {said.count('go back')} | "
+            f"{len(said) - said.count('done') - said.count('go back')} | "
+            f"{min(t.upgraded for t in some)} to {max(t.upgraded for t in some)} of 12 | "
+            f"{min(t.steps[-1][0] for t in some):.0f} to {max(t.steps[-1][0] for t in some):.0f} | "
+            f"{min(t.share for t in some):.3f} to {max(t.share for t in some):.3f} |",
+            flush=True,
+        )
         for why in dict.fromkeys(t.why for t in some):
             print(f"    {name}: {why}")
     print(f"\n{time.perf_counter() - began:.0f} s, {asked.workers} processes")
--- a/fawnspool/adapter/__main__.py
+++ b/fawnspool/adapter/__main__.py
@@ -1,4 +1,5 @@
 """`python -m fawnspool.adapter`: the decisions on the simulator's wire."""
+
 from __future__ import annotations
 
 import sys
--- a/fawnspool/adapter/host.py
+++ b/fawnspool/adapter/host.py
@@ -1,4 +1,5 @@
 """Hosts many instances of the decision module on one wire; each knows only its own events."""
+
 from __future__ import annotations
 
 from typing import BinaryIO
@@ -15,8 +16,7 @@
     def __init__(self) -> None:
         self.heads: dict[int, Controller] = {}
 
-    def batch(self, now: float, events: list[tuple[int, wire.WireEvent]]
-              ) -> list[tuple[int, i.Action | wire.Crash]]:
+    def batch(self, now: float, events: list[tuple[int, wire.WireEvent]]) -> list[tuple[int, i.Action | wire.Crash]]:
         """All actions of one batch, an instance's in the order of its events."""
         out: list[tuple[int, i.Action | wire.Crash]] = []
         for who, event in events:
--- a/fawnspool/adapter/settings.py
+++ b/fawnspool/adapter/settings.py
@@ -1,4 +1,5 @@
 """The platform's settings, as the wire's text or a head's configuration gives them, read into our own Settings."""
+
 from __future__ import annotations
 
 import math
@@ -97,12 +98,15 @@
     return Settings(
         classes=tuple(_request_class(p, k, writes) for k in range(p.many("classes"))),
         plans=tuple(_plan(p, k) for k in range(p.many("grades"))),
-        heads=int(p.above("siblings")), me=p.whole("me"), zone=p.whole("zone", 0),
+        heads=int(p.above("siblings")),
+        me=p.whole("me"),
+        zone=p.whole("zone", 0),
         must_ask=p.text("discovery", "push") == "ask",
         must_ask_in=p.number("guarantees.must_ask_in", 0.0),
         drain_grace=p.number("guarantees.drain_grace"),
         answer_slack=p.number("guarantees.answer_slack", 0.0),
-        fall=p.above("guarantees.fall"), fall_multiple=p.number("guarantees.tip_multiple"),
+        fall=p.above("guarantees.fall"),
+        fall_multiple=p.number("guarantees.tip_multiple"),
         cold_capacity=p.number("guarantees.start_capacity"),
         warm_after=p.number("guarantees.warm_after"),
         young_limit=p.number("family_info.young_limit"),
@@ -143,17 +147,29 @@
     if group not in Group._value2member_map_:
         raise SettingsError(f"setting {at}group is unknown: {group!r}")
     return RequestClass(
-        name=p.text(at + "name", str(k)), aim=p.above(at + "aim"), deadline=p.above(at + "deadline"),
-        worth=p.number(at + "value"), late_worth=p.number(at + "late_value", 0.0),
-        effect=_EFFECTS[effect], group=Group(group), window=p.number(at + "window", 0.0),
-        writes=k < len(writes) and writes[k] == "true", stream=p.flag(at + "stream", False),
-        ordered=p.flag(at + "fifo_by_key", False))
+        name=p.text(at + "name", str(k)),
+        aim=p.above(at + "aim"),
+        deadline=p.above(at + "deadline"),
+        worth=p.number(at + "value"),
+        late_worth=p.number(at + "late_value", 0.0),
+        effect=_EFFECTS[effect],
+        group=Group(group),
+        window=p.number(at + "window", 0.0),
+        writes=k < len(writes) and writes[k] == "true",
+        stream=p.flag(at + "stream", False),
+        ordered=p.flag(at + "fifo_by_key", False),
+    )
 
 
 def _plan(p: _Pairs, k: int) -> Plan:
     at = f"grades.{k}."
     return Plan(
-        name=p.text(at + "name", str(k)), rate=p.number(at + "rate"),
-        reserve=p.number(at + "floor_rate", 0.0), weight=p.above(at + "shares"),
-        worth_factor=p.number(at + "value_factor"), limit=p.number(at + "cap", 0.0),
-        limit_depth=p.number(at + "cap_depth", 0.0), limit_slack=p.number(at + "tolerance", 0.0))
+        name=p.text(at + "name", str(k)),
+        rate=p.number(at + "rate"),
+        reserve=p.number(at + "floor_rate", 0.0),
+        weight=p.above(at + "shares"),
+        worth_factor=p.number(at + "value_factor"),
+        limit=p.number(at + "cap", 0.0),
+        limit_depth=p.number(at + "cap_depth", 0.0),
+        limit_slack=p.number(at + "tolerance", 0.0),
+    )
--- a/fawnspool/adapter/wire.py
+++ b/fawnspool/adapter/wire.py
@@ -2,6 +2,7 @@
 
 One table per direction: code, struct layout, and how the fields read. Nothing here chooses.
 """
+
 from __future__ import annotations
 
 import struct
@@ -20,15 +21,29 @@
 _REPLY = struct.Struct(">II")
 _ENTRY = struct.Struct(">IBHHBfd")
 _EVENTS = {
-    1: struct.Struct(">IQII"), 2: struct.Struct(">IIBdB4f"), 3: struct.Struct(">IIBIQdQfffB"),
-    4: struct.Struct(">IHII"), 5: struct.Struct(">IQ"), 6: struct.Struct(">I"),
-    7: struct.Struct(">IBQII"), 8: struct.Struct(">II"), 9: struct.Struct(">IIHId"),
+    1: struct.Struct(">IQII"),
+    2: struct.Struct(">IIBdB4f"),
+    3: struct.Struct(">IIBIQdQfffB"),
+    4: struct.Struct(">IHII"),
+    5: struct.Struct(">IQ"),
+    6: struct.Struct(">I"),
+    7: struct.Struct(">IBQII"),
+    8: struct.Struct(">II"),
+    9: struct.Struct(">IIHId"),
     10: struct.Struct(">IIIHdBHHBB4f"),
 }
 _PHASES = {0: i.Phase.GONE, 1: i.Phase.READY, 2: i.Phase.DRAINING}
 _LISTS = {0: i.ListKind.SAVED, 1: i.ListKind.WHOLE, 2: i.ListKind.CHANGES, 3: i.ListKind.FAILED}
-_RESULTS = {10: i.Result.SERVED, 20: i.Result.ERROR, 30: i.Result.FULL, 40: i.Result.TIMED_OUT,
-            50: i.Result.UNREACHED, 60: i.Result.BROKEN, 70: i.Result.CANCELLED, 80: i.Result.MOOT}
+_RESULTS = {
+    10: i.Result.SERVED,
+    20: i.Result.ERROR,
+    30: i.Result.FULL,
+    40: i.Result.TIMED_OUT,
+    50: i.Result.UNREACHED,
+    60: i.Result.BROKEN,
+    70: i.Result.CANCELLED,
+    80: i.Result.MOOT,
+}
 _REPEAT, _WRITE = 2, 4
 
 
@@ -111,7 +126,7 @@
 def _slice(body: bytes, at: int, start: int, length: int) -> bytes:
     if start + length > len(body):
         raise WireError(f"offset {at + 4}: expected {length} bytes in the tail, found the end of the batch")
-    return body[start:start + length]
+    return body[start : start + length]
 
 
 def _start(body: bytes, at: int, tail: int, f: list[int]) -> WireEvent:
@@ -120,15 +135,25 @@
 
 def _list(body: bytes, at: int, tail: int, f: list[int]) -> WireEvent:
     raw = _slice(body, at, tail + f[2], f[3] * _ENTRY.size)
-    rows = tuple(i.ListEntry(n, z, k, c, _PHASES[p], size, up)
-                 for n, z, k, c, p, size, up in _ENTRY.iter_unpack(raw))
+    rows = tuple(i.ListEntry(n, z, k, c, _PHASES[p], size, up) for n, z, k, c, p, size, up in _ENTRY.iter_unpack(raw))
     return i.NodeList(_LISTS[f[0]], f[1], rows)
 
 
 def _request(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
     ident, cls, plan, item, patience, volume, units, shard, heads, opts = f
-    return i.Request(int(ident), int(cls), int(plan), int(item), patience, int(volume), units,
-                     int(shard), int(heads), bool(int(opts) & _REPEAT), bool(int(opts) & _WRITE))
+    return i.Request(
+        int(ident),
+        int(cls),
+        int(plan),
+        int(item),
+        patience,
+        int(volume),
+        units,
+        int(shard),
+        int(heads),
+        bool(int(opts) & _REPEAT),
+        bool(int(opts) & _WRITE),
+    )
 
 
 def _load(f: list[float]) -> tuple[float, ...] | None:
@@ -137,8 +162,17 @@
 
 def _outcome(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
     ident, node, attempt, took, final, others, used, reason = f[:8]
-    return i.Outcome(int(ident), int(attempt), int(node), took, _RESULTS[int(reason)], bool(final),
-                     int(others), (used - 1) / 100 if used else None, _load(f[8:]))
+    return i.Outcome(
+        int(ident),
+        int(attempt),
+        int(node),
+        took,
+        _RESULTS[int(reason)],
+        bool(final),
+        int(others),
+        (used - 1) / 100 if used else None,
+        _load(f[8:]),
+    )
 
 
 _BUILD: dict[int, Callable[[bytes, int, int, list[Any]], WireEvent]] = {
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -6,6 +6,7 @@
 `Fawn-Patience-Ms` (how long it will wait), `Fawn-Repeat: 1` (its own second try), `Fawn-Op` (its name for the
 operation, the same over its tries), `Idempotency-Key`, `Fawn-Run` (requests of one run share it).
 """
+
 from __future__ import annotations
 
 import json
@@ -66,15 +67,27 @@
     def __init__(self, head: Head, listener: Any = None) -> None:
         self.head, self.config = head, head.config
         c: HeadConfig = head.config
-        self.server = Server(address(c.head.listen), self.handle,
-                             limits=Limits(c.clients.header_bytes, c.clients.headers),
-                             idle_close=c.clients.idle_close, piece_timeout=c.clients.request_timeout,
-                             most=c.clients.connections, on_error=self._error, on_bad=self._bad, listener=listener,
-                             turn=c.clients.turn, due=self._due)
+        self.server = Server(
+            address(c.head.listen),
+            self.handle,
+            limits=Limits(c.clients.header_bytes, c.clients.headers),
+            idle_close=c.clients.idle_close,
+            piece_timeout=c.clients.request_timeout,
+            most=c.clients.connections,
+            on_error=self._error,
+            on_bad=self._bad,
+            listener=listener,
+            turn=c.clients.turn,
+            due=self._due,
+        )
         names = [k.name for k in c.class_]
         self.default_read, self.default_write = 0, min(1, len(names) - 1)
         self.routes: dict[bytes, Callable[[Exchange, str, str], None]] = {
-            b"GET": self._get, b"HEAD": self._get, b"PUT": self._put, b"DELETE": self._delete}
+            b"GET": self._get,
+            b"HEAD": self._get,
+            b"PUT": self._put,
+            b"DELETE": self._delete,
+        }
 
     def start(self) -> None:
         self.server.start()
@@ -110,8 +123,9 @@
         path, _, query = text.partition("?")
         found = _PATH.fullmatch(path)
         if found is None:
-            raise ApiError(404, "no-such-place", "places here: /v1/volumes/{volume}/objects/{key}, "
-                                                 "/-/status, /-/metrics")
+            raise ApiError(
+                404, "no-such-place", "places here: /v1/volumes/{volume}/objects/{key}, /-/status, /-/metrics"
+            )
         volume = found[1]
         if volume not in self.head.volumes:
             raise ApiError(404, "unknown-volume", f"there is no volume {volume!r} here")
@@ -188,18 +202,41 @@
             return float(u.largest)
         return float(max(1, min(u.largest, -(-size // u.bytes))))
 
-    def _submit(self, exchange: Exchange, volume: str, key: str, cls: int, *, method: bytes, body: Body, cell: int,
-                size: int | None, query: bytes = b"") -> Pending:
+    def _submit(
+        self,
+        exchange: Exchange,
+        volume: str,
+        key: str,
+        cls: int,
+        *,
+        method: bytes,
+        body: Body,
+        cell: int,
+        size: int | None,
+        query: bytes = b"",
+    ) -> Pending:
         h = exchange.head.headers
         op = self._token(exchange, b"fawn-op") or f"{self.config.head.number}-{self.head.ids + 1:x}"
         idem = self._token(exchange, b"idempotency-key") or op
         run = h.get(b"fawn-run")
         name = b"run:" + run if run is not None else f"{volume}/{key}".encode()
         return self.head.submit(
-            volume=volume, cls=cls, method=method, target=target(volume, key) + query,
-            forward=[(n, h[n]) for n in _FORWARD if n in h], body=body, exchange=exchange,
-            patience=self._patience(exchange, cls), came=exchange.came, units=self._units(size), cell=cell,
-            extent=xxhash.xxh3_64_intdigest(name) or 1, repeat=h.get(b"fawn-repeat") == b"1", op=op, idem=idem)
+            volume=volume,
+            cls=cls,
+            method=method,
+            target=target(volume, key) + query,
+            forward=[(n, h[n]) for n in _FORWARD if n in h],
+            body=body,
+            exchange=exchange,
+            patience=self._patience(exchange, cls),
+            came=exchange.came,
+            units=self._units(size),
+            cell=cell,
+            extent=xxhash.xxh3_64_intdigest(name) or 1,
+            repeat=h.get(b"fawn-repeat") == b"1",
+            op=op,
+            idem=idem,
+        )
 
     def _wait(self, pending: Pending) -> None:
         """Until the one answer is there. A client that leaves, or an answer that is overdue, ends it too."""
@@ -237,18 +274,41 @@
             if place is None:
                 raise ApiError(404, "no-such-object", f"volume {volume!r} holds no {key!r}")
             went, began = place, at
-            pending = self._followed(exchange, volume, key, place, lambda p: self._submit(
-                exchange, volume, key, cls, method=b"GET", body=Body(b"", 0), cell=p[0],
-                size=0 if stat else self._asked(exchange, p[1]), query=b"?stat" if stat else b""), cls)
+            pending = self._followed(
+                exchange,
+                volume,
+                key,
+                place,
+                lambda p: self._submit(
+                    exchange,
+                    volume,
+                    key,
+                    cls,
+                    method=b"GET",
+                    body=Body(b"", 0),
+                    cell=p[0],
+                    size=0 if stat else self._asked(exchange, p[1]),
+                    query=b"?stat" if stat else b"",
+                ),
+                cls,
+            )
             gone = pending.kind is Kind.SERVED and pending.answer is not None and pending.answer.status == 404
             if not gone:
                 self.head.places.sent(True, 0.0)
             if not gone or fresh or time.monotonic() >= pending.deadline:
                 return self._finish(pending)
-            self.head.finished(pending, "moved")    # the place was old: ask the catalogue, once
-
-    def _followed(self, exchange: Exchange, volume: str, key: str, place: tuple[int, int],
-                  submit: Callable[[tuple[int, int]], Pending], cls: int, once: bool = False) -> Pending:
+            self.head.finished(pending, "moved")  # the place was old: ask the catalogue, once
+
+    def _followed(
+        self,
+        exchange: Exchange,
+        volume: str,
+        key: str,
+        place: tuple[int, int],
+        submit: Callable[[tuple[int, int]], Pending],
+        cls: int,
+        once: bool = False,
+    ) -> Pending:
         """Submit and wait; where nodes say that the extent has moved (nothing was done there), submit to where it went,
         or once more where it is about to open. Each is a request of its own to the module; the client gets one answer.
         Raises ApiError where `extents/stale.py` ends it. once: its body can't be sent again."""
@@ -281,7 +341,7 @@
             raise ApiError(413, "too-large", f"a body has {c.largest_body} bytes at most")
         place = self._find(volume, key, self._check(exchange, cls))
         body, size = self._body(exchange), head.length
-        sent_at = -1                # generation of the place that it was sent to
+        sent_at = -1  # generation of the place that it was sent to
 
         def submit(p: tuple[int, int]) -> Pending:
             nonlocal sent_at
@@ -317,7 +377,7 @@
                 if size > keep:
                     break
             else:
-                return Body(b"".join(start), size)      # chunked, and small after all
+                return Body(b"".join(start), size)  # chunked, and small after all
 
         def rest() -> Any:
             seen = size
@@ -336,8 +396,14 @@
         place = self._find(volume, key, deadline, True)
         if place is None:
             raise ApiError(404, "no-such-object", f"volume {volume!r} holds no {key!r}")
-        pending = self._followed(exchange, volume, key, place, lambda p: self._submit(
-            exchange, volume, key, cls, method=b"DELETE", body=Body(b"", 0), cell=p[0], size=0), cls)
+        pending = self._followed(
+            exchange,
+            volume,
+            key,
+            place,
+            lambda p: self._submit(exchange, volume, key, cls, method=b"DELETE", body=Body(b"", 0), cell=p[0], size=0),
+            cls,
+        )
         if pending.kind is Kind.SERVED and pending.answer is not None and pending.answer.status in (204, 404):
             try:
                 self.head.places.drop(volume, key, pending.deadline + self.config.clients.answer_margin / 2)
@@ -382,8 +448,11 @@
         reason = head.reason(pending)
         if kind is Kind.REFUSED:
             wait = pending.retry_after
-            more = [(b"Retry-After", b"%d" % max(1, round(wait))), (b"Fawn-Retry-After-Ms", b"%d" % (wait * 1000))] \
-                if wait > 0 else []
+            more = (
+                [(b"Retry-After", b"%d" % max(1, round(wait))), (b"Fawn-Retry-After-Ms", b"%d" % (wait * 1000))]
+                if wait > 0
+                else []
+            )
             body = {"error": "refused", "reason": reason, "may_have_run": False, "request": pending.op}
             return exchange.respond(503, [_JSON, *ident, *more], json.dumps(body).encode())
         status = 504 if "no answer" in reason else 502
--- a/fawnspool/baselines/passthrough.py
+++ b/fawnspool/baselines/passthrough.py
@@ -1,4 +1,5 @@
 """A plain head: sends everything at once, tries nothing again, turns nothing away. For comparison only."""
+
 from __future__ import annotations
 
 from random import Random
--- a/fawnspool/cli/__main__.py
+++ b/fawnspool/cli/__main__.py
@@ -1,4 +1,5 @@
 """`python -m fawnspool.cli`."""
+
 from fawnspool.cli.main import main
 
 main()
--- a/fawnspool/cli/check.py
+++ b/fawnspool/cli/check.py
@@ -1,4 +1,5 @@
 """`fawnspool check`."""
+
 from __future__ import annotations
 
 import click
@@ -15,20 +16,43 @@
     plans = []
     for p in config.plan:
         volumes = [v for v in config.volume if v.plan == p.name]
-        plans.append({"plan": p.name, "volumes": len(volumes), "rate": p.rate, "reserve_each": p.reserve,
-                      "reserve_all": p.reserve * len(volumes), "limit_each": p.limit or None,
-                      "limit_all": p.limit * len(volumes) or None, "burst": p.limit_depth or None,
-                      "share_of_the_rest": sum(p.weight for _ in volumes) / weights})
+        plans.append(
+            {
+                "plan": p.name,
+                "volumes": len(volumes),
+                "rate": p.rate,
+                "reserve_each": p.reserve,
+                "reserve_all": p.reserve * len(volumes),
+                "limit_each": p.limit or None,
+                "limit_all": p.limit * len(volumes) or None,
+                "burst": p.limit_depth or None,
+                "share_of_the_rest": sum(p.weight for _ in volumes) / weights,
+            }
+        )
     rows = []
     for v in config.volume:
         plan = next(p for p in config.plan if p.name == v.plan)
-        rows.append({"volume": v.name, "plan": v.plan, "heads": v.heads,
-                        "reserve_a_head": plan.reserve / v.heads,
-                        "limit_a_head": plan.limit / v.heads if plan.limit else None,
-                        "share_of_the_rest": plan.weight / weights})
-    classes = [{"class": c.name, "aim_s": c.aim, "deadline_s": c.deadline, "worth": c.worth, "effect": c.effect,
-                "answers_leave_by_s": c.deadline - min(config.clients.answer_margin, c.deadline / 4)}
-               for c in config.class_]
+        rows.append(
+            {
+                "volume": v.name,
+                "plan": v.plan,
+                "heads": v.heads,
+                "reserve_a_head": plan.reserve / v.heads,
+                "limit_a_head": plan.limit / v.heads if plan.limit else None,
+                "share_of_the_rest": plan.weight / weights,
+            }
+        )
+    classes = [
+        {
+            "class": c.name,
+            "aim_s": c.aim,
+            "deadline_s": c.deadline,
+            "worth": c.worth,
+            "effect": c.effect,
+            "answers_leave_by_s": c.deadline - min(config.clients.answer_margin, c.deadline / 4),
+        }
+        for c in config.class_
+    ]
     return {"heads": heads, "classes": classes, "plans": plans, "volumes": rows}
 
 
@@ -44,8 +68,11 @@
     said = meaning(config)
     if as_json:
         return print_json({"ok": True, **said})
-    for title, name in (("Classes", "classes"), ("Plans, through all heads (units a second)", "plans"),
-                        ("Volumes", "volumes")):
+    for title, name in (
+        ("Classes", "classes"),
+        ("Plans, through all heads (units a second)", "plans"),
+        ("Volumes", "volumes"),
+    ):
         rows = said[name]
         assert isinstance(rows, list)
         if rows:
--- a/fawnspool/cli/common.py
+++ b/fawnspool/cli/common.py
@@ -1,4 +1,5 @@
 """What all commands share: exit codes, tables for people, JSON for programs."""
+
 from __future__ import annotations
 
 import json
--- a/fawnspool/cli/drill.py
+++ b/fawnspool/cli/drill.py
@@ -1,4 +1,5 @@
 """`fawnspool drill`."""
+
 from __future__ import annotations
 
 import json
@@ -46,8 +47,16 @@
             day = load(path, Day, check)
         except ConfigError as bad:
             config_error(bad, as_json)
-        rows.append({"day": path.stem, "seconds": day.day.length, "heads": day.day.heads, "nodes": day.day.nodes,
-                     "troubles": ", ".join(day.kinds()), "title": day.title})
+        rows.append(
+            {
+                "day": path.stem,
+                "seconds": day.day.length,
+                "heads": day.day.heads,
+                "nodes": day.day.nodes,
+                "troubles": ", ".join(day.kinds()),
+                "title": day.title,
+            }
+        )
     if as_json:
         return print_json(rows)
     table("Days", ["day", "seconds", "heads", "nodes", "troubles", "title"], [list(r.values()) for r in rows])
@@ -62,12 +71,14 @@
 @click.option("--days", "folder", default="days", help="Folder of day files.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 @click.option("--quiet", is_flag=True, help="No lines while it runs.")
-def run(day_name: str, out: str | None, seed: int | None, plain: bool, policy: str, folder: str, as_json: bool,
-        quiet: bool) -> None:
+def run(
+    day_name: str, out: str | None, seed: int | None, plain: bool, policy: str, folder: str, as_json: bool, quiet: bool
+) -> None:
     """Play DAY (a file, or a name in ./days). Exit code 1 where a rule broke or a byte was wrong."""
     from fawnspool.drill.fleet import DrillError
     from fawnspool.drill.play import Play
     from fawnspool.drill.report import values
+
     path = _find(day_name, folder)
     try:
         day = load(path, Day, check)
@@ -105,10 +116,16 @@
     rows = [[r[n] for n in names] for r in said["rows"]]
     whole = said["whole"]
     rows.append(["all", "", *(whole[n] for n in names[2:])])
-    table(f"{said['day']}, seed {said['seed']}: {said['heads']} heads, {said['nodes']} nodes, {said['length_s']:g} s",
-          names, rows)
-    table(f"Rules (allowance for noise {said['allowance_ms']} ms)", ["rule", "looked at", "broken", "nearest"],
-          [[r["rule"], r["looked_at"], r["breaches"], r["nearest"]] for r in said["rules"]])
+    table(
+        f"{said['day']}, seed {said['seed']}: {said['heads']} heads, {said['nodes']} nodes, {said['length_s']:g} s",
+        names,
+        rows,
+    )
+    table(
+        f"Rules (allowance for noise {said['allowance_ms']} ms)",
+        ["rule", "looked at", "broken", "nearest"],
+        [[r["rule"], r["looked_at"], r["breaches"], r["nearest"]] for r in said["rules"]],
+    )
     for r in said["rules"]:
         for text in r["first"]:
             click.echo(f"BROKEN {r['rule']}: {text}")
@@ -118,18 +135,28 @@
         click.echo("this machine was too noisy for the allowance; a break of time may be the machine's")
     if said["wrong_sends"]:
         w = said["wrong_sends"]
-        table(f"Sent to a node that the extent had left, by the time since its flip ({w['moves']} moves)",
-              [*w["by_time"], "not open yet", "latest s"], [[*w["by_time"].values(), w["not_yet"], w["latest_s"]]])
+        table(
+            f"Sent to a node that the extent had left, by the time since its flip ({w['moves']} moves)",
+            [*w["by_time"], "not open yet", "latest s"],
+            [[*w["by_time"].values(), w["not_yet"], w["latest_s"]]],
+        )
     if said["duties"]:
         d = said["duties"]
-        click.echo(f"duties: {d['handed_over']} hand-overs, {d['without_cause']} without a cause; {d['fenced']} steps "
-                   f"refused by fences; {d['moved']} extents moved, {d['left']} left in drained cells")
-        table("From a fault until the next holder showed its token", ["cause", "hand-overs", "p50 s", "worst s"],
-              [list(g.values()) for g in d["gaps"]])
+        click.echo(
+            f"duties: {d['handed_over']} hand-overs, {d['without_cause']} without a cause; {d['fenced']} steps "
+            f"refused by fences; {d['moved']} extents moved, {d['left']} left in drained cells"
+        )
+        table(
+            "From a fault until the next holder showed its token",
+            ["cause", "hand-overs", "p50 s", "worst s"],
+            [list(g.values()) for g in d["gaps"]],
+        )
     if said["shared"]:
         s = said["shared"]
-        click.echo(f"limits: {s['refused']} of {s['asked']} tries refused, {s['within']} of them within their volume's "
-                   f"limit; shared by {s['datagrams_s']} datagrams, {s['bytes_s']} bytes a second and head")
+        click.echo(
+            f"limits: {s['refused']} of {s['asked']} tries refused, {s['within']} of them within their volume's "
+            f"limit; shared by {s['datagrams_s']} datagrams, {s['bytes_s']} bytes a second and head"
+        )
     worst = said["worst_window"]
     click.echo(f"worth earned over due: {whole['share']:.3f}; worst 5 s: {worst['share']:.3f} from {worst['from_s']} s")
     if said["plain"]:
@@ -142,6 +169,7 @@
 def clients(spec: str) -> None:
     """The clients' process of a drill."""
     from fawnspool.drill.clients import run as play
+
     play(Path(spec))
 
 
@@ -155,6 +183,7 @@
     from fawnspool.drill.fleet import DrillError
     from fawnspool.drill.play import Play
     from fawnspool.drill.report import values
+
     path = _find(day_name, folder)
     try:
         day = load(path, Day, check)
@@ -172,13 +201,43 @@
             said = values(day, number, result, other)
         kept &= bool(said["kept"])
         whole = said["whole"]
-        rows.append([number, "kept" if said["kept"] else "BROKEN", said["wrong_bytes"], whole["asked"],
-                     whole["in time"], whole["late"], whole["refused"], whole["failed"], whole["share"],
-                     said["worst_window"]["share"], said["plain"]["share"] if said["plain"] else "-",
-                     said["allowance_ms"], round(time.monotonic() - began, 1)])
+        rows.append(
+            [
+                number,
+                "kept" if said["kept"] else "BROKEN",
+                said["wrong_bytes"],
+                whole["asked"],
+                whole["in time"],
+                whole["late"],
+                whole["refused"],
+                whole["failed"],
+                whole["share"],
+                said["worst_window"]["share"],
+                said["plain"]["share"] if said["plain"] else "-",
+                said["allowance_ms"],
+                round(time.monotonic() - began, 1),
+            ]
+        )
         for r in said["rules"]:
             for text in r["first"]:
                 click.echo(f"seed {number}: BROKEN {r['rule']}: {text}")
-    table(day.title, ["seed", "rules", "wrong", "asked", "in time", "late", "refused", "failed", "worth", "worst 5 s",
-                      "plain", "noise ms", "took s"], rows)
+    table(
+        day.title,
+        [
+            "seed",
+            "rules",
+            "wrong",
+            "asked",
+            "in time",
+            "late",
+            "refused",
+            "failed",
+            "worth",
+            "worst 5 s",
+            "plain",
+            "noise ms",
+            "took s",
+        ],
+        rows,
+    )
     sys.exit(0 if kept else BROKEN)
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -1,4 +1,5 @@
 """`fawnspool duty`: who holds what, as the map service has it; passing a duty on, and pausing its work."""
+
 from __future__ import annotations
 
 import time
@@ -39,8 +40,10 @@
     def named(self, name: str, kinds: bool = False) -> str:
         if name in self.names or (kinds and name in self.kinds):
             return name
-        fail(f"there is no duty {name!r}; there are {', '.join(f'{k}/N' for k in self.kinds)}, N from 0; see "
-             "`fawnspool duty list`")
+        fail(
+            f"there is no duty {name!r}; there are {', '.join(f'{k}/N' for k in self.kinds)}, N from 0; see "
+            "`fawnspool duty list`"
+        )
 
     def rows(self, w: Wishes) -> list[dict[str, Any]]:
         """One a duty. shown_s: since its holder showed its token to the map service last."""
@@ -49,8 +52,14 @@
 
     def _row(self, name: str, h: Held | None, wishes: dict[str, str], now: float) -> dict[str, Any]:
         paused = PAUSE + name in wishes or PAUSE + name.partition("/")[0] in wishes
-        return {"duty": name, "head": h.head if h else None, "token": h.token if h else None,
-                "shown_s": round(max(0.0, now - h.at), 1) if h else None, "paused": paused, "note": h.note if h else ""}
+        return {
+            "duty": name,
+            "head": h.head if h else None,
+            "token": h.token if h else None,
+            "shown_s": round(max(0.0, now - h.at), 1) if h else None,
+            "paused": paused,
+            "note": h.note if h else "",
+        }
 
 
 @contextmanager
@@ -91,8 +100,10 @@
     if as_json:
         print_json(row)
     elif row["head"] is not None:
-        click.echo(f"{name}: head {row['head']}, token {row['token']}, shown {row['shown_s']} s ago"
-                   f"{', PAUSED' if row['paused'] else ''}{': ' + row['note'] if row['note'] else ''}")
+        click.echo(
+            f"{name}: head {row['head']}, token {row['token']}, shown {row['shown_s']} s ago"
+            f"{', PAUSED' if row['paused'] else ''}{': ' + row['note'] if row['note'] else ''}"
+        )
     if row["head"] is None:
         fail(f"{name}: no head has shown a token for it yet; `fawnspool status` of a voter says why", BROKEN)
 
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -1,4 +1,5 @@
 """`fawnspool extents`: where an extent lies, and moving it."""
+
 from __future__ import annotations
 
 import time
@@ -79,14 +80,34 @@
     rows: list[dict[str, Any]] = []
     for cell in sorted(fleet.nodes):
         seen = mover.look(cell, volume, key)
-        rows.append({"cell": cell, "role": "no answer"} if seen is None else {
-            "cell": cell, "role": seen.role.value, "generation": seen.generation, "to": seen.to,
-            "position": seen.position})
+        rows.append(
+            {"cell": cell, "role": "no answer"}
+            if seen is None
+            else {
+                "cell": cell,
+                "role": seen.role.value,
+                "generation": seen.generation,
+                "to": seen.to,
+                "position": seen.position,
+            }
+        )
     if as_json:
-        return print_json({"volume": volume, "key": key, "cell": fact.cell, "generation": fact.stamp.generation,
-                           "epoch": fact.stamp.epoch, "version": fact.stamp.version, "size": fact.size, "nodes": rows})
-    click.echo(f"{volume}/{key}: cell {fact.cell}, generation {fact.stamp.generation}, {fact.size} bytes; "
-               f"said in epoch {fact.stamp.epoch} as version {fact.stamp.version}")
+        return print_json(
+            {
+                "volume": volume,
+                "key": key,
+                "cell": fact.cell,
+                "generation": fact.stamp.generation,
+                "epoch": fact.stamp.epoch,
+                "version": fact.stamp.version,
+                "size": fact.size,
+                "nodes": rows,
+            }
+        )
+    click.echo(
+        f"{volume}/{key}: cell {fact.cell}, generation {fact.stamp.generation}, {fact.size} bytes; "
+        f"said in epoch {fact.stamp.epoch} as version {fact.stamp.version}"
+    )
     names = ["cell", "role", "generation", "to", "position"]
     table("Nodes", names, [[row.get(n, "-") for n in names] for row in rows])
 
@@ -108,8 +129,10 @@
         return click.echo(f"{volume}/{key} lies in cell {to}")
     if end is Step.LOST:
         fail("another move of it has won, or it has gone: see `fawnspool extents show`", BROKEN)
-    fail(f"not done within {within:g} s: a node or the map service does not answer; the same again goes on from there",
-         UNREACHED)
+    fail(
+        f"not done within {within:g} s: a node or the map service does not answer; the same again goes on from there",
+        UNREACHED,
+    )
 
 
 @command.command("drain")
@@ -139,14 +162,21 @@
     except PlacesError as bad:
         fail(str(bad), UNREACHED)
     holders = [h for h in w.holders if h.duty.startswith("drain/")]
-    said = {"cell": cell, "wanted": name in w.wishes, "left": left, "left_bytes": size,
-            "holders": {h.duty: {"head": h.head, "token": h.token, "note": h.note} for h in holders}}
+    said = {
+        "cell": cell,
+        "wanted": name in w.wishes,
+        "left": left,
+        "left_bytes": size,
+        "holders": {h.duty: {"head": h.head, "token": h.token, "note": h.note} for h in holders},
+    }
     if as_json:
         print_json(said)
     else:
         heads = sorted({h.head for h in holders})
-        click.echo(f"cell {cell}: {'to be drained' if said['wanted'] else 'not to be drained'}, {left} extents left "
-                   f"({size} bytes); holders: {', '.join(f'head {h}' for h in heads) or 'none has shown itself yet'}")
+        click.echo(
+            f"cell {cell}: {'to be drained' if said['wanted'] else 'not to be drained'}, {left} extents left "
+            f"({size} bytes); holders: {', '.join(f'head {h}' for h in heads) or 'none has shown itself yet'}"
+        )
         if holders:
             table("Shards", ["duty", "head", "token", "note"], [[h.duty, h.head, h.token, h.note] for h in holders])
     if status and left:
--- a/fawnspool/cli/main.py
+++ b/fawnspool/cli/main.py
@@ -1,4 +1,5 @@
 """The group. Commands are loaded when they are called, so that `--help` stays quick."""
+
 from __future__ import annotations
 
 import importlib
--- a/fawnspool/cli/model.py
+++ b/fawnspool/cli/model.py
@@ -1,4 +1,5 @@
 """`fawnspool model`: the group with all its sub-commands."""
+
 from __future__ import annotations
 
 from fawnspool.cli import model_predict, model_store
--- a/fawnspool/cli/model_predict.py
+++ b/fawnspool/cli/model_predict.py
@@ -1,4 +1,5 @@
 """`fawnspool model predict`, `hold`, `describe` and `rollout`."""
+
 from __future__ import annotations
 
 import sys
@@ -26,8 +27,17 @@
 @click.option("--workers", type=click.IntRange(1), default=1, help="Processes; the figures stay the same.")
 @click.option("--folder", default="days", help="Folder of day files.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
-def predict(names: str, seeds: str, out: str, fit_file: str | None, beyond: bool, runs: int, workers: int, folder: str,
-            as_json: bool) -> None:
+def predict(
+    names: str,
+    seeds: str,
+    out: str,
+    fit_file: str | None,
+    beyond: bool,
+    runs: int,
+    workers: int,
+    folder: str,
+    as_json: bool,
+) -> None:
     """Write predictions of DAYs' worth before they are played. An old file is never written over."""
     days = _days(names, folder)
     got: Fit | None = _read_fit(fit_file) if fit_file else None
@@ -44,8 +54,11 @@
     Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(said)))
     if as_json:
         return print_json(msgspec.to_builtins(said))
-    table("Predicted worth, simulated", ["day", "seed", "mean", "low", "high", "luck"],
-          [[r.day, r.seed, r.mean, r.low, r.high, r.luck] for r in rows])
+    table(
+        "Predicted worth, simulated",
+        ["day", "seed", "mean", "low", "high", "luck"],
+        [[r.day, r.seed, r.mean, r.low, r.high, r.luck] for r in rows],
+    )
 
 
 @command.command("hold")
@@ -76,9 +89,24 @@
         print_json({"rows": msgspec.to_builtins(rows), "inside": inside, "of": len(rows), "width": width})
     else:
         heads = ["day", "seed", "low", "mean", "high", "measured", "off", "inside", "rules"]
-        table("Predicted and measured worth", heads, [[
-            r.row.day, r.row.seed, r.row.low, r.row.mean, r.row.high, r.measured, r.measured - r.row.mean,
-            "yes" if r.inside else "NO", "kept" if r.kept else "BROKEN"] for r in rows])
+        table(
+            "Predicted and measured worth",
+            heads,
+            [
+                [
+                    r.row.day,
+                    r.row.seed,
+                    r.row.low,
+                    r.row.mean,
+                    r.row.high,
+                    r.measured,
+                    r.measured - r.row.mean,
+                    "yes" if r.inside else "NO",
+                    "kept" if r.kept else "BROKEN",
+                ]
+                for r in rows
+            ],
+        )
         off = sum(r.measured - r.row.mean for r in rows) / len(rows)
         click.echo(f"{inside} of {len(rows)} inside; mean width {width:.4f}; off in the mean by {off:+.4f}")
     sys.exit(0 if inside >= 0.9 * len(rows) else BROKEN)
@@ -95,6 +123,7 @@
     from fawnspool.model import seen as seeing
     from fawnspool.model.traffic import describe as describing
     from fawnspool.records.frames import RecordingError
+
     try:
         if len(folders) == 1 and Path(folders[0]).is_dir():
             recorded = seeing.from_clients(*played(folders[0]))
@@ -106,14 +135,29 @@
     Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(recorded if replay else got)))
     if as_json:
         return print_json(msgspec.to_builtins(got))
-    table(f"{len(recorded.asked)} requests of {got.length:.1f} s at {got.heads} heads", ["what", "value"], [
-        ["groups a second", got.rate], ["bursts, all together: sd of the log rate", got.together.sd],
-        ["... kept from second to second", got.together.keeps], ["bursts of one volume: sd", got.alone.sd],
-        ["skew over a volume's heads", got.skew], ["a lead lasts, s", got.lead_every],
-        ["tries again", got.retries], ["after, s", got.backoff]])
-    table("Plans and classes", ["plan", "class", "share", "units", "run", "patience s", "seen"],
-          [[p, c, plan.share * s.share, s.units[10], s.runs[10], s.patience[10], s.seen]
-           for p, plan in got.plans.items() for c, s in plan.classes.items()])
+    table(
+        f"{len(recorded.asked)} requests of {got.length:.1f} s at {got.heads} heads",
+        ["what", "value"],
+        [
+            ["groups a second", got.rate],
+            ["bursts, all together: sd of the log rate", got.together.sd],
+            ["... kept from second to second", got.together.keeps],
+            ["bursts of one volume: sd", got.alone.sd],
+            ["skew over a volume's heads", got.skew],
+            ["a lead lasts, s", got.lead_every],
+            ["tries again", got.retries],
+            ["after, s", got.backoff],
+        ],
+    )
+    table(
+        "Plans and classes",
+        ["plan", "class", "share", "units", "run", "patience s", "seen"],
+        [
+            [p, c, plan.share * s.share, s.units[10], s.runs[10], s.patience[10], s.seen]
+            for p, plan in got.plans.items()
+            for c, s in plan.classes.items()
+        ],
+    )
     for text in [*recorded.notes, *got.poor]:
         click.echo(text)
 
@@ -133,9 +177,22 @@
 @click.option("--seed", type=int, default=1)
 @click.option("--folder", default="days", help="Folder of day files.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
-def rollout(day_name: str, new: str, old: str, constants: tuple[str, ...], length: float | None, heads: int | None,
-            rate: float | None, loss: float, spend: float, span: float, window: float, seed: int, folder: str,
-            as_json: bool) -> None:
+def rollout(
+    day_name: str,
+    new: str,
+    old: str,
+    constants: tuple[str, ...],
+    length: float | None,
+    heads: int | None,
+    rate: float | None,
+    loss: float,
+    spend: float,
+    span: float,
+    window: float,
+    seed: int,
+    folder: str,
+    as_json: bool,
+) -> None:
     """Play a staged roll-out of VERSION (a checkout, a control.py, a wheel, or "" with --const) over a simulated DAY.
 
     Exit code 1 where it is sent back."""
@@ -146,9 +203,13 @@
     from fawnspool.model.versions import load as version
     from fawnspool.rollout.decide import Verdict
     from fawnspool.rollout.plan import SHORT, PlanError
+
     (name, day), *_ = _days(day_name, folder)
-    day = replace(day, day=replace(day.day, length=length or day.day.length, heads=heads or day.day.heads),
-                  load=replace(day.load, rate=rate or day.load.rate))
+    day = replace(
+        day,
+        day=replace(day.day, length=length or day.day.length, heads=heads or day.day.heads),
+        load=replace(day.load, rate=rate or day.load.rate),
+    )
     bound = replace(SHORT, loss=loss, spend=spend, span=span, window=window)
     try:
         before, _ = version(old)
@@ -158,9 +219,19 @@
     except (VersionError, PlanError, ValueError) as bad:
         fail(str(bad))
     if as_json:
-        print_json({"day": name, "seed": seed, "verdict": came.verdict.value, "why": came.why,
-                    "upgraded": came.upgraded, "worth": came.share, "steps": came.steps, "broken": came.broken,
-                    "spread": spread})
+        print_json(
+            {
+                "day": name,
+                "seed": seed,
+                "verdict": came.verdict.value,
+                "why": came.why,
+                "upgraded": came.upgraded,
+                "worth": came.share,
+                "steps": came.steps,
+                "broken": came.broken,
+                "spread": spread,
+            }
+        )
     else:
         click.echo(f"{name}, seed {seed}, simulated; one head's window varies by {spread:.3f}")
         for line in show(came):
--- a/fawnspool/cli/model_run.py
+++ b/fawnspool/cli/model_run.py
@@ -1,4 +1,5 @@
 """`fawnspool model`."""
+
 from __future__ import annotations
 
 import json
@@ -37,8 +38,12 @@
 @command.command("fit")
 @click.argument("folders", metavar="FOLDER...", nargs=-1, required=True, type=click.Path(exists=True, file_okay=False))
 @click.option("--out", required=True, type=click.Path(dir_okay=False), help="Keep the fit here, as JSON.")
-@click.option("--runs", type=click.IntRange(0), default=6, help="Model runs of each folder's day, to see how far the "
-              "model is off on them; 0: not looked at.")
+@click.option(
+    "--runs",
+    type=click.IntRange(0),
+    default=6,
+    help="Model runs of each folder's day, to see how far the model is off on them; 0: not looked at.",
+)
 @click.option("--workers", type=click.IntRange(1), default=1, help="Processes; the figures stay the same.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
 def fit(folders: tuple[str, ...], out: str, runs: int, workers: int, as_json: bool) -> None:
@@ -48,6 +53,7 @@
     from fawnspool.model import fit as fitting
     from fawnspool.model import predict as predicting
     from fawnspool.model.compare import runner
+
     runs_played = [played(folder, as_json) for folder in folders]
     got = fitting.fit(runs_played)
     missed = []
@@ -60,12 +66,20 @@
     Path(out).write_bytes(msgspec.json.format(msgspec.json.encode(got)))
     if as_json:
         return print_json(msgspec.to_builtins(got))
-    table(f"Fit of {got.runs} runs", ["parameter", "value", "standard error", "seen"],
-          [[name, f"{p.value:.6g}", f"{p.error:.2g}", p.seen] for name, p in
-          (*got.parts.items(), *((f"class {c}", p) for c, p in got.by_class.items()))])
+    table(
+        f"Fit of {got.runs} runs",
+        ["parameter", "value", "standard error", "seen"],
+        [
+            [name, f"{p.value:.6g}", f"{p.error:.2g}", p.seen]
+            for name, p in (*got.parts.items(), *((f"class {c}", p) for c, p in got.by_class.items()))
+        ],
+    )
     if missed:
-        table("The same days on the model", ["folder", "measured", "model", "off", "luck"],
-              [[Path(f).name, x, m, x - m, s] for f, (x, m, s, _) in zip(folders, missed, strict=True)])
+        table(
+            "The same days on the model",
+            ["folder", "measured", "model", "off", "luck"],
+            [[Path(f).name, x, m, x - m, s] for f, (x, m, s, _) in zip(folders, missed, strict=True)],
+        )
         off = sum(x - m for x, m, _, _ in missed) / len(missed)
         click.echo(f"off in the mean by {off:+.4f}; beyond luck by {got.misfit:.4f} (standard deviation)")
     for text in got.poor:
@@ -75,6 +89,7 @@
 def played(folder: str, as_json: bool = False) -> tuple[Day, list[dict[str, Any]]]:
     """The day and the records that `drill run --out FOLDER` left."""
     from fawnspool.records.frames import RecordingError, rows_of
+
     try:
         return load(Path(folder) / "day.hcl", Day, check), list(rows_of(Path(folder) / "module"))
     except ConfigError as bad:
@@ -97,6 +112,7 @@
     import msgspec
 
     from fawnspool.model.fit import Fit
+
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=Fit)
     except (OSError, msgspec.DecodeError) as bad:
@@ -123,16 +139,30 @@
 @click.option("--days", "folder", default="days", help="Folder of day files.")
 @click.option("--fit", "fit_file", type=click.Path(dir_okay=False), help="Parameters from `model fit`.")
 @click.option("--beyond", is_flag=True, help="Predict also what the fit has not seen.")
-@click.option("--traffic", "traffic_file", type=click.Path(dir_okay=False), help="Clients ask what `model describe` "
-              "wrote, not what the day's script says.")
+@click.option(
+    "--traffic",
+    "traffic_file",
+    type=click.Path(dir_okay=False),
+    help="Clients ask what `model describe` wrote, not what the day's script says.",
+)
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
-def run(day_name: str, seed: int, version: str, changes: tuple[str, ...], folder: str, fit_file: str | None,
-        beyond: bool, traffic_file: str | None, as_json: bool) -> None:
+def run(
+    day_name: str,
+    seed: int,
+    version: str,
+    changes: tuple[str, ...],
+    folder: str,
+    fit_file: str | None,
+    beyond: bool,
+    traffic_file: str | None,
+    as_json: bool,
+) -> None:
     """Play DAY once in simulated time. Exit code 1 where a rule broke."""
     from fawnspool.model.compare import Arm, ChangeError, play
     from fawnspool.model.seen import TrafficError
     from fawnspool.model.traffic import Described, scaled
     from fawnspool.model.versions import VersionError
+
     (name, day), *_ = _days(day_name, folder)
     params = _params(fit_file, [(name, day)], beyond)
     try:
@@ -143,8 +173,16 @@
     except (ChangeError, VersionError, TrafficError) as bad:
         fail(str(bad))
     if as_json:
-        print_json({"day": name, "seed": seed, "simulated": True, "figures": came.figures, "broken": came.broken,
-                    "errors": came.errors})
+        print_json(
+            {
+                "day": name,
+                "seed": seed,
+                "simulated": True,
+                "figures": came.figures,
+                "broken": came.broken,
+                "errors": came.errors,
+            }
+        )
     else:
         table(f"{name}, seed {seed}, simulated", ["figure", "share"], list(came.figures.items()))
         for text in came.broken:
@@ -169,18 +207,41 @@
 @click.option("--folder", default="days", help="Folder of day files.")
 @click.option("--fit", "fit_file", type=click.Path(dir_okay=False), help="Parameters from `model fit`.")
 @click.option("--beyond", is_flag=True, help="Predict also what the fit has not seen.")
-@click.option("--traffic", "traffic_file", type=click.Path(dir_okay=False), help="Clients ask what `model describe` "
-              "wrote, not what the day's script says.")
+@click.option(
+    "--traffic",
+    "traffic_file",
+    type=click.Path(dir_okay=False),
+    help="Clients ask what `model describe` wrote, not what the day's script says.",
+)
 @click.option("--heads", type=click.IntRange(1), help="With a description of traffic: another size.")
 @click.option("--nodes", type=click.IntRange(1), help="With a description of traffic: another size.")
 @click.option("--rate", type=click.FloatRange(0.1), help="With a description: groups of requests a second.")
 @click.option("--keep", "store", is_flag=False, flag_value="comparisons", help="Keep the answer in this folder.")
 @click.option("--out", type=click.Path(dir_okay=False), help="Write the results here too, as JSON.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
-def compare(a: str, b: str, names: str, runs: int, workers: int, set_a: tuple[str, ...], set_b: tuple[str, ...],
-            const_a: tuple[str, ...], const_b: tuple[str, ...], narrow: float, seed: int, folder: str,
-            fit_file: str | None, beyond: bool, traffic_file: str | None, heads: int | None, nodes: int | None,
-            rate: float | None, store: str | None, out: str | None, as_json: bool) -> None:
+def compare(
+    a: str,
+    b: str,
+    names: str,
+    runs: int,
+    workers: int,
+    set_a: tuple[str, ...],
+    set_b: tuple[str, ...],
+    const_a: tuple[str, ...],
+    const_b: tuple[str, ...],
+    narrow: float,
+    seed: int,
+    folder: str,
+    fit_file: str | None,
+    beyond: bool,
+    traffic_file: str | None,
+    heads: int | None,
+    nodes: int | None,
+    rate: float | None,
+    store: str | None,
+    out: str | None,
+    as_json: bool,
+) -> None:
     """Compare versions A and B (a checkout, a control.py or a wheel; "": this program's) on simulated days.
 
     Runs are paired: the same day, seed and draws for both. Exit code 1 where either breaks a rule."""
@@ -188,26 +249,73 @@
     from fawnspool.model.seen import TrafficError
     from fawnspool.model.traffic import Described, scaled
     from fawnspool.model.versions import VersionError
+
     days = _days(names, folder)
     traffic = traffic_of(traffic_file)
     if not isinstance(traffic, Described) and (heads or nodes or rate):
-        fail("--heads, --nodes and --rate go with a description of traffic (--traffic); else change the day: "
-             "--set-a day.heads=... and --set-b")
+        fail(
+            "--heads, --nodes and --rate go with a description of traffic (--traffic); else change the day: "
+            "--set-a day.heads=... and --set-b"
+        )
     params = _params(fit_file, days, beyond)
     try:
         if isinstance(traffic, Described):
-            days = [(name, scaled(traffic, day, heads or traffic.heads, nodes or traffic.nodes or day.day.nodes,
-                                  rate or traffic.rate, day.day.length)) for name, day in days]
-        arms = [comparing.Arm(name, version, changes, tuple(_constant(text) for text in constants))
-                for name, version, changes, constants in (("A", a, set_a, const_a), ("B", b, set_b, const_b))]
-        done = [comparing.compare(name, day, arms[0], arms[1], runs, comparing.runner(workers), narrow=narrow,
-                                  first_seed=seed, params=params, traffic=traffic) for name, day in days]
+            days = [
+                (
+                    name,
+                    scaled(
+                        traffic,
+                        day,
+                        heads or traffic.heads,
+                        nodes or traffic.nodes or day.day.nodes,
+                        rate or traffic.rate,
+                        day.day.length,
+                    ),
+                )
+                for name, day in days
+            ]
+        arms = [
+            comparing.Arm(name, version, changes, tuple(_constant(text) for text in constants))
+            for name, version, changes, constants in (("A", a, set_a, const_a), ("B", b, set_b, const_b))
+        ]
+        done = [
+            comparing.compare(
+                name,
+                day,
+                arms[0],
+                arms[1],
+                runs,
+                comparing.runner(workers),
+                narrow=narrow,
+                first_seed=seed,
+                params=params,
+                traffic=traffic,
+            )
+            for name, day in days
+        ]
     except (comparing.ChangeError, VersionError, TrafficError) as bad:
         fail(str(bad))
-    said = [{"day": c.day, "runs": c.runs, "why": c.why, "answer": comparing.words(c, *arms), "broken": c.broken,
-             "figures": {f: {"a": sum(r.figures[f] for r in c.a) / c.runs, "b": sum(r.figures[f] for r in c.b) / c.runs,
-                             "difference": v.mean, "low": v.low, "high": v.high, "told": f in c.told}
-                         for f, v in c.intervals.items()}} for c in done]
+    said = [
+        {
+            "day": c.day,
+            "runs": c.runs,
+            "why": c.why,
+            "answer": comparing.words(c, *arms),
+            "broken": c.broken,
+            "figures": {
+                f: {
+                    "a": sum(r.figures[f] for r in c.a) / c.runs,
+                    "b": sum(r.figures[f] for r in c.b) / c.runs,
+                    "difference": v.mean,
+                    "low": v.low,
+                    "high": v.high,
+                    "told": f in c.told,
+                }
+                for f, v in c.intervals.items()
+            },
+        }
+        for c in done
+    ]
     if store:
         _keep(store, days, arms, done, runs, narrow, seed, fit_file, beyond, traffic)
     if out:
@@ -218,10 +326,14 @@
         for c, row in zip(done, said, strict=True):
             for text in c.broken[:5]:
                 click.echo(f"BROKEN {text}")
-            table(f"{c.day}, simulated, {c.runs} paired runs ({c.why})",
-                  ["figure", "A", "B", "B - A", "low", "high", "told"],
-                  [[f, x["a"], x["b"], x["difference"], x["low"], x["high"], "yes" if x["told"] else ""]
-                   for f, x in row["figures"].items()])  # type: ignore[attr-defined]
+            table(
+                f"{c.day}, simulated, {c.runs} paired runs ({c.why})",
+                ["figure", "A", "B", "B - A", "low", "high", "told"],
+                [
+                    [f, x["a"], x["b"], x["difference"], x["low"], x["high"], "yes" if x["told"] else ""]
+                    for f, x in row["figures"].items()
+                ],
+            )  # type: ignore[attr-defined]
             click.echo(row["answer"])
     sys.exit(BROKEN if any(c.broken for c in done) else 0)
 
@@ -232,6 +344,7 @@
 
     from fawnspool.model.seen import Recorded
     from fawnspool.model.traffic import Described
+
     if path is None:
         return None
     try:
@@ -247,22 +360,46 @@
     import msgspec
 
     from fawnspool.model.predict import text_hash
+
     return "" if traffic is None else text_hash(msgspec.json.encode(traffic))
 
 
-def _keep(store: str, days: list[tuple[str, Day]], arms: list[Any], done: list[Any], runs: int, narrow: float,
-          seed: int, fit_file: str | None, beyond: bool, traffic: Any) -> None:
+def _keep(
+    store: str,
+    days: list[tuple[str, Day]],
+    arms: list[Any],
+    done: list[Any],
+    runs: int,
+    narrow: float,
+    seed: int,
+    fit_file: str | None,
+    beyond: bool,
+    traffic: Any,
+) -> None:
     from fawnspool.config.render import render
     from fawnspool.model.predict import fit_hash
     from fawnspool.model.store import AskedDay, Kept, Question, Store, StoreError, program_hash
     from fawnspool.model.versions import load as version
+
     texts = [render(day) for _, day in days]
     digest = traffic_hash(traffic)
     a, b = (version(arm.version, dict(arm.constants))[1] for arm in arms)
     got = _read_fit(fit_file) if fit_file else None
-    kept = Kept(Question(arms[0], arms[1], (a, b), program_hash(),
-                         tuple(AskedDay(name, text, digest) for (name, _), text in zip(days, texts, strict=True)),
-                         runs, narrow, seed, fit_hash(got), beyond), done)
+    kept = Kept(
+        Question(
+            arms[0],
+            arms[1],
+            (a, b),
+            program_hash(),
+            tuple(AskedDay(name, text, digest) for (name, _), text in zip(days, texts, strict=True)),
+            runs,
+            narrow,
+            seed,
+            fit_hash(got),
+            beyond,
+        ),
+        done,
+    )
     try:
         click.echo(f"kept as {Store(store).keep(kept)}")
     except StoreError as bad:
--- a/fawnspool/cli/model_store.py
+++ b/fawnspool/cli/model_store.py
@@ -1,4 +1,5 @@
 """`fawnspool model list`, `show`, `report` and `again`: comparisons that were kept."""
+
 from __future__ import annotations
 
 import sys
@@ -38,9 +39,15 @@
         fail(str(bad))
     if as_json:
         return print_json([{"id": k.ident, "question": msgspec.to_builtins(k.question)} for k in kept])
-    table(f"Comparisons in {folder}", ["id", "A", "B", "day", "answer"], [
-        [k.ident, _arm(k.question.a), _arm(k.question.b), c.day, comparing.words(c, k.question.a, k.question.b)]
-        for k in kept for c in k.answers])
+    table(
+        f"Comparisons in {folder}",
+        ["id", "A", "B", "day", "answer"],
+        [
+            [k.ident, _arm(k.question.a), _arm(k.question.b), c.day, comparing.words(c, k.question.a, k.question.b)]
+            for k in kept
+            for c in k.answers
+        ],
+    )
 
 
 def _arm(arm: comparing.Arm) -> str:
@@ -66,6 +73,7 @@
 def report(ident: str, out: str | None, folder: str) -> None:
     """One self-contained HTML page; the same comparison gives the same bytes."""
     from fawnspool.model.report import page
+
     kept = _get(folder, ident)
     path = Path(out or f"{kept.ident}.html")
     path.write_text(page(kept), encoding="utf-8")
@@ -84,6 +92,7 @@
     from fawnspool.model.predict import fit_hash
     from fawnspool.model.versions import VersionError
     from fawnspool.model.versions import load as version
+
     kept = _get(folder, ident)
     q = kept.question
     if q.program != program_hash():
@@ -99,9 +108,21 @@
         if now != q.versions:
             fail(f"the versions have changed: {', '.join(q.versions)} then, {', '.join(now)} now")
         days = [(d.name, parse(d.text, d.name, Day, check)) for d in q.days]
-        answers = [comparing.compare(name, day, q.a, q.b, q.runs, comparing.runner(workers), narrow=q.narrow,
-                                     first_seed=q.seed, params=got.drawn if got else lambda seed: Params(),
-                                     traffic=traffic) for name, day in days]
+        answers = [
+            comparing.compare(
+                name,
+                day,
+                q.a,
+                q.b,
+                q.runs,
+                comparing.runner(workers),
+                narrow=q.narrow,
+                first_seed=q.seed,
+                params=got.drawn if got else lambda seed: Params(),
+                traffic=traffic,
+            )
+            for name, day in days
+        ]
     except (ConfigError, VersionError, TrafficError, comparing.ChangeError) as bad:
         fail(str(bad))
     same = Kept(q, answers).text() == kept.text()
--- a/fawnspool/cli/replay.py
+++ b/fawnspool/cli/replay.py
@@ -1,4 +1,5 @@
 """`fawnspool replay`."""
+
 from __future__ import annotations
 
 import sys
@@ -22,8 +23,16 @@
     except (RecordingError, KeyError) as bad:
         fail(f"{recording}: {bad}")
     if as_json:
-        print_json({"equal": not came.differs, "events": came.events, "actions": came.actions,
-                    "differs": came.differs, "torn": came.torn, "module": first.module})
+        print_json(
+            {
+                "equal": not came.differs,
+                "events": came.events,
+                "actions": came.actions,
+                "differs": came.differs,
+                "torn": came.torn,
+                "module": first.module,
+            }
+        )
     else:
         click.echo(f"{came.events} events, {came.actions} actions: {'DIFFERENT' if came.differs else 'equal'}")
         if came.differs:
--- a/fawnspool/cli/rules.py
+++ b/fawnspool/cli/rules.py
@@ -1,4 +1,5 @@
 """`fawnspool rules`."""
+
 from __future__ import annotations
 
 import sys
@@ -44,15 +45,30 @@
         if reader.torn:
             torn.append(f"{path.name}: {reader.torn}")
     verdict = judge(read(rows), terms_of(day))
-    said = {"kept": verdict.kept, "records": len(rows), "torn": torn, "wrong_bytes": verdict.wrong_bytes,
-            "allowance_ms": round(verdict.allowance * 1000, 1), "rules": [
-                {"rule": f.rule, "looked_at": f.looked_at, "breaches": [f"{b.t:.3f} s: {b.text}" for b in f.breaches],
-                 "nearest": round(f.nearest, 3)} for f in verdict.findings]}
+    said = {
+        "kept": verdict.kept,
+        "records": len(rows),
+        "torn": torn,
+        "wrong_bytes": verdict.wrong_bytes,
+        "allowance_ms": round(verdict.allowance * 1000, 1),
+        "rules": [
+            {
+                "rule": f.rule,
+                "looked_at": f.looked_at,
+                "breaches": [f"{b.t:.3f} s: {b.text}" for b in f.breaches],
+                "nearest": round(f.nearest, 3),
+            }
+            for f in verdict.findings
+        ],
+    }
     if as_json:
         print_json(said)
     else:
-        table(f"Rules, {len(rows)} records", ["rule", "looked at", "broken", "nearest"],
-              [[f.rule, f.looked_at, len(f.breaches), f.nearest] for f in verdict.findings])
+        table(
+            f"Rules, {len(rows)} records",
+            ["rule", "looked at", "broken", "nearest"],
+            [[f.rule, f.looked_at, len(f.breaches), f.nearest] for f in verdict.findings],
+        )
         for f in verdict.findings:
             for b in f.breaches[:20]:
                 click.echo(f"BROKEN {f.rule}: {b.t:.3f} s: {b.text}")
--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -1,4 +1,5 @@
 """`fawnspool serve`."""
+
 from __future__ import annotations
 
 import gc
@@ -33,8 +34,9 @@
     traits = NodeTraits(cores=e.cores, unit_time=e.unit_time, room=1000)
     for k in range(e.nodes):
         zone = config.nodes.zones[k % len(config.nodes.zones)]
-        node = NodeServer(k + 1, ("127.0.0.1", 0), data / f"node-{k + 1}", traits, zone=zone,
-                          load_fields=config.nodes.load_fields)
+        node = NodeServer(
+            k + 1, ("127.0.0.1", 0), data / f"node-{k + 1}", traits, zone=zone, load_fields=config.nodes.load_fields
+        )
         node.start()
         nodes.append(node)
         rows.append(Row(k + 1, f"127.0.0.1:{node.address[1]}", zone, config.nodes.kinds[0], k))
@@ -49,8 +51,10 @@
     try:
         head = Head(config, source=catalogue, rows=rows)
     except OSError as bad:
-        fail(f"{bad.filename or 'head.record or head.trace'}: {bad.strerror}; give head.record and head.trace a place "
-             "that can be written")
+        fail(
+            f"{bad.filename or 'head.record or head.trace'}: {bad.strerror}; give head.record and head.trace a place "
+            "that can be written"
+        )
     try:
         api = ObjectApi(head)
     except OSError as bad:
@@ -60,7 +64,7 @@
     if ready is not None:
         ready(api)
     gc.collect()
-    gc.freeze()                         # what stands now is never garbage: full collections look at the rest alone
+    gc.freeze()  # what stands now is never garbage: full collections look at the rest alone
     gc.set_threshold(20_000, 20, 50)
     end = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/fawnspool/cli/shared.py
+++ b/fawnspool/cli/shared.py
@@ -1,4 +1,5 @@
 """`fawnspool shared`: what one head knows of what the fleet shares."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -27,11 +28,23 @@
         return print_json(said)
     heard = "never" if said["heard_s"] is None else f"{said['heard_s']} s ago"
     alone = "HEARS NOBODY: own parts and own evidence alone; " if said["alone"] else ""
-    click.echo(f"{alone}{said['heads']} heads are there, heard {heard}; {said['said']} datagrams said, "
-               f"{said['unread']} unread, {said['strangers']} of strangers")
+    click.echo(
+        f"{alone}{said['heads']} heads are there, heard {heard}; {said['said']} datagrams said, "
+        f"{said['unread']} unread, {said['strangers']} of strangers"
+    )
     names = ["volume", "used_at_least", "used_at_most", "age_s", "heads", "unheard"]
-    table(f"Volumes (the last {len(said['volumes'])} of {said['volumes_in_all']})", names,
-          [["-" if row[n] is None else row[n] for n in names] for row in said["volumes"]])
-    rows = [[row["node"], "on hearsay" if row["shunned"] else "no", row["own_signs"], ", ".join(
-        f"{e['head']} {e['found']} {e['signs']} {e['age_s']} s" for e in row["evidence"])] for row in said["nodes"]]
+    table(
+        f"Volumes (the last {len(said['volumes'])} of {said['volumes_in_all']})",
+        names,
+        [["-" if row[n] is None else row[n] for n in names] for row in said["volumes"]],
+    )
+    rows = [
+        [
+            row["node"],
+            "on hearsay" if row["shunned"] else "no",
+            row["own_signs"],
+            ", ".join(f"{e['head']} {e['found']} {e['signs']} {e['age_s']} s" for e in row["evidence"]),
+        ]
+        for row in said["nodes"]
+    ]
     table("Nodes that anything is said of", ["node", "shunned", "own signs", "evidence: head, found, signs, age"], rows)
--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -1,4 +1,5 @@
 """`fawnspool standin`: the stand-ins by hand."""
+
 from __future__ import annotations
 
 import signal
@@ -61,19 +62,56 @@
 @click.option("--record", type=click.Path(dir_okay=False), help="Record what passes its sockets.")
 @click.option("--groups", type=click.Path(file_okay=False), help="Folder that nodes of a group share.")
 @click.option("--seed", type=int, default=1)
-def node(ident: int, listen: str, data: str, cores: int, unit_time: float, room: int, cold: bool, cold_from: float,
-         warm_after: float, fall: float, fall_multiple: float, seek_saved: float, deferred: float, zone: str,
-         load_fields: str, meter: str, meter_every: float, record: str | None, groups: str | None, seed: int) -> None:
+def node(
+    ident: int,
+    listen: str,
+    data: str,
+    cores: int,
+    unit_time: float,
+    room: int,
+    cold: bool,
+    cold_from: float,
+    warm_after: float,
+    fall: float,
+    fall_multiple: float,
+    seek_saved: float,
+    deferred: float,
+    zone: str,
+    load_fields: str,
+    meter: str,
+    meter_every: float,
+    record: str | None,
+    groups: str | None,
+    seed: int,
+) -> None:
     """A storage node. POST /-/faults sets what goes wrong at it."""
-    traits = NodeTraits(cores=cores, unit_time=unit_time, room=room, cold_from=cold_from, warm_after=warm_after,
-                        fall=fall, fall_multiple=fall_multiple, seek_saved=seek_saved, deferred=deferred)
+    traits = NodeTraits(
+        cores=cores,
+        unit_time=unit_time,
+        room=room,
+        cold_from=cold_from,
+        warm_after=warm_after,
+        fall=fall,
+        fall_multiple=fall_multiple,
+        seek_saved=seek_saved,
+        deferred=deferred,
+    )
     client = MeterClient(_where(meter), meter_every) if meter else None
     try:
-        made = NodeServer(ident, _where(listen), data, traits, cold=cold, seed=seed, zone=zone,
-                          load_fields=tuple(load_fields.split(",")),
-                          record=Writer(record, keep=True) if record else None,
-                          groups=Path(groups) if groups else None, meter=client.use if client else None,
-                          served=client.served if client else None)
+        made = NodeServer(
+            ident,
+            _where(listen),
+            data,
+            traits,
+            cold=cold,
+            seed=seed,
+            zone=zone,
+            load_fields=tuple(load_fields.split(",")),
+            record=Writer(record, keep=True) if record else None,
+            groups=Path(groups) if groups else None,
+            meter=client.use if client else None,
+            served=client.served if client else None,
+        )
     except OSError as bad:
         fail(str(bad.strerror or bad), 3)
     made.start()
--- a/fawnspool/cli/status.py
+++ b/fawnspool/cli/status.py
@@ -1,4 +1,5 @@
 """`fawnspool status`."""
+
 from __future__ import annotations
 
 import time
@@ -37,27 +38,52 @@
     if as_json:
         return print_json(said)
     listed, module = said["list"], said["module"]
-    click.echo(f"head {said['head']}, policy {said['policy']}, up {said['up_s']} s, {said['in_hand']} in hand; "
-               f"module: {module['events']} events, {module['us_per_event']} us each, {module['errors']} errors")
-    click.echo(f"node list: version {listed['version']}, "
-               f"{'reachable' if listed['reachable'] else 'OUT OF REACH'}, heard {listed['heard_s']} s ago")
+    click.echo(
+        f"head {said['head']}, policy {said['policy']}, up {said['up_s']} s, {said['in_hand']} in hand; "
+        f"module: {module['events']} events, {module['us_per_event']} us each, {module['errors']} errors"
+    )
+    click.echo(
+        f"node list: version {listed['version']}, "
+        f"{'reachable' if listed['reachable'] else 'OUT OF REACH'}, heard {listed['heard_s']} s ago"
+    )
     places = said["map"]
-    click.echo(f"extent map: {places['extents']} extents, "
-               f"{'reachable' if places['reachable'] else 'SERVICE OUT OF REACH'}, "
-               f"{'never whole' if places['age_s'] is None else 'whole ' + str(places['age_s']) + ' s ago'}, "
-               f"{places['wrong_sends']} wrong sends")
+    click.echo(
+        f"extent map: {places['extents']} extents, "
+        f"{'reachable' if places['reachable'] else 'SERVICE OUT OF REACH'}, "
+        f"{'never whole' if places['age_s'] is None else 'whole ' + str(places['age_s']) + ' s ago'}, "
+        f"{places['wrong_sends']} wrong sends"
+    )
     if (d := said.get("duties")) is not None:
         held = ", ".join(f"{name} (token {row['token']})" for name, row in d["held"].items()) or "none"
-        click.echo(f"duties held: {held}; {d['took']} taken, {sum(d['lost'].values())} given up, {d['fenced']} steps "
-                   f"refused by fences, {d['strangers']} datagrams of other settings")
+        click.echo(
+            f"duties held: {held}; {d['took']} taken, {sum(d['lost'].values())} given up, {d['fenced']} steps "
+            f"refused by fences, {d['strangers']} datagrams of other settings"
+        )
         if (v := d["voter"]) is not None:
             rest = ", ".join(f"{name} for {s} s" for name, s in v["unheld_s"].items()) or "none"
-            click.echo(f"voter: {'gives votes' if v['votes'] else 'WITHOUT MEMORY, learns'}"
-                       f"{', VOTES CAN NOT BE KEPT' if v['disk_failed'] else ''}; held by nobody: {rest}")
+            click.echo(
+                f"voter: {'gives votes' if v['votes'] else 'WITHOUT MEMORY, learns'}"
+                f"{', VOTES CAN NOT BE KEPT' if v['disk_failed'] else ''}; held by nobody: {rest}"
+            )
     if (s := said.get("shared")) is not None:
         shunned = ", ".join(map(str, s["shunned"])) or "none"
-        click.echo(f"shared: {'HEARS NOBODY, ' if s['alone'] else ''}{s['heads']} heads are there, "
-                   f"{s['volumes_in_all']} volumes, nodes shunned on hearsay: {shunned}")
-    names = ["node", "address", "zone", "cell", "listed", "state", "bound", "held", "out", "response_ms", "wait_ms",
-             "bad_signs", "heard_s"]
+        click.echo(
+            f"shared: {'HEARS NOBODY, ' if s['alone'] else ''}{s['heads']} heads are there, "
+            f"{s['volumes_in_all']} volumes, nodes shunned on hearsay: {shunned}"
+        )
+    names = [
+        "node",
+        "address",
+        "zone",
+        "cell",
+        "listed",
+        "state",
+        "bound",
+        "held",
+        "out",
+        "response_ms",
+        "wait_ms",
+        "bad_signs",
+        "heard_s",
+    ]
     table("Nodes", names, [[row.get(n, "-") for n in names] for row in said["nodes"]])
--- a/fawnspool/config/head.py
+++ b/fawnspool/config/head.py
@@ -1,4 +1,5 @@
 """The settings of one head: what an operator writes, and the module's own `Settings` made from it."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -74,8 +75,8 @@
 class CatalogueBlock:
     address: str = spec("", kind="address")
     call_timeout: float = spec(0.5, kind="time", low=0.01)
-    watch: bool = spec(True)                 # False: the map grows by questions alone, for comparison
-    peak: float = spec(200.0, low=1)         # calls a second that the service bears from all heads together
+    watch: bool = spec(True)  # False: the map grows by questions alone, for comparison
+    peak: float = spec(200.0, low=1)  # calls a second that the service bears from all heads together
 
 
 @dataclass(frozen=True)
@@ -111,7 +112,7 @@
     most: int = spec(4, low=1)
     second_copies: bool = spec(False)
     cancel: bool = spec(True)
-    extra_free: float = spec(-1.0)           # under 0: no budget
+    extra_free: float = spec(-1.0)  # under 0: no budget
     extra_ratio: float = spec(0.0, low=0)
     extra_span: float = spec(10.0, kind="time")
     settle_after_doubt: float = spec(0.5, kind="time")
@@ -130,9 +131,9 @@
     header_bytes: int = spec(16384, kind="size", low=256)
     headers: int = spec(64, low=4)
     largest_body: int = spec(8 << 30, kind="size")
-    replay_bytes: int = spec(262_144, kind="size")   # of a body kept for a further attempt
+    replay_bytes: int = spec(262_144, kind="size")  # of a body kept for a further attempt
     max_retry_after: float = spec(1.0, kind="time")
-    turn: int = spec(16, low=1)              # requests begun in one turn of the loop, at most
+    turn: int = spec(16, low=1)  # requests begun in one turn of the loop, at most
 
 
 @dataclass(frozen=True)
@@ -141,7 +142,7 @@
 
     share_worth: float = spec(0.3, low=0, high=1)
     spare_worth: float = spec(0.1, low=0, high=1)
-    meter: float = spec(0.0, kind="time")    # period of the volume meter; 0: none
+    meter: float = spec(0.0, kind="time")  # period of the volume meter; 0: none
     tells_others: bool = spec(True)
 
 
@@ -170,8 +171,8 @@
     lease: float = spec(2.0, kind="time", low=0.2)
     drift: float = spec(0.01, low=0, high=0.2)
     most: int = spec(64, low=1)
-    sync: bool = spec(True)                  # votes are forced to the disk before they are said
-    record: str = spec("")                   # file for what this head held; empty: none
+    sync: bool = spec(True)  # votes are forced to the disk before they are said
+    record: str = spec("")  # file for what this head held; empty: none
     clock_rate: float = spec(1.0, low=0.1, high=10)
     duty: tuple[DutyBlock, ...] = block(DutyBlock, many=True)
 
@@ -206,11 +207,11 @@
     heads: int = spec(1, low=1)
     zone: str = spec("zone-a")
     seed: int = spec(1, low=0)
-    tick: float = spec(0.002, kind="time", low=0.0001)   # how late the head's loop may run, usually
+    tick: float = spec(0.002, kind="time", low=0.0001)  # how late the head's loop may run, usually
     policy: str = spec("module", among=("module", "pass"))
-    record: str = spec("")                   # file for the module's events and actions; empty: none
+    record: str = spec("")  # file for the module's events and actions; empty: none
     log: str = spec("console", among=("console", "json", "none"))
-    trace: str = spec("")                    # file for traces, a JSON line a span; empty: none
+    trace: str = spec("")  # file for traces, a JSON line a span; empty: none
     trace_share: float = spec(0.0, low=0, high=1)
     peer_listen: str = spec("", kind="address")
 
@@ -237,7 +238,7 @@
 
 
 KINDS_OF_DUTY = ("drain", "compare")
-VOTERS = (3, 5, 7)      # an even number bears no more losses than the odd one below it
+VOTERS = (3, 5, 7)  # an even number bears no more losses than the odd one below it
 
 
 def check_duties(d: DutiesBlock, heads: int, reader: Reader) -> None:
@@ -258,8 +259,11 @@
 
 def check_shared(s: SharedBlock, reader: Reader) -> None:
     if s.fades < 4 * s.every:
-        reader.wrong(s, "shared.fades", f"{s.fades:g} s is under four looks of {s.every:g} s: evidence would fade on "
-                     "its way to the others")
+        reader.wrong(
+            s,
+            "shared.fades",
+            f"{s.fades:g} s is under four looks of {s.every:g} s: evidence would fade on its way to the others",
+        )
 
 
 def check(config: HeadConfig, reader: Reader) -> None:
@@ -269,23 +273,33 @@
         reader.wrong(0, "class", 'at least one is needed: class "name" { ... }')
     for volume in config.volume:
         if volume.plan not in plans:
-            reader.wrong(volume, f"volume.{volume.name}.plan",
-                         f"expected one of {', '.join(plans) or '(no plan is given)'}, found {volume.plan!r}")
+            reader.wrong(
+                volume,
+                f"volume.{volume.name}.plan",
+                f"expected one of {', '.join(plans) or '(no plan is given)'}, found {volume.plan!r}",
+            )
         elif (plan := plans[volume.plan]).limit and plan.limit_depth < config.units.largest * volume.heads:
-            reader.wrong(volume, f"volume.{volume.name}.heads",
-                         f"plan {plan.name!r} has limit_depth {plan.limit_depth:g}; through {volume.heads} heads "
-                         f"it needs {config.units.largest * volume.heads} or the largest request never fits")
+            reader.wrong(
+                volume,
+                f"volume.{volume.name}.heads",
+                f"plan {plan.name!r} has limit_depth {plan.limit_depth:g}; through {volume.heads} heads "
+                f"it needs {config.units.largest * volume.heads} or the largest request never fits",
+            )
         if volume.heads > config.head.heads:
-            reader.wrong(volume, f"volume.{volume.name}.heads",
-                         f"there are only {config.head.heads} heads (head.heads)")
+            reader.wrong(
+                volume, f"volume.{volume.name}.heads", f"there are only {config.head.heads} heads (head.heads)"
+            )
     for p in config.plan:
         if p.limit and p.limit_depth <= 0:
             reader.wrong(p, f"plan.{p.name}.limit_depth", "a limit needs a depth above 0")
         if p.limit and p.reserve > p.limit:
             reader.wrong(p, f"plan.{p.name}.reserve", f"lies above the limit of {p.limit:g}")
     if config.head.zone not in config.nodes.zones:
-        reader.wrong(config.head, "head.zone",
-                     f"expected one of nodes.zones ({', '.join(config.nodes.zones)}), found {config.head.zone!r}")
+        reader.wrong(
+            config.head,
+            "head.zone",
+            f"expected one of nodes.zones ({', '.join(config.nodes.zones)}), found {config.head.zone!r}",
+        )
     if config.head.number >= config.head.heads:
         reader.wrong(config.head, "head.number", f"lies from 0 to heads - 1 = {config.head.heads - 1}")
     for peer in config.peer:
@@ -305,8 +319,7 @@
         if not config.head.peer_listen or not config.peer:
             reader.wrong(config.shared, "shared", "heads lend by datagrams: set head.peer_listen and peer blocks")
     if config.embedded is None:
-        for name, value in (("list.address", config.list.address),
-                            ("catalogue.address", config.catalogue.address)):
+        for name, value in (("list.address", config.list.address), ("catalogue.address", config.catalogue.address)):
             if not value:
                 reader.wrong(0, name, "is missing (only a head with an embedded block runs without)")
 
@@ -314,22 +327,57 @@
 def module_settings(c: HeadConfig) -> i.Settings:
     """The decision module's settings. Numbers are passed on as written; nothing is chosen here."""
     return i.Settings(
-        classes=tuple(i.RequestClass(
-            name=k.name, aim=k.aim, deadline=k.deadline, worth=k.worth, late_worth=k.late_worth,
-            effect=i.Effect(k.effect), group=i.Group(k.group), window=k.window, writes=False, stream=False,
-            ordered=k.ordered) for k in c.class_),
-        plans=tuple(i.Plan(p.name, p.rate, p.reserve, p.weight, p.worth_factor, p.limit, p.limit_depth,
-                           p.limit_slack) for p in c.plan),
-        heads=c.head.heads, me=c.head.number, zone=c.nodes.zones.index(c.head.zone),
-        must_ask=c.list.mode == "ask", must_ask_in=c.list.must_ask_in,
-        drain_grace=c.nodes.drain_grace, answer_slack=c.clients.answer_margin,
-        fall=c.nodes.cold_fall, fall_multiple=c.nodes.cold_multiple, cold_capacity=c.nodes.cold_capacity,
-        warm_after=c.nodes.cold_warm_after, young_limit=c.nodes.cold_units, mean_units=c.units.mean,
-        largest_units=float(c.units.largest), cells=c.nodes.cells, share_worth=c.service.share_worth,
-        spare_worth=c.service.spare_worth, meter=c.service.meter, tells_others=c.service.tells_others,
-        try_limit=c.attempts.most, second_copies=c.attempts.second_copies, may_cancel=c.attempts.cancel,
-        may_probe=True, peers=bool(c.peer), retry_after=True,
-        max_retry_after=c.clients.max_retry_after, connect_timeout=c.nodes.connect_timeout, tick=c.head.tick,
+        classes=tuple(
+            i.RequestClass(
+                name=k.name,
+                aim=k.aim,
+                deadline=k.deadline,
+                worth=k.worth,
+                late_worth=k.late_worth,
+                effect=i.Effect(k.effect),
+                group=i.Group(k.group),
+                window=k.window,
+                writes=False,
+                stream=False,
+                ordered=k.ordered,
+            )
+            for k in c.class_
+        ),
+        plans=tuple(
+            i.Plan(p.name, p.rate, p.reserve, p.weight, p.worth_factor, p.limit, p.limit_depth, p.limit_slack)
+            for p in c.plan
+        ),
+        heads=c.head.heads,
+        me=c.head.number,
+        zone=c.nodes.zones.index(c.head.zone),
+        must_ask=c.list.mode == "ask",
+        must_ask_in=c.list.must_ask_in,
+        drain_grace=c.nodes.drain_grace,
+        answer_slack=c.clients.answer_margin,
+        fall=c.nodes.cold_fall,
+        fall_multiple=c.nodes.cold_multiple,
+        cold_capacity=c.nodes.cold_capacity,
+        warm_after=c.nodes.cold_warm_after,
+        young_limit=c.nodes.cold_units,
+        mean_units=c.units.mean,
+        largest_units=float(c.units.largest),
+        cells=c.nodes.cells,
+        share_worth=c.service.share_worth,
+        spare_worth=c.service.spare_worth,
+        meter=c.service.meter,
+        tells_others=c.service.tells_others,
+        try_limit=c.attempts.most,
+        second_copies=c.attempts.second_copies,
+        may_cancel=c.attempts.cancel,
+        may_probe=True,
+        peers=bool(c.peer),
+        retry_after=True,
+        max_retry_after=c.clients.max_retry_after,
+        connect_timeout=c.nodes.connect_timeout,
+        tick=c.head.tick,
         extra_free=None if c.attempts.extra_free < 0 else c.attempts.extra_free,
-        extra_ratio=c.attempts.extra_ratio, extra_span=c.attempts.extra_span,
-        settle_after_doubt=c.attempts.settle_after_doubt, load_fields=c.nodes.load_fields)
+        extra_ratio=c.attempts.extra_ratio,
+        extra_span=c.attempts.extra_span,
+        settle_after_doubt=c.attempts.settle_after_doubt,
+        load_fields=c.nodes.load_fields,
+    )
--- a/fawnspool/config/render.py
+++ b/fawnspool/config/render.py
@@ -1,4 +1,5 @@
 """Blocks back to HCL: what `fawnspool.config.schema` reads, written from the dataclasses."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -14,8 +15,9 @@
             continue
         if "block" in f.metadata:
             for inner in given if f.metadata["many"] else () if given is None else (given,):
-                label = next((getattr(inner, x.name) for x in dataclasses.fields(inner)
-                              if x.metadata.get("label")), None)
+                label = next(
+                    (getattr(inner, x.name) for x in dataclasses.fields(inner) if x.metadata.get("label")), None
+                )
                 body = render(inner, indent + "  ")
                 if body or label is not None or f.metadata["optional"]:
                     title = f'{name} "{label}"' if label is not None else name
--- a/fawnspool/config/schema.py
+++ b/fawnspool/config/schema.py
@@ -4,6 +4,7 @@
 allowed. Nothing here knows what a setting is for. Errors name file, line and field, what was found, what is
 allowed, and for an unknown name the nearest known one.
 """
+
 from __future__ import annotations
 
 import dataclasses
@@ -22,7 +23,7 @@
 
 T = TypeVar("T")
 _UNITS = {"us": 1.0, "ms": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0}
-_PARTS = {"us": 1e6, "ms": 1e3}      # divided by, as 400 * 1e-6 is not 0.0004 to the last digit
+_PARTS = {"us": 1e6, "ms": 1e3}  # divided by, as 400 * 1e-6 is not 0.0004 to the last digit
 _SIZES = {"": 1, "B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 _OPTIONS = SerializationOptions(strip_string_quotes=True)
 
@@ -49,8 +50,15 @@
         self.problems = problems
 
 
-def spec(default: Any = dataclasses.MISSING, *, kind: str = "", low: float | None = None,
-         high: float | None = None, among: tuple[str, ...] = (), label: bool = False) -> Any:
+def spec(
+    default: Any = dataclasses.MISSING,
+    *,
+    kind: str = "",
+    low: float | None = None,
+    high: float | None = None,
+    among: tuple[str, ...] = (),
+    label: bool = False,
+) -> Any:
     """A field of a block. kind: "time" (seconds, written "250ms"), "size" (bytes, written "64KiB"),
     "address" (host:port); among: the words allowed; label: the block's label, not an attribute."""
     meta = {"kind": kind, "low": low, "high": high, "among": among, "label": label}
@@ -88,8 +96,16 @@
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as bad:
-        raise ConfigError([Problem(str(above[-1] if above else path), 0, "base" if above else "",
-                                   f"{path} can't be read: {bad}" if above else f"can't be read: {bad}")]) from None
+        raise ConfigError(
+            [
+                Problem(
+                    str(above[-1] if above else path),
+                    0,
+                    "base" if above else "",
+                    f"{path} can't be read: {bad}" if above else f"can't be read: {bad}",
+                )
+            ]
+        ) from None
     raw = _raw(text, str(path))
     names = [(line, value) for name, line, value in raw.settings if name == "base"]
     if not names:
@@ -125,8 +141,9 @@
     except Exception as bad:  # the library's parser raises kinds of its own
         line = getattr(bad, "line", 0)
         first = str(bad).strip().splitlines()[0] if str(bad).strip() else type(bad).__name__
-        raise ConfigError([Problem(file, line if isinstance(line, int) and line > 0 else 0, "",
-                                   f"is not HCL: {first}")]) from None
+        raise ConfigError(
+            [Problem(file, line if isinstance(line, int) and line > 0 else 0, "", f"is not HCL: {first}")]
+        ) from None
 
 
 def _make(raw: _Body, file: str, kind: type[T], check: Callable[[T, Reader], None] | None) -> T:
@@ -161,7 +178,7 @@
 
 
 def _line(rule: Any, line: _Place) -> _Place:
-    found = getattr(rule._meta, "line", line)   # the library keeps the place here only
+    found = getattr(rule._meta, "line", line)  # the library keeps the place here only
     return _Place(found, line.file) if isinstance(found, int) else line
 
 
@@ -223,7 +240,7 @@
         try:
             made = kind(**given)
         except TypeError:
-            return None     # something needed is missing or wrong: already told
+            return None  # something needed is missing or wrong: already told
         except ValueError as bad:
             self.wrong(raw.line, path, str(bad))
             return None
@@ -232,23 +249,33 @@
 
     def _unknown(self, line: int, at: str, name: str, known: Mapping[str, Any]) -> None:
         near = difflib.get_close_matches(name, known, 1, 0.5)
-        self.wrong(line, at, f"is not known here; did you mean {near[0]!r}?" if near else
-                   f"is not known here; known: {', '.join(sorted(known))}")
-
-    def _blocks(self, f: dataclasses.Field[Any], rows: list[tuple[list[str], _Body]], at: str,
-                given: dict[str, Any]) -> None:
+        self.wrong(
+            line,
+            at,
+            f"is not known here; did you mean {near[0]!r}?"
+            if near
+            else f"is not known here; known: {', '.join(sorted(known))}",
+        )
+
+    def _blocks(
+        self, f: dataclasses.Field[Any], rows: list[tuple[list[str], _Body]], at: str, given: dict[str, Any]
+    ) -> None:
         kind, many = f.metadata["block"], f.metadata["many"]
         labelled = any(x.metadata.get("label") for x in dataclasses.fields(kind))
         made, seen = [], dict[str, int]()
         for labels, body in rows:
             if len(labels) != labelled:
-                self.wrong(body.line, at, f'needs one label: {f.name} "name" {{ ... }}' if labelled
-                           else f"takes no label: {f.name} {{ ... }}")
+                self.wrong(
+                    body.line,
+                    at,
+                    f'needs one label: {f.name} "name" {{ ... }}'
+                    if labelled
+                    else f"takes no label: {f.name} {{ ... }}",
+                )
                 continue
             label = labels[0] if labels else ""
             if label in seen:
-                self.wrong(body.line, f"{at}.{label}" if label else at,
-                           f"stands twice; first in line {seen[label]}")
+                self.wrong(body.line, f"{at}.{label}" if label else at, f"stands twice; first in line {seen[label]}")
             if labelled or not many:
                 seen[label] = body.line
             got = self.block(body, kind, f"{at}.{label}" if label else at, label)
@@ -297,8 +324,11 @@
             return self._bad(at, line, value, "a text in quotes")
         low, high, among = meta.get("low"), meta.get("high"), meta.get("among") or ()
         if (low is not None and value < low) or (high is not None and value > high):
-            span = f"from {low:g} to {high:g}" if low is not None and high is not None else (
-                f"at least {low:g}" if low is not None else f"at most {high:g}")
+            span = (
+                f"from {low:g} to {high:g}"
+                if low is not None and high is not None
+                else (f"at least {low:g}" if low is not None else f"at most {high:g}")
+            )
             return self._bad(at, line, value, span)
         if among and value not in among:
             near = difflib.get_close_matches(str(value), among, 1, 0.5)
--- a/fawnspool/connections/decide.py
+++ b/fawnspool/connections/decide.py
@@ -3,27 +3,28 @@
 Guards the descriptors, which are few, and clients, who may hold a part of them and no more. Requests are none of its
 business: those are `control.py`'s.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-OWN_FILES = 32          # descriptors that are neither a client's nor a node's: loop, log, list service, spare
-NODES_PART = 3          # one of so many parts of the rest is the nodes'
-NODE_LEAST = 4          # connections that a node may always have
-CROWD_PART = 4          # clients hold a third of all at most: at a fourth there is still room for others
-IDLE_SHARE = 0.8        # of the time after which nodes close an idle connection: a request must not cross that
-COOLDOWN = 0.02         # a second answer may follow the first some milliseconds late: until then no request goes there
-QUIET = 2.2             # rude clients are owed a close within 3 s; without a request 2 s are owed to any
-KEPT = 4.0              # usual clients come back to a connection that has carried a request
-WATCH_BEATS = 1.75      # a watch whose heartbeat is three quarters of one late has fallen silent
-CALL_BEATS = 1.25       # a call in vain just before the list service is back leaves time for two more
-OLDER = 3               # lists older than what is held, one after the other: then the service counts anew
-SPARE = 0.3             # before it may be killed a head has answered all for so long
-LAST = 0.2              # what comes last has so long for its answer
-REREAD = 0.1            # seconds until a configuration that is not whole is read again, and how often
+OWN_FILES = 32  # descriptors that are neither a client's nor a node's: loop, log, list service, spare
+NODES_PART = 3  # one of so many parts of the rest is the nodes'
+NODE_LEAST = 4  # connections that a node may always have
+CROWD_PART = 4  # clients hold a third of all at most: at a fourth there is still room for others
+IDLE_SHARE = 0.8  # of the time after which nodes close an idle connection: a request must not cross that
+COOLDOWN = 0.02  # a second answer may follow the first some milliseconds late: until then no request goes there
+QUIET = 2.2  # rude clients are owed a close within 3 s; without a request 2 s are owed to any
+KEPT = 4.0  # usual clients come back to a connection that has carried a request
+WATCH_BEATS = 1.75  # a watch whose heartbeat is three quarters of one late has fallen silent
+CALL_BEATS = 1.25  # a call in vain just before the list service is back leaves time for two more
+OLDER = 3  # lists older than what is held, one after the other: then the service counts anew
+SPARE = 0.3  # before it may be killed a head has answered all for so long
+LAST = 0.2  # what comes last has so long for its answer
+REREAD = 0.1  # seconds until a configuration that is not whole is read again, and how often
 REREADS = 10
-LONG_PART = 8           # one of so many parts of a head's memory may hold long bodies of requests
+LONG_PART = 8  # one of so many parts of a head's memory may hold long bodies of requests
 
 
 @dataclass(frozen=True)
@@ -39,8 +40,9 @@
     """How a limit of descriptors is dealt out. Harm where nodes are few: a node's places bind before the module's."""
     room = max(2 * NODE_LEAST, descriptors - OWN_FILES)
     nodes = room // NODES_PART
-    return Places(max(NODE_LEAST, room - nodes), max(NODE_LEAST, nodes // max(1, cells)),
-                  max(2, descriptors // CROWD_PART))
+    return Places(
+        max(NODE_LEAST, room - nodes), max(NODE_LEAST, nodes // max(1, cells)), max(2, descriptors // CROWD_PART)
+    )
 
 
 def crowded(open_now: int, crowd: int) -> bool:
--- a/fawnspool/connections/lives.py
+++ b/fawnspool/connections/lives.py
@@ -6,12 +6,13 @@
 than `QUIET` and of a life that had ended may be heard, once, where the head has been silent for so long; and a head
 that two processes bear the number of is heard now as the one, now as the other.
 """
+
 from __future__ import annotations
 
 from collections import OrderedDict
 
-QUIET = 3.0             # seconds: datagrams come late by as much without harm
-LIVES = 4               # of one sender, whose numbers are remembered
+QUIET = 3.0  # seconds: datagrams come late by as much without harm
+LIVES = 4  # of one sender, whose numbers are remembered
 _WINDOW = 1024
 
 
--- a/fawnspool/control.py
+++ b/fawnspool/control.py
@@ -2,6 +2,7 @@
 
 Ordinary path: at each node a FIFO and a start tag per volume; the smallest tag leaves next; a completion
 moves the volume's tag on by its mean response over its plan's weight. All else guards that path."""
+
 from __future__ import annotations
 
 import math
@@ -13,31 +14,57 @@
 from typing import Any
 
 from fawnspool.interface import (
-    Action, Cancel, ClientGone, Effect, Event, Fail, FetchList, Group, Hearsay, ListEntry, ListKind, Log,
-    NodeList, Outcome, PeerMessage, Phase, Plan, Refuse, Request, RequestClass, Result, Send, SetTimer,
-    Settings, Takers, Tell, Timer, Watch)
-
-RECENT = 16              # responses in a volume's mean (the paper's N): long enough to smooth one pause
-RUN_LIMIT = 12           # requests of one extent in a row: longer runs would shut out other volumes
-TARGET_SHARE = 0.35      # part of the least aim that a response at a node may take: the rest waits here
-GAIN = 0.1               # smoothing of the node's mean response and of its bound, per completion
-PULL = 0.2               # requests by which a bound seeks more room at each step (PARDA's beta)
-BOUND_ALL = 12.0         # requests out at one node from all heads, at most: beyond it only queues grow
-START_BOUND = 2.0        # requests out at a node that has told nothing yet: one to run, one to follow
-FRESH_S = 1.0            # an answer this old counts half for its node, seconds: surges come and go in a few
-CROWD = 0.25             # part of the least aim that may pass in waiting at a node, beyond a reserve
-ASK_ALL_S = 1.0          # pause between calls to every head for units of one limit, seconds
-ON_TIME = 0.95           # part of the time for which a lender counts units as on their way: for clocks' rates
-TICKS_PER_AIM = 8        # looks at all queues within the least aim: a late look costs an eighth of it
-ASK_MOST_S = 0.8         # longest pause before a failed call for the list is repeated, seconds
-TRIAL_MOST_S = 1.0       # longest pause between trials of a failed node, seconds: its return is found within
-SIGNS = 3                # resets or failed connects in a row, no answer between, before suspicion
-SILENT = 3.0             # mean responses (at least half aims) without any answer, before suspicion
-IDLE_S = 30.0            # a volume unheard for this long loses its place in the tables, seconds
-VOLUMES_MOST = 4096      # volumes remembered, whatever comes
-_PEER = struct.Struct(">BQfI")   # what, volume, units, when asked for (asker's clock, milliseconds)
+    Action,
+    Cancel,
+    ClientGone,
+    Effect,
+    Event,
+    Fail,
+    FetchList,
+    Group,
+    Hearsay,
+    ListEntry,
+    ListKind,
+    Log,
+    NodeList,
+    Outcome,
+    PeerMessage,
+    Phase,
+    Plan,
+    Refuse,
+    Request,
+    RequestClass,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    Takers,
+    Tell,
+    Timer,
+    Watch,
+)
+
+RECENT = 16  # responses in a volume's mean (the paper's N): long enough to smooth one pause
+RUN_LIMIT = 12  # requests of one extent in a row: longer runs would shut out other volumes
+TARGET_SHARE = 0.35  # part of the least aim that a response at a node may take: the rest waits here
+GAIN = 0.1  # smoothing of the node's mean response and of its bound, per completion
+PULL = 0.2  # requests by which a bound seeks more room at each step (PARDA's beta)
+BOUND_ALL = 12.0  # requests out at one node from all heads, at most: beyond it only queues grow
+START_BOUND = 2.0  # requests out at a node that has told nothing yet: one to run, one to follow
+FRESH_S = 1.0  # an answer this old counts half for its node, seconds: surges come and go in a few
+CROWD = 0.25  # part of the least aim that may pass in waiting at a node, beyond a reserve
+ASK_ALL_S = 1.0  # pause between calls to every head for units of one limit, seconds
+ON_TIME = 0.95  # part of the time for which a lender counts units as on their way: for clocks' rates
+TICKS_PER_AIM = 8  # looks at all queues within the least aim: a late look costs an eighth of it
+ASK_MOST_S = 0.8  # longest pause before a failed call for the list is repeated, seconds
+TRIAL_MOST_S = 1.0  # longest pause between trials of a failed node, seconds: its return is found within
+SIGNS = 3  # resets or failed connects in a row, no answer between, before suspicion
+SILENT = 3.0  # mean responses (at least half aims) without any answer, before suspicion
+IDLE_S = 30.0  # a volume unheard for this long loses its place in the tables, seconds
+VOLUMES_MOST = 4096  # volumes remembered, whatever comes
+_PEER = struct.Struct(">BQfI")  # what, volume, units, when asked for (asker's clock, milliseconds)
 _WANT, _LEND, _NONE = 1, 2, (0, 0, 0.0, 0)
-_ASK = 2**63             # the token of the timer for the next call for the list
+_ASK = 2**63  # the token of the timer for the next call for the list
 
 
 @dataclass(slots=True, eq=False)
@@ -55,11 +82,11 @@
     req: Request
     cls: RequestClass
     plan: Plan
-    ends: float                 # when its client gives up
-    wanted: float               # until when it earns its full worth, or any
-    rank: int                   # 0 in its volume's reserve, 1 beyond it, 2 late whatever we do
+    ends: float  # when its client gives up
+    wanted: float  # until when it earns its full worth, or any
+    rank: int  # 0 in its volume's reserve, 1 beyond it, 2 late whatever we do
     cell: int = -1
-    key: int = 0                # its place in an order by key; 0: none
+    key: int = 0  # its place in an order by key; 0: none
     held: bool = False
     over: bool = False
     tries: list[_Attempt] = field(default_factory=list)
@@ -77,18 +104,19 @@
 
     plan: Plan
     heads: int
-    level: float = 0.0          # limit's bucket, this head's part; an earlier life may have drawn it
+    level: float = 0.0  # limit's bucket, this head's part; an earlier life may have drawn it
     filled: float = 0.0
     reserve: float = 0.0
-    mine: float = 0.0           # units a second served here, smoothed
+    mine: float = 0.0  # units a second served here, smoothed
     served: float = 0.0
-    asked: float = 0.0          # when peers were last asked for units of its limit
-    queued: float = 0.0         # units held here that have drawn nothing of a limit yet
+    asked: float = 0.0  # when peers were last asked for units of its limit
+    queued: float = 0.0  # units held here that have drawn nothing of a limit yet
     lenders: set[int] = field(default_factory=set)
-    known: bool = False         # is it told which heads serve the volume?
-    lent: deque[tuple[float, float]] = field(default_factory=deque)     # when, units: may be on their way yet
-    part: float = 0.0           # share of the volume's use that came through this head
-    use: float = 0.0            # the volume's whole use as the meter last told, as a share of its rate
+    known: bool = False  # is it told which heads serve the volume?
+    lent: deque[tuple[float, float]] = field(default_factory=deque)  # when, units: may be on their way yet
+    part: float = 0.0  # share of the volume's use that came through this head
+    use: float = 0.0  # the volume's whole use as the meter last told, as a share of its rate
+
 
 @dataclass(slots=True, eq=False)
 class _Flow:
@@ -109,26 +137,26 @@
     cell: int
     node: int | None = None
     flows: OrderedDict[int, _Flow] = field(default_factory=OrderedDict)
-    active: dict[int, _Flow] = field(default_factory=dict)      # those with something held or out
+    active: dict[int, _Flow] = field(default_factory=dict)  # those with something held or out
     held: int = 0
-    units: float = 0.0          # of what is held
-    soonest: float = 0.0        # no held request is wanted before
+    units: float = 0.0  # of what is held
+    soonest: float = 0.0  # no held request is wanted before
     bound: float = START_BOUND
-    response: float = 0.0       # mean, seconds
-    wait: float = 0.0           # part of a response that is not work, lately, seconds
-    seen: float = 0.0           # when it was last measured
-    out: dict[tuple[int, int], float] = field(default_factory=dict)   # attempts out, when sent
-    extent: tuple[int, int] = (0, 0)                                  # volume and extent sent last
+    response: float = 0.0  # mean, seconds
+    wait: float = 0.0  # part of a response that is not work, lately, seconds
+    seen: float = 0.0  # when it was last measured
+    out: dict[tuple[int, int], float] = field(default_factory=dict)  # attempts out, when sent
+    extent: tuple[int, int] = (0, 0)  # volume and extent sent last
     run: int = 0
-    heard: float = 0.0          # last answer, or the send after an idle time
-    failed: int = 0             # bad signs in a row; over 0: only trials
+    heard: float = 0.0  # last answer, or the send after an idle time
+    failed: int = 0  # bad signs in a row; over 0: only trials
     trial_at: float = 0.0
-    born: float | None = None   # latest time at which the node may have started cold; None: long ago
-    guess: bool = False         # no list tells of that start: a saved one alone proves nothing
-    shut: bool = False          # it took no connection since it last answered
-    away: float = 0.0           # when it last began to fail
-    served: float = 0.0         # units, since the head's start
-    credit: float = 0.0         # units that a young node may get from here, and when it last grew
+    born: float | None = None  # latest time at which the node may have started cold; None: long ago
+    guess: bool = False  # no list tells of that start: a saved one alone proves nothing
+    shut: bool = False  # it took no connection since it last answered
+    away: float = 0.0  # when it last began to fail
+    served: float = 0.0  # units, since the head's start
+    credit: float = 0.0  # units that a young node may get from here, and when it last grew
     credited: float = 0.0
 
     def sound(self) -> bool:
@@ -143,25 +171,31 @@
         self.acts, self.jobs, self.nodes = list[Action](), dict[int, _Job](), dict[int, ListEntry]()
         self.lanes, self.busy = dict[int, _Lane](), dict[int, _Lane]()  # busy: something held or out
         self.volumes: OrderedDict[int, _Volume] = OrderedDict()
-        self.keys, self.settling = dict[int, deque[_Job]](), dict[int, float]()     # order by key, its pauses
-        self.taken, self.extras = deque[float](), deque[float]()        # for the attempt budget
+        self.keys, self.settling = dict[int, deque[_Job]](), dict[int, float]()  # order by key, its pauses
+        self.taken, self.extras = deque[float](), deque[float]()  # for the attempt budget
         self.least_aim = min(c.aim for c in settings.classes)
         self.look, self.ask_at = self.least_aim / TICKS_PER_AIM, math.inf
         # The bounds of few heads hold a node's queue down; those of many can't: each has two at least.
         self.many = settings.heads * START_BOUND > BOUND_ALL
         self.most = 2 * START_BOUND if self.many else max(START_BOUND, BOUND_ALL / settings.heads)
         self.now, self.unit_s, self.seen, self.since = 0.0, 0.0, 0.0, -1.0
-        self.cells = list[int]()                # those that have a node
-        self.waits, self.usual = deque([0.0], maxlen=9), 0.0    # all nodes' last ones, their median
-        self.ticking = self.unsure = False      # a timer is set; only a saved list so far
+        self.cells = list[int]()  # those that have a node
+        self.waits, self.usual = deque([0.0], maxlen=9), 0.0  # all nodes' last ones, their median
+        self.ticking = self.unsure = False  # a timer is set; only a saved list so far
         self.handlers: dict[type, Callable[[Any], None]] = {
-            NodeList: self._on_list, Request: self._on_request, Outcome: self._on_outcome,
-            ClientGone: self._on_gone, Timer: self._on_look, PeerMessage: self._on_peer,
-            Takers: self._on_takers, Hearsay: self._on_hearsay}
+            NodeList: self._on_list,
+            Request: self._on_request,
+            Outcome: self._on_outcome,
+            ClientGone: self._on_gone,
+            Timer: self._on_look,
+            PeerMessage: self._on_peer,
+            Takers: self._on_takers,
+            Hearsay: self._on_hearsay,
+        }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         self.now, self.acts, self.since = now, [], now if self.since < 0 else self.since
-        if handler := self.handlers.get(type(event)):   # else: an event that tells nothing needed here
+        if handler := self.handlers.get(type(event)):  # else: an event that tells nothing needed here
             handler(event)
         return self.acts
 
@@ -178,7 +212,7 @@
         known = self.nodes if event.kind is ListKind.CHANGES else {}
         known.update((entry.node, entry) for entry in event.entries)
         self.nodes = {n: entry for n, entry in known.items() if entry.phase is not Phase.GONE}
-        if saved:   # it may be old: ask at once, and until an answer take every node for cold
+        if saved:  # it may be old: ask at once, and until an answer take every node for cold
             self.acts.append(Watch(True) if self.s.must_ask else FetchList())
         newest = sorted(self.nodes.values(), key=lambda entry: (entry.started, entry.node))
         ready = {entry.cell: entry for entry in newest if entry.phase is Phase.READY}
@@ -216,7 +250,7 @@
     def _on_request(self, req: Request) -> None:
         cls, plan = self.s.classes[req.cls], self.s.plans[req.plan]
         spent = max(0.0, cls.deadline - req.patience) if req.repeat else 0.0
-        wanted = self.now + min(cls.aim - spent, req.patience)     # some come with less time than the aim
+        wanted = self.now + min(cls.aim - spent, req.patience)  # some come with less time than the aim
         key = req.extent if cls.ordered else 0
         self.jobs[req.id] = job = _Job(req, cls, plan, self.now + req.patience, wanted, 1, key=key)
         self.taken += [self.now] if self.s.extra_free is not None else []
@@ -229,7 +263,7 @@
             volume.reserve, job.rank = volume.reserve - req.units, 0
         supply = plan.limit / (1 if self.s.peers else volume.heads) * (job.rank < 2)
         if plan.limit and volume.queued - volume.level + req.units > supply * (job.wanted - self.now):
-            return self._end(job)   # beyond its limit: earns nothing, so it costs nothing either
+            return self._end(job)  # beyond its limit: earns nothing, so it costs nothing either
         lane = self.lanes.get(req.cell) if req.cell >= 0 else self._place(job)
         return self._offer(job, lane) if lane and not self._crowded(job, lane) else self._end(job)
 
@@ -240,7 +274,7 @@
         beyond a reserve ends at a shorter wait, the more its volume uses the sooner; a late repeat soonest.
         Drawn, lest heads turn at once. Guards against any shortage. Harm: a pause looks like a crowd."""
         if not self.many or (job.rank == 2 and lane.held):
-            return job.rank == 2 and lane.held > 0      # a late repeat: others wait for that place
+            return job.rank == 2 and lane.held > 0  # a late repeat: others wait for that place
         over = math.sqrt(min(4.0, max(1.0, self.volumes[job.req.volume].use)))
         may = self.least_aim * CROWD * (2.0, 1 / over, 0.25)[job.rank] * self.random.uniform(0.5, 1.5)
         return self._queue(lane, job.rank > 0) > min(may, job.wanted - self.now - self.unit_s * job.req.units)
@@ -308,7 +342,7 @@
         if volume is None or not 0 < units <= volume.plan.limit_depth:
             return
         self._fill(volume)
-        again = self.look if volume.known else self.least_aim   # until it may have units of others itself
+        again = self.look if volume.known else self.least_aim  # until it may have units of others itself
         spare = volume.level - volume.queued - volume.mine * again
         if what == _WANT and spare >= 1:
             units = min(units, max(1.0, spare / 2))
@@ -364,8 +398,8 @@
         if lane.sound():
             self._shed(lane)
 
-    def _room(self, lane: _Lane, job: _Job) -> int:     # a run that goes on costs less: one place more
-        if not lane.sound():    # half open: one request tries the node, once its pause is over
+    def _room(self, lane: _Lane, job: _Job) -> int:  # a run that goes on costs less: one place more
+        if not lane.sound():  # half open: one request tries the node, once its pause is over
             return int(lane.node is not None and self.now >= lane.trial_at)
         return int(lane.bound) + (job.here() == lane.extent and 0 < lane.run < RUN_LIMIT)
 
@@ -373,7 +407,7 @@
         """The run of the last extent first, else the volume with the smallest tag."""
         # Tags move only at completion: what is out counts as completed, so no volume fills the bound.
         if 0 < lane.run < RUN_LIMIT and (last := lane.active.get(lane.extent[0])):
-            for job in last.queue:      # the run is of one volume: no other queue needs a look
+            for job in last.queue:  # the run is of one volume: no other queue needs a look
                 if job.req.extent == lane.extent[1] and self._sendable(job, lane):
                     return job
         tags = sorted((f.tag + f.out * self._step(f, lane), v) for v, f in lane.active.items() if f.queue)
@@ -387,11 +421,11 @@
         return lane.response or self.least_aim * TARGET_SHARE / 2
 
     def _sendable(self, job: _Job, lane: _Lane) -> bool:
-        turn = not job.key or (self.keys[job.key][0] is job and (
-            bool(job.tries) or self.settling.get(job.key, 0.0) <= self.now))
+        turn = not job.key or (
+            self.keys[job.key][0] is job and (bool(job.tries) or self.settling.get(job.key, 0.0) <= self.now)
+        )
         limited = not job.tries and job.plan.limit and self._volume(job).level < job.req.units
-        return turn and not limited and self._cold_room(lane) and (
-            not job.tries or self._may(job, lane.node))
+        return turn and not limited and self._cold_room(lane) and (not job.tries or self._may(job, lane.node))
 
     def _send(self, job: _Job, lane: _Lane) -> None:
         assert lane.node is not None
@@ -448,8 +482,15 @@
             excess = dict.fromkeys((job.req.volume for job, _ in plan), 0.0)
             for job, _ in plan:
                 excess[job.req.volume] += job.req.units / job.plan.weight if job.rank else 0.0
-            victim = max((job for job, _ in plan[:late + 1]), key=lambda j: (
-                j.rank, bool(j.rank) * excess[j.req.volume], -j.cls.worth * j.plan.worth_factor, j.req.id))
+            victim = max(
+                (job for job, _ in plan[: late + 1]),
+                key=lambda j: (
+                    j.rank,
+                    bool(j.rank) * excess[j.req.volume],
+                    -j.cls.worth * j.plan.worth_factor,
+                    j.req.id,
+                ),
+            )
             self._end(victim)
 
     def _all_in_time(self, lane: _Lane) -> bool:
@@ -458,7 +499,7 @@
         ahead = max(0.0, len(lane.out) - int(lane.bound) + 1 + lane.units / self.s.mean_units)
         response = self._done_in(lane)
         last = self.now + ahead * response / int(lane.bound) + response
-        if last > lane.soonest:     # what was soonest may have left since: look again
+        if last > lane.soonest:  # what was soonest may have left since: look again
             lane.soonest = min(job.wanted for f in lane.active.values() for job in f.queue)
         return last <= lane.soonest
 
@@ -468,15 +509,18 @@
     def _forecast(self, lane: _Lane) -> list[tuple[_Job, float]]:
         """Held requests as tags would send them, and when each would be done."""
         response = self._done_in(lane)
-        order = [(flow.tag + (flow.out + k) * self._step(flow, lane), volume, k, job)
-                 for volume, flow in lane.active.items() for k, job in enumerate(flow.queue)]
-        room, pace = int(lane.bound), response / int(lane.bound)    # pace: seconds between two that leave
+        order = [
+            (flow.tag + (flow.out + k) * self._step(flow, lane), volume, k, job)
+            for volume, flow in lane.active.items()
+            for k, job in enumerate(flow.queue)
+        ]
+        room, pace = int(lane.bound), response / int(lane.bound)  # pace: seconds between two that leave
         ahead = float(len(lane.out) - room + 1)
         plan, left = [], dict[int, float]()
         for _, volume, _, job in sorted(order, key=lambda x: x[:3]):
             if job.plan.limit and not job.tries:
                 left[volume] = left.get(volume, self._volume(job).level) - job.req.units
-                if left[volume] < 0:        # waits for its limit, in nobody's way
+                if left[volume] < 0:  # waits for its limit, in nobody's way
                     plan.append((job, self.now + response))
                     continue
             plan.append((job, self.now + max(0.0, ahead) * pace + response))
@@ -503,7 +547,7 @@
         self._turn(lane)
 
     def _learn(self, lane: _Lane, job: _Job, event: Outcome, attempt: _Attempt) -> None:
-        silent = event.result is Result.TIMED_OUT and lane.heard <= attempt.sent    # else: lost on the way
+        silent = event.result is Result.TIMED_OUT and lane.heard <= attempt.sent  # else: lost on the way
         # A kept connection may be all that broke: the next, a new one, shows. Guards against paths that cut
         # idle connections, many at once. Harm: a node that died is suspected a few sends later.
         if (event.result in (Result.UNREACHED, Result.BROKEN) and not event.kept) or silent:
@@ -514,8 +558,8 @@
         if event.result is Result.FULL:
             lane.bound, lane.wait, lane.seen = max(1.0, lane.bound / 2), self.least_aim + lane.wait, self.now
         elif event.result is Result.SERVED or silent:
-            took = self.now - attempt.sent + lane.wait * silent     # a time-out: it waits longer than that
-            fresh = max(GAIN, 1 - 0.5 ** ((self.now - lane.seen) / FRESH_S))    # rare answers count for more
+            took = self.now - attempt.sent + lane.wait * silent  # a time-out: it waits longer than that
+            fresh = max(GAIN, 1 - 0.5 ** ((self.now - lane.seen) / FRESH_S))  # rare answers count for more
             lane.response += (took - lane.response) * (GAIN if lane.response else 1.0)
             # Work a unit: about the lower quarter of what answers took, over all nodes. The rest is waiting.
             self.unit_s = self.unit_s or took / job.req.units
@@ -527,7 +571,7 @@
             lane.seen = self.seen = self.now
             flow = lane.flows[job.req.volume]
             lane.served += job.req.units * (not silent)
-            lane.credit += job.req.units * (not silent)     # what it served it can bear again
+            lane.credit += job.req.units * (not silent)  # what it served it can bear again
             flow.recent.append(took)
             flow.tag += self._step(flow, lane)
             wanted = self.least_aim * TARGET_SHARE / max(lane.response, 1e-3) * lane.bound + PULL
@@ -540,7 +584,7 @@
             f.tag += shift
 
     def _meter(self, job: _Job, event: Outcome) -> None:
-        volume = self._volume(job)      # its use through this head: the part of the reserve here follows
+        volume = self._volume(job)  # its use through this head: the part of the reserve here follows
         if event.result is Result.SERVED:
             span = max(self.s.meter, self.least_aim)
             keep = max(0.0, 1 - (self.now - volume.served) / span)
@@ -591,7 +635,7 @@
     def _alive(self, lane: _Lane) -> None:
         lane.heard = self.now
         if lane.failed >= SIGNS:
-            if lane.shut:       # it may have restarted while it was away, unseen by the list
+            if lane.shut:  # it may have restarted while it was away, unseen by the list
                 lane.born = self.now if lane.born is None else lane.born
             self.acts.append(Log(f"node {lane.node} answers again"))
         lane.failed, lane.shut = 0, False
@@ -613,8 +657,10 @@
         if job.cls.group is Group.ALL or {t.node for t in doubt} == {node}:
             return True
         there = [self.nodes.get(t.node) for t in doubt] + [self.nodes.get(node)]
-        return len({x and (x.zone if job.cls.group is Group.ZONE else x.cell) for x in there} - {None}) == 1 \
+        return (
+            len({x and (x.zone if job.cls.group is Group.ZONE else x.cell) for x in there} - {None}) == 1
             and None not in there
+        )
 
     def _in_budget(self) -> bool:
         for times in (self.taken, self.extras):
@@ -637,7 +683,7 @@
         if job.rank == 0 and not job.tries:
             self._volume(job).reserve += job.req.units
         if self._may(job, None):
-            lane = self.lanes.get(job.cell)     # come back once what is held there has left
+            lane = self.lanes.get(job.cell)  # come back once what is held there has left
             wait = min(self._wait(lane), self.s.max_retry_after) if lane else self.s.max_retry_after
             self.acts.append(Refuse(job.req.id, wait if self.s.retry_after else 0.0))
         else:
@@ -670,14 +716,14 @@
                 self.ask_at = math.inf
                 self.acts.append(Watch(True) if self.s.must_ask else FetchList())
             return
-        if event.token:                 # else: now and then, what only the passing of time changes
+        if event.token:  # else: now and then, what only the passing of time changes
             due = self.jobs.get(event.token - 1)
             return self._end(due) if due and due.held and due.ends <= self.now + 4 * self.s.tick else None
         self.ticking = False
         for lane in [self.busy[cell] for cell in sorted(self.busy)]:
-            patience = SILENT * max(self.least_aim / 2, lane.response)      # slow is not dead
+            patience = SILENT * max(self.least_aim / 2, lane.response)  # slow is not dead
             if lane.out and lane.sound() and self.now - lane.heard > patience:
-                self._suspect(lane, min(SIGNS, len(lane.out)))      # each unanswered attempt is one sign
+                self._suspect(lane, min(SIGNS, len(lane.out)))  # each unanswered attempt is one sign
             for job in [j for flow in lane.active.values() for j in flow.queue]:
                 if self.now + self.look > job.wanted and not lane.sound():
                     self._end(job)
@@ -694,7 +740,8 @@
 
     def _forget(self) -> None:
         """Idle volumes leave the tables; a limit's bucket starts empty again, which is never too much."""
-        while self.volumes and (len(self.volumes) > VOLUMES_MOST
-                                or next(iter(self.volumes.values())).filled < self.now - IDLE_S):
+        while self.volumes and (
+            len(self.volumes) > VOLUMES_MOST or next(iter(self.volumes.values())).filled < self.now - IDLE_S
+        ):
             self.since = max(self.since, self.volumes.popitem(last=False)[1].filled)
         self.settling = {key: until for key, until in self.settling.items() if until > self.now}
--- a/fawnspool/days/day.py
+++ b/fawnspool/days/day.py
@@ -1,4 +1,5 @@
 """The form of a day file (`days/*.hcl`)."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -18,15 +19,42 @@
 )
 from fawnspool.config.schema import Reader, block, spec
 
-NODE_FAULTS = ("slow", "neighbour", "pauses", "crash", "preempt", "ageing", "answers_lost", "resets", "refused",
-               "half_answers", "garbled", "wrong_lengths", "hang_ups", "node_errors", "wrong_bytes", "unlisted_restart")
+NODE_FAULTS = (
+    "slow",
+    "neighbour",
+    "pauses",
+    "crash",
+    "preempt",
+    "ageing",
+    "answers_lost",
+    "resets",
+    "refused",
+    "half_answers",
+    "garbled",
+    "wrong_lengths",
+    "hang_ups",
+    "node_errors",
+    "wrong_bytes",
+    "unlisted_restart",
+)
 LIST_FAULTS = ("list_gone", "list_late")
 TRAFFIC_FAULTS = ("burst", "plan_burst", "hot_volumes", "scan", "lead_moves", "impatient", "leavers")
 HEAD_FAULTS = ("head_roll", "head_stall", "head_kill")
 MAP_FAULTS = ("moves", "map_gone")
 LINK_FAULTS = ("heads_cut", "heads_deaf", "heads_mute", "bad_net", "head_lies")
-DUTY_FAULTS = ("drain", "duty_kill", "duty_stall", "duty_cut", "duty_one_way", "duty_nodes", "duty_voters", "duty_lost",
-               "duty_net", "duty_quiet", "duty_term")
+DUTY_FAULTS = (
+    "drain",
+    "duty_kill",
+    "duty_stall",
+    "duty_cut",
+    "duty_one_way",
+    "duty_nodes",
+    "duty_voters",
+    "duty_lost",
+    "duty_net",
+    "duty_quiet",
+    "duty_term",
+)
 KINDS = DUTY_FAULTS + LINK_FAULTS + NODE_FAULTS + LIST_FAULTS + TRAFFIC_FAULTS + HEAD_FAULTS + MAP_FAULTS
 
 
@@ -38,9 +66,9 @@
     nodes: int = spec(3, low=1, high=256)
     seed: int = spec(1)
     list_mode: str = spec("push", among=("push", "ask"))
-    map_watch: bool = spec(True)             # False: heads learn of a place by a miss only, for comparison
-    peers: bool = spec(False)                # heads may send each other datagrams
-    notice: float = spec(0.5, kind="time")   # how long the list takes to hear of a node's death
+    map_watch: bool = spec(True)  # False: heads learn of a place by a miss only, for comparison
+    peers: bool = spec(False)  # heads may send each other datagrams
+    notice: float = spec(0.5, kind="time")  # how long the list takes to hear of a node's death
 
 
 @dataclass(frozen=True)
@@ -49,7 +77,7 @@
 
     cores: int = spec(2, low=1)
     unit_time: float = spec(0.02, kind="time")
-    slow_share: float = spec(0.0, low=0, high=1)     # of nodes that are half as fast
+    slow_share: float = spec(0.0, low=0, high=1)  # of nodes that are half as fast
     room: int = spec(64, low=0)
     cold_from: float = spec(0.3, low=0.01, high=1)
     warm_after: float = spec(8.0, kind="time")
@@ -65,20 +93,20 @@
     name: str = spec(label=True)
     share: float = spec(low=0)
     writes: bool = spec(False)
-    size: int = spec(65536, kind="size")         # of an object, in the mean
-    run: int = spec(1, low=1)                    # requests of one extent in a row, at most
-    fresh: float = spec(0.0, low=0, high=1)      # of reads: objects written in the seconds before
-    ranged: float = spec(0.0, low=0, high=1)     # of reads: a part of the object only
+    size: int = spec(65536, kind="size")  # of an object, in the mean
+    run: int = spec(1, low=1)  # requests of one extent in a row, at most
+    fresh: float = spec(0.0, low=0, high=1)  # of reads: objects written in the seconds before
+    ranged: float = spec(0.0, low=0, high=1)  # of reads: a part of the object only
 
 
 @dataclass(frozen=True)
 class LoadBlock:
-    rate: float = spec(low=0.1)                  # first tries a second, through all heads
+    rate: float = spec(low=0.1)  # first tries a second, through all heads
     retries: int = spec(1, low=0, high=5)
     backoff: float = spec(0.1, kind="time")
-    skew: float = spec(1.0, low=0)               # how unevenly a volume uses its heads
-    lead_every: float = spec(8.0, kind="time")   # how often a volume's busiest head changes
-    objects: int = spec(12, low=1)               # objects a volume holds from the start
+    skew: float = spec(1.0, low=0)  # how unevenly a volume uses its heads
+    lead_every: float = spec(8.0, kind="time")  # how often a volume's busiest head changes
+    objects: int = spec(12, low=1)  # objects a volume holds from the start
 
 
 @dataclass(frozen=True)
@@ -146,15 +174,18 @@
     def overlaps(self) -> list[tuple[str, str]]:
         """Pairs of troubles of different kinds that are on at the same time."""
         spans = [(t.at, t.at + max(t.length, 0.0), t) for t in self.trouble]
-        return [(a[2].name, b[2].name) for k, a in enumerate(spans) for b in spans[k + 1:]
-                if a[2].kind != b[2].kind and a[0] < b[1] and b[0] < a[1]]
+        return [
+            (a[2].name, b[2].name)
+            for k, a in enumerate(spans)
+            for b in spans[k + 1 :]
+            if a[2].kind != b[2].kind and a[0] < b[1] and b[0] < a[1]
+        ]
 
 
 def check(day: Day, reader: Reader) -> None:
     """What only the document as a whole shows."""
     classes, plans = {c.name for c in day.class_}, {p.name: p for p in day.plan}
-    for name, rows in (("class", day.class_), ("plan", day.plan), ("volumes", day.volumes),
-                       ("traffic", day.traffic)):
+    for name, rows in (("class", day.class_), ("plan", day.plan), ("volumes", day.volumes), ("traffic", day.traffic)):
         if not rows:
             reader.wrong(0, name, f'at least one is needed: {name} "name" {{ ... }}')
     for t in day.traffic:
@@ -170,9 +201,12 @@
             reader.wrong(v, f"volumes.{v.name}.nodes", f"there are only {day.day.nodes} nodes (day.nodes)")
         p = plans[v.name]
         if p.limit and p.limit_depth < day.units.largest * v.heads:
-            reader.wrong(p, f"plan.{p.name}.limit_depth",
-                         f"through {v.heads} heads it is {day.units.largest * v.heads} at least, or the largest "
-                         "request never fits")
+            reader.wrong(
+                p,
+                f"plan.{p.name}.limit_depth",
+                f"through {v.heads} heads it is {day.units.largest * v.heads} at least, or the largest "
+                "request never fits",
+            )
     if day.duties is not None:
         check_duties(day.duties, day.day.heads, reader)
         if not day.day.peers:
@@ -196,5 +230,8 @@
         reader.wrong(day.fleet, "fleet.warm_after", "lies over nodes.cold_warm_after: heads are promised less")
     power = day.fleet.cores / day.fleet.unit_time * day.nodes.cold_capacity if day.fleet.unit_time else float("inf")
     if day.nodes.cold_units > day.nodes.cold_multiple * power * day.nodes.cold_fall:
-        reader.wrong(day.nodes, "nodes.cold_units", "more than a cold node surely bears: at most "
-                     f"{day.nodes.cold_multiple * power * day.nodes.cold_fall:g}")
+        reader.wrong(
+            day.nodes,
+            "nodes.cold_units",
+            f"more than a cold node surely bears: at most {day.nodes.cold_multiple * power * day.nodes.cold_fall:g}",
+        )
--- a/fawnspool/days/retry.py
+++ b/fawnspool/days/retry.py
@@ -1,4 +1,5 @@
 """Whether and when a scripted client tries again: one account for clients on sockets and in the model."""
+
 from __future__ import annotations
 
 from random import Random
@@ -6,11 +7,12 @@
 from fawnspool.config.head import ClassBlock
 from fawnspool.days.day import LoadBlock
 
-END_MARGIN = 0.05       # seconds before its deadline in which a client begins no further try
+END_MARGIN = 0.05  # seconds before its deadline in which a client begins no further try
 
 
-def pause_before_next(load: LoadBlock, cls: ClassBlock, how: str, tries: int, elapsed: float, advice: float,
-                      random: Random) -> float | None:
+def pause_before_next(
+    load: LoadBlock, cls: ClassBlock, how: str, tries: int, elapsed: float, advice: float, random: Random
+) -> float | None:
     """Seconds to wait before the next try; None: that was the last. how: the end of the last try; tries: so far;
     elapsed: seconds since the first; advice: the head's Retry-After in seconds, 0: none.
 
--- a/fawnspool/days/traffic.py
+++ b/fawnspool/days/traffic.py
@@ -3,6 +3,7 @@
 Each purpose draws from a generator of its own, so that a change of one leaves the others' draws alone. Times are
 seconds from the day's start.
 """
+
 from __future__ import annotations
 
 import math
@@ -22,14 +23,14 @@
     volume: str
     cls: int
     writes: bool
-    key: str                     # of a write, or of a read of an object held from the start; "": a fresh one
+    key: str  # of a write, or of a read of an object held from the start; "": a fresh one
     size: int
     pick: float
-    part: tuple[float, float] | None     # of the object: where a ranged read begins and how much it takes
-    run: str                     # requests of one run share it; "": none
-    patience: float              # of its first try, seconds
-    heads: tuple[int, ...]       # in the order in which it tries them
-    leaves: float                # seconds after which its client goes; inf: never
+    part: tuple[float, float] | None  # of the object: where a ranged read begins and how much it takes
+    run: str  # requests of one run share it; "": none
+    patience: float  # of its first try, seconds
+    heads: tuple[int, ...]  # in the order in which it tries them
+    leaves: float  # seconds after which its client goes; inf: never
 
 
 def held_objects(day: Day, seed: int) -> Iterator[tuple[str, str, int, int]]:
@@ -54,8 +55,11 @@
     plans = {p.name: p for p in day.plan}
     usual = {name: plans[block.name].rate * picks.uniform(0.6, 1.4) for name, block in volumes}
     heads = {name: tuple(leads.sample(range(day.day.heads), block.heads)) for name, block in volumes}
-    hot = {t.name: set(Random(f"{seed}-{t.name}").sample(
-        [n for n, _ in volumes], max(1, round(t.part * len(volumes))))) for t in day.trouble if t.kind == "hot_volumes"}
+    hot = {
+        t.name: set(Random(f"{seed}-{t.name}").sample([n for n, _ in volumes], max(1, round(t.part * len(volumes)))))
+        for t in day.trouble
+        if t.kind == "hot_volumes"
+    }
     out: list[Op] = []
     t, number = 0.0, 0
     top = _peak(day)
@@ -66,7 +70,7 @@
             return out
         weights = [usual[name] * _boost(day, name, block, t, hot) for name, block in volumes]
         if arrivals.random() * top > sum(weights) / sum(usual.values()) * _burst(day, t):
-            continue                # thinned: the rate of this moment
+            continue  # thinned: the rate of this moment
         volume = picks.choices(volumes, weights)[0][0]
         stream = picks.choices(day.traffic, [x.share for x in day.traffic])[0]
         cls = [c.name for c in day.class_].index(stream.name)
@@ -89,10 +93,32 @@
             name = f"s{seed}o{number}"
             size = max(64, min(int(stream.size * picks.uniform(0.3, 1.7)), day.units.bytes * day.units.largest))
             part = (picks.random() * 0.5, picks.uniform(0.1, 0.5)) if picks.random() < stream.ranged else None
-            key = f"new/{name}" if stream.writes else "" if fresh else held if not scan else \
-                f"held/{picks.randrange(day.load.objects)}"
-            out.append(Op(name, t + 0.004 * k, volume, cls, stream.writes, key, size, picks.random(),
-                          None if stream.writes else part, run_name, patience, order, leaves))
+            key = (
+                f"new/{name}"
+                if stream.writes
+                else ""
+                if fresh
+                else held
+                if not scan
+                else f"held/{picks.randrange(day.load.objects)}"
+            )
+            out.append(
+                Op(
+                    name,
+                    t + 0.004 * k,
+                    volume,
+                    cls,
+                    stream.writes,
+                    key,
+                    size,
+                    picks.random(),
+                    None if stream.writes else part,
+                    run_name,
+                    patience,
+                    order,
+                    leaves,
+                )
+            )
     return out
 
 
@@ -107,8 +133,9 @@
 def _boost(day: Day, name: str, block: VolumesBlock, t: float, hot: dict[str, set[str]]) -> float:
     factor = 1.0
     for x in day.trouble:
-        if on(x, t) and ((x.kind == "plan_burst" and x.plan == block.name)
-                         or (x.kind == "hot_volumes" and name in hot[x.name])):
+        if on(x, t) and (
+            (x.kind == "plan_burst" and x.plan == block.name) or (x.kind == "hot_volumes" and name in hot[x.name])
+        ):
             factor *= x.size
     return factor
 
--- a/fawnspool/days/troubles.py
+++ b/fawnspool/days/troubles.py
@@ -1,4 +1,5 @@
 """What a trouble does and to whom: one account for the drill on sockets and for the model in simulated time."""
+
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
@@ -22,9 +23,20 @@
     "node_errors": lambda x: {"error": x.size},
     "wrong_bytes": lambda x: {"wrong_byte": x.size},
 }
-CALM: dict[str, Any] = {"slow": 1.0, "taken": 0.0, "pause_ms": 0.0, "lose": 0.0, "reset": 0.0, "refuse": False,
-                        "cut": 0.0, "garble": 0.0, "wrong_length": 0.0, "hang_up": 0.0, "error": 0.0,
-                        "wrong_byte": 0.0}
+CALM: dict[str, Any] = {
+    "slow": 1.0,
+    "taken": 0.0,
+    "pause_ms": 0.0,
+    "lose": 0.0,
+    "reset": 0.0,
+    "refuse": False,
+    "cut": 0.0,
+    "garble": 0.0,
+    "wrong_length": 0.0,
+    "hang_up": 0.0,
+    "error": 0.0,
+    "wrong_byte": 0.0,
+}
 
 
 def targets(day: Day, seed: int, x: TroubleBlock) -> tuple[list[int], list[int]]:
@@ -53,4 +65,4 @@
     """The heads of a `head_roll`, batch by batch: every head once."""
     every = list(range(day.day.heads))
     size = max(1, round(x.part * len(every)))
-    return [every[k:k + size] for k in range(0, len(every), size)]
+    return [every[k : k + size] for k in range(0, len(every), size)]
--- a/fawnspool/days/worth.py
+++ b/fawnspool/days/worth.py
@@ -6,6 +6,7 @@
 still due to its volume for that second, a late one the worst, at its class's late worth. Worth also goes with class
 worth, plan factor and units. (The users' bench deals the share out node by node; here the fleet is one.)
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -26,7 +27,7 @@
     units: float
     how: str
     took: float = 0.0
-    head: int = -1               # at which the last try was made
+    head: int = -1  # at which the last try was made
 
 
 @dataclass
@@ -61,22 +62,32 @@
     out = Service()
     plans = {p.name: p for p in day.plan}
     number = {v.name: v.count for v in day.volumes}
-    power = 0.9 * day.day.nodes * day.fleet.cores / day.fleet.unit_time * (1 - day.fleet.slow_share / 2) \
-        if day.fleet.unit_time else float("inf")
+    power = (
+        0.9 * day.day.nodes * day.fleet.cores / day.fleet.unit_time * (1 - day.fleet.slow_share / 2)
+        if day.fleet.unit_time
+        else float("inf")
+    )
     spare = max(0.0, power - sum(plans[n].reserve * c for n, c in number.items()))
     by_second: dict[int, dict[str, list[Served]]] = defaultdict(lambda: defaultdict(list))
     for op in ops:
         by_second[int(op.at)][op.volume].append(op)
     for second in sorted(by_second):
         asking = by_second[second]
-        shares = _deal(spare, {v: (plans[rows[0].plan].weight,
-                                   _beyond(sum(r.units for r in rows), plans[rows[0].plan]))
-                               for v, rows in asking.items()})
+        shares = _deal(
+            spare,
+            {
+                v: (plans[rows[0].plan].weight, _beyond(sum(r.units for r in rows), plans[rows[0].plan]))
+                for v, rows in asking.items()
+            },
+        )
         for volume, rows in asking.items():
             plan = plans[rows[0].plan]
             room = plan.limit if plan.limit else float("inf")
-            levels = [[plan.reserve, 1.0], [shares[volume], day.service.share_worth],
-                      [max(0.0, room - plan.reserve - shares[volume]), day.service.spare_worth]]
+            levels = [
+                [plan.reserve, 1.0],
+                [shares[volume], day.service.share_worth],
+                [max(0.0, room - plan.reserve - shares[volume]), day.service.spare_worth],
+            ]
             _dole(day, rows, levels, plan.worth_factor, out, window)
     return out
 
@@ -116,8 +127,7 @@
     return worth
 
 
-def _dole(day: Day, rows: list[Served], levels: list[list[float]], factor: float, out: Service,
-          window: float) -> None:
+def _dole(day: Day, rows: list[Served], levels: list[list[float]], factor: float, out: Service, window: float) -> None:
     due = [list(x) for x in levels]
     ranked = sorted(rows, key=lambda r: -day.class_[r.cls].worth)
     dues = {id(r): _take(due, r.units, True) for r in ranked}
@@ -129,8 +139,13 @@
         elif r.how == "late":
             earned = _take(levels, r.units, False) * cls.late_worth
         scale = cls.worth * factor / day.units.mean
-        for row in (out.rows[cls.name, r.plan], out.plans[r.plan], out.windows[int(r.at // window)],
-                    out.heads[r.head], out.whole):
+        for row in (
+            out.rows[cls.name, r.plan],
+            out.plans[r.plan],
+            out.windows[int(r.at // window)],
+            out.heads[r.head],
+            out.whole,
+        ):
             row.asked += 1
             row.in_time += r.how == "in time"
             row.late += r.how == "late"
--- a/fawnspool/drill/clients.py
+++ b/fawnspool/drill/clients.py
@@ -1,4 +1,5 @@
 """The clients' process of a drill: reads its orders, plays the script, leaves what came of it."""
+
 from __future__ import annotations
 
 import gc
@@ -28,10 +29,19 @@
     heads = {int(k): ("127.0.0.1", int(port)) for k, port in spec["heads"].items()}
     clients = Clients(day, make(day, seed), heads, note, seed, held)
     gc.collect()
-    gc.freeze()                 # a full collection over the script would look like a late answer
+    gc.freeze()  # a full collection over the script would look like a late answer
     lag_meter(note, "clients")
     ended = clients.run(float(spec["start"]))
-    rows = [[e.op.at, e.op.volume, e.op.cls, float(max(1, min(day.units.largest, -(-e.op.size // day.units.bytes)))),
-             e.how, e.took] for e in ended]
+    rows = [
+        [
+            e.op.at,
+            e.op.volume,
+            e.op.cls,
+            float(max(1, min(day.units.largest, -(-e.op.size // day.units.bytes)))),
+            e.how,
+            e.took,
+        ]
+        for e in ended
+    ]
     Path(spec["result"]).write_bytes(msgspec.json.encode(rows))
     record.close()
