--- a/fawnspool/drill/fleet.py
+++ b/fawnspool/drill/fleet.py
@@ -1,4 +1,5 @@
 """The processes of a drill: started, killed, stopped and waited for, only those that it started itself."""
+
 from __future__ import annotations
 
 import json
@@ -23,7 +24,7 @@
     """The drill itself could not be played (not: a rule broke)."""
 
 
-PORTS = (10_000, 32_000)    # below those that the kernel gives to connections and to `bind` of port 0
+PORTS = (10_000, 32_000)  # below those that the kernel gives to connections and to `bind` of port 0
 
 
 def free_ports(count: int) -> list[int]:
@@ -36,7 +37,7 @@
         socks += [stream, packets]
         try:
             stream.bind(("127.0.0.1", port))
-            packets.bind(("127.0.0.1", port))       # free for datagrams too: heads' peers use them
+            packets.bind(("127.0.0.1", port))  # free for datagrams too: heads' peers use them
         except OSError:
             continue
         ports.append(port)
@@ -58,8 +59,12 @@
 
     def start(self) -> None:
         with self.log.open("ab") as log:
-            self.child = Popen([sys.executable, "-m", self.module, *self.arguments], stdout=log, stderr=log,
-                               env=os.environ | {"PYTHONUNBUFFERED": "1"})
+            self.child = Popen(
+                [sys.executable, "-m", self.module, *self.arguments],
+                stdout=log,
+                stderr=log,
+                env=os.environ | {"PYTHONUNBUFFERED": "1"},
+            )
 
     def wait_up(self, seconds: float = 30.0) -> None:
         """Until it takes connections. Raises DrillError with the tail of its log."""
--- a/fawnspool/drill/links.py
+++ b/fawnspool/drill/links.py
@@ -4,6 +4,7 @@
 Datagrams go through one socket a pair of heads, calls through one listener a pair of head and server. Each datagram
 is noted with what became of it, so that a fault that was never caused can be seen.
 """
+
 from __future__ import annotations
 
 import socket as std
@@ -18,10 +19,10 @@
 from gevent.event import Event
 
 Note = Callable[..., None]
-_ESTABLISHED = 1        # of a connection's states (Linux: tcp_states.h)
-STEPS = (b"POST /-/", b"PUT /-/")       # how a mover's step to a node begins
-_LEADING = 23           # bytes before a datagram's body (head/peers.py)
-SHARED = 0xB5           # leading byte of what heads share (shared/messages.py)
+_ESTABLISHED = 1  # of a connection's states (Linux: tcp_states.h)
+STEPS = (b"POST /-/", b"PUT /-/")  # how a mover's step to a node begins
+_LEADING = 23  # bytes before a datagram's body (head/peers.py)
+SHARED = 0xB5  # leading byte of what heads share (shared/messages.py)
 
 
 @dataclass
@@ -42,7 +43,7 @@
     def __init__(self, a: int, b: int, to: tuple[str, int], note: Note, random: Random) -> None:
         self.a, self.b, self.to, self.note, self.random = a, b, to, note, random
         self.weather = Weather()
-        self.lie: Callable[[bytes], bytes] | None = None        # what is passed on in place of a datagram
+        self.lie: Callable[[bytes], bytes] | None = None  # what is passed on in place of a datagram
         self.sock = socket.socket(std.AF_INET, std.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.port: int = self.sock.getsockname()[1]
@@ -53,7 +54,7 @@
             try:
                 data, _ = self.sock.recvfrom(2048)
             except OSError:
-                continue            # an earlier one found nobody listening
+                continue  # an earlier one found nobody listening
             w, r = self.weather, self.random
             what = "cut" if w.cut else "lost" if r.random() < w.loss else "passed"
             kind = data[_LEADING + 1] if len(data) > _LEADING + 1 else -1
@@ -86,7 +87,7 @@
 
     def __init__(self, head: int, to: tuple[str, int], note: Note) -> None:
         self.head, self.to, self.note = head, to, note
-        self.only: tuple[bytes, ...] = ()       # where set, a cut holds back what begins so and passes the rest
+        self.only: tuple[bytes, ...] = ()  # where set, a cut holds back what begins so and passes the rest
         self.open = {"out": Event(), "back": Event()}
         for way in self.open.values():
             way.set()
@@ -120,7 +121,7 @@
         if not self.open["out"].is_set() and not self.only:
             self.open["out"].wait()
             if _ended(mine) and not mine.recv(16, std.MSG_PEEK).startswith(STEPS):
-                return mine.close()     # type: ignore[no-any-return]
+                return mine.close()  # type: ignore[no-any-return]
         try:
             other = socket.create_connection(self.to, timeout=2.0)
             other.settimeout(None)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -1,4 +1,5 @@
 """One day played: processes up, troubles on time, clients through, records gathered."""
+
 from __future__ import annotations
 
 import shutil
@@ -43,7 +44,7 @@
 from fawnspool.standins.store import Store
 
 HEADS_MOST, NODES_MOST = 16, 32
-BEHIND_LINKS = ("duty_nodes",)      # troubles that cut heads off from nodes and services
+BEHIND_LINKS = ("duty_nodes",)  # troubles that cut heads off from nodes and services
 
 
 @dataclass
@@ -54,10 +55,10 @@
     service: Service
     ops: list[Served]
     events: list[tuple[float, str]] = field(default_factory=list)
-    wrong: WrongSends | None = None         # where extents moved
-    duties: DutyFinding | None = None       # where heads held some
+    wrong: WrongSends | None = None  # where extents moved
+    duties: DutyFinding | None = None  # where heads held some
     shared: SharedFinding | None = None
-    head_cpu: float = 0.0                   # seconds of processor time of all heads, from when all are up (no restarts)
+    head_cpu: float = 0.0  # seconds of processor time of all heads, from when all are up (no restarts)
 
 
 @dataclass
@@ -75,10 +76,19 @@
 class Play:
     """Plays `day` once. `folder` gets configurations, logs, data and records."""
 
-    def __init__(self, day: Day, day_file: Path, folder: Path, seed: int, policy: str = "module",
-                 say: Callable[[str], None] = lambda text: None, head_command: tuple[str, ...] = ("serve",),
-                 head_module: str = "fawnspool.cli", node_command: tuple[str, ...] = (),
-                 node_module: str = "fawnspool.cli") -> None:
+    def __init__(
+        self,
+        day: Day,
+        day_file: Path,
+        folder: Path,
+        seed: int,
+        policy: str = "module",
+        say: Callable[[str], None] = lambda text: None,
+        head_command: tuple[str, ...] = ("serve",),
+        head_module: str = "fawnspool.cli",
+        node_command: tuple[str, ...] = (),
+        node_module: str = "fawnspool.cli",
+    ) -> None:
         """head_module, node_module: what processes run; other than the program itself in tests with doctored ones."""
         self.day, self.day_file, self.folder, self.seed, self.policy = day, day_file, folder, seed, policy
         self.say, self.head_command, self.head_module = say, head_command, head_module
@@ -103,7 +113,7 @@
         self.generations: dict[tuple[str, str], int] = {}
         self.links = Links(self.note, seed)
         self.drained: set[int] = set()
-        self.to_leave: set[tuple[str, str]] = set()     # what lay in drained cells when that was asked for
+        self.to_leave: set[tuple[str, str]] = set()  # what lay in drained cells when that was asked for
         self.told_to_end: set[int] = set()
         self.head_cpu = 0.0
 
@@ -123,7 +133,7 @@
         try:
             self._set_up()
             self.start = time.monotonic() + 1.5
-            self.head_cpu = -sum(head.cpu() for head in self.heads)     # their starts are not counted
+            self.head_cpu = -sum(head.cpu() for head in self.heads)  # their starts are not counted
             self._start_clients()
             for trouble in self.day.trouble:
                 wait = self.start + trouble.at - time.monotonic()
@@ -138,11 +148,13 @@
     def _set_up(self) -> None:
         d = self.day
         if d.day.heads > HEADS_MOST or d.day.nodes > NODES_MOST:
-            raise DrillError(f"{d.day.heads} heads and {d.day.nodes} nodes are too many for real processes here (at "
-                             f"most {HEADS_MOST} and {NODES_MOST}); fawnspool model run plays any number")
+            raise DrillError(
+                f"{d.day.heads} heads and {d.day.nodes} nodes are too many for real processes here (at "
+                f"most {HEADS_MOST} and {NODES_MOST}); fawnspool model run plays any number"
+            )
         ports = free_ports(d.day.nodes + 2 * d.day.heads + 1)
-        node_ports, head_ports = ports[:d.day.nodes], ports[d.day.nodes:d.day.nodes + d.day.heads]
-        peer_ports = ports[d.day.nodes + d.day.heads:-1]
+        node_ports, head_ports = ports[: d.day.nodes], ports[d.day.nodes : d.day.nodes + d.day.heads]
+        peer_ports = ports[d.day.nodes + d.day.heads : -1]
         self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue(), self.note)
         self.meter = MeterServer(("127.0.0.1", 0), d.service.meter) if d.service.meter else None
         self._hold_objects()
@@ -157,14 +169,22 @@
             cell.process.start()
         for cell in self.cells:
             cell.process.wait_up()
-        self.list = NodeListServer(("127.0.0.1", 0), [self._entry(c, "ready", -1.0) for c in self.cells], self._told,
-                                   self._seen_by)
+        self.list = NodeListServer(
+            ("127.0.0.1", 0), [self._entry(c, "ready", -1.0) for c in self.cells], self._told, self._seen_by
+        )
         for k in range(d.day.heads):
             config = self._head_config(k, head_ports, peer_ports, zones)
             path = self.folder / f"head-{k}.hcl"
             path.write_text(render(config))
-            self.heads.append(Process(f"head-{k}", [*self.head_command, str(path)], head_ports[k],
-                                      self.folder / f"head-{k}.log", self.head_module))
+            self.heads.append(
+                Process(
+                    f"head-{k}",
+                    [*self.head_command, str(path)],
+                    head_ports[k],
+                    self.folder / f"head-{k}.log",
+                    self.head_module,
+                )
+            )
         for head in self.heads:
             head.start()
         for k, head in enumerate(self.heads):
@@ -182,21 +202,41 @@
 
     def _head_config(self, k: int, ports: list[int], peer_ports: list[int], zones: list[str]) -> HeadConfig:
         d = self.day
-        peers = tuple(PeerBlock(str(n), f"127.0.0.1:{self._peer_port(k, n, p)}")
-                      for n, p in enumerate(peer_ports)) if d.day.peers else ()
+        peers = (
+            tuple(PeerBlock(str(n), f"127.0.0.1:{self._peer_port(k, n, p)}") for n, p in enumerate(peer_ports))
+            if d.day.peers
+            else ()
+        )
         service = self._seen_by(k, f"127.0.0.1:{self.catalogue.address[1]}")
         duties = d.duties and replace(d.duties, record=str(self.folder / f"duties-{k}.rec"))
         return HeadConfig(
-            head=HeadBlock(listen=f"127.0.0.1:{ports[k]}", data=str(self.folder / f"head-{k}"), number=k,
-                           heads=d.day.heads, zone=zones[k % len(zones)], seed=self.seed * 100 + k, tick=0.002,
-                           policy=self.policy, log="json", record=str(self.folder / f"module-{k}.mrec"),
-                           peer_listen=f"127.0.0.1:{peer_ports[k]}" if d.day.peers else ""),
-            class_=d.class_, plan=d.plan,
-            volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()), peer=peers,
+            head=HeadBlock(
+                listen=f"127.0.0.1:{ports[k]}",
+                data=str(self.folder / f"head-{k}"),
+                number=k,
+                heads=d.day.heads,
+                zone=zones[k % len(zones)],
+                seed=self.seed * 100 + k,
+                tick=0.002,
+                policy=self.policy,
+                log="json",
+                record=str(self.folder / f"module-{k}.mrec"),
+                peer_listen=f"127.0.0.1:{peer_ports[k]}" if d.day.peers else "",
+            ),
+            class_=d.class_,
+            plan=d.plan,
+            volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()),
+            peer=peers,
             list=ListBlock(address=f"127.0.0.1:{self.list.where[1]}", mode=d.day.list_mode, call_timeout=1.0),
-            catalogue=CatalogueBlock(address=service, watch=d.day.map_watch), duties=duties,
-            shared=d.shared, nodes=replace(d.nodes, cells=d.day.nodes, zones=tuple(zones)), units=d.units,
-            attempts=d.attempts, clients=d.clients, service=d.service)
+            catalogue=CatalogueBlock(address=service, watch=d.day.map_watch),
+            duties=duties,
+            shared=d.shared,
+            nodes=replace(d.nodes, cells=d.day.nodes, zones=tuple(zones)),
+            units=d.units,
+            attempts=d.attempts,
+            clients=d.clients,
+            service=d.service,
+        )
 
     def _peer_port(self, a: int, b: int, port: int) -> int:
         """Where head `a` sends what is for head `b`: through a link of their own where the day's heads share work."""
@@ -212,21 +252,64 @@
     def _node(self, cell: int, number: int, port: int, zone: str, cold: bool) -> Process:
         f, n = self.day.fleet, self.day.nodes
         arguments = [
-            *self.node_command, "standin", "node", "--ident", str(number), "--listen", f"127.0.0.1:{port}", "--data",
-            str(self.folder / f"cell-{cell}"), "--cores", str(f.cores), "--unit-time",
-            str(f.unit_time * (2 if cell in self.slow else 1)), "--room", str(f.room), "--cold" if cold else "--warm",
-            "--cold-from", str(f.cold_from), "--warm-after", str(f.warm_after), "--fall", str(n.cold_fall),
-            "--fall-multiple", str(n.cold_multiple), "--seek-saved", str(f.seek_saved), "--deferred", str(f.deferred),
-            "--zone", zone, "--load", ",".join(n.load_fields), "--record", str(self.folder / f"node-{number}.rec"),
-            "--groups", str(self.folder / "repeats"), "--seed", str(self.seed)]
+            *self.node_command,
+            "standin",
+            "node",
+            "--ident",
+            str(number),
+            "--listen",
+            f"127.0.0.1:{port}",
+            "--data",
+            str(self.folder / f"cell-{cell}"),
+            "--cores",
+            str(f.cores),
+            "--unit-time",
+            str(f.unit_time * (2 if cell in self.slow else 1)),
+            "--room",
+            str(f.room),
+            "--cold" if cold else "--warm",
+            "--cold-from",
+            str(f.cold_from),
+            "--warm-after",
+            str(f.warm_after),
+            "--fall",
+            str(n.cold_fall),
+            "--fall-multiple",
+            str(n.cold_multiple),
+            "--seek-saved",
+            str(f.seek_saved),
+            "--deferred",
+            str(f.deferred),
+            "--zone",
+            zone,
+            "--load",
+            ",".join(n.load_fields),
+            "--record",
+            str(self.folder / f"node-{number}.rec"),
+            "--groups",
+            str(self.folder / "repeats"),
+            "--seed",
+            str(self.seed),
+        ]
         if self.meter is not None:
-            arguments += ["--meter", f"127.0.0.1:{self.meter.address[1]}", "--meter-every",
-                          str(self.day.service.meter / 4)]
+            arguments += [
+                "--meter",
+                f"127.0.0.1:{self.meter.address[1]}",
+                "--meter-every",
+                str(self.day.service.meter / 4),
+            ]
         return Process(f"node-{number}", arguments, port, self.folder / f"node-{number}.log", self.node_module)
 
     def _entry(self, cell: _Cell, phase: str, started: float) -> Entry:
-        return Entry(cell.node, f"127.0.0.1:{cell.process.port}", cell.zone, cell.cell, phase,
-                     size=float(self.day.fleet.cores), started=started)
+        return Entry(
+            cell.node,
+            f"127.0.0.1:{cell.process.port}",
+            cell.zone,
+            cell.cell,
+            phase,
+            size=float(self.day.fleet.cores),
+            started=started,
+        )
 
     def _told(self, head: int, phase: str, node: int, began: float) -> None:
         entry = self.list.entries.get(node)
@@ -235,10 +318,18 @@
 
     def _start_clients(self) -> None:
         spec = self.folder / "clients.json"
-        spec.write_bytes(msgspec.json.encode({
-            "day": str(self.day_file), "seed": self.seed, "start": self.start,
-            "heads": {str(k): h.port for k, h in enumerate(self.heads)}, "record": str(self.folder / "clients.rec"),
-            "result": str(self.folder / "ended.json")}))
+        spec.write_bytes(
+            msgspec.json.encode(
+                {
+                    "day": str(self.day_file),
+                    "seed": self.seed,
+                    "start": self.start,
+                    "heads": {str(k): h.port for k, h in enumerate(self.heads)},
+                    "record": str(self.folder / "clients.rec"),
+                    "result": str(self.folder / "ended.json"),
+                }
+            )
+        )
         self.clients = Process("clients", ["drill", "clients", str(spec)], 0, self.folder / "clients.log")
         self.clients.start()
 
@@ -291,7 +382,7 @@
                 if special is not None:
                     special(x, cells, heads)
                 else:
-                    gevent.sleep(x.length)      # of the traffic: the clients' script has it
+                    gevent.sleep(x.length)  # of the traffic: the clients' script has it
         except DrillError as bad:
             self.event(f"{x.name}: {bad}")
         self.event(f"{x.name} is over")
@@ -309,7 +400,7 @@
         given = NODE_SETTINGS[x.kind](x)
         for cell in cells:
             self._fault(cell, given)
-        if x.kind == "refused":         # its control is refused too: a new listener comes by a signal
+        if x.kind == "refused":  # its control is refused too: a new listener comes by a signal
             gevent.sleep(length)
             for cell in cells:
                 cell.process.signal(signal.SIGUSR1)
@@ -419,6 +510,7 @@
                 if f.stamp.generation > self.generations.get((f.volume, f.extent), 0):
                     self.generations[f.volume, f.extent] = f.stamp.generation
                     self.note("flip", vol=f.volume, key=f.extent, gen=f.stamp.generation)
+
         self.catalogue.catalogue.watchers[self] = heard
 
     def _do_moves(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
@@ -427,8 +519,11 @@
         self._hear_flips()
         random, end = Random(f"{self.seed}-{x.name}"), time.monotonic() + x.length
         where = {c.cell: c for c in self.cells}
-        mover = Mover(lambda k: ("127.0.0.1", where[k].process.port) if where[k].up else None,
-                      MapClient(self.catalogue.address, 0.5), 0.5)
+        mover = Mover(
+            lambda k: ("127.0.0.1", where[k].process.port) if where[k].up else None,
+            MapClient(self.catalogue.address, 0.5),
+            0.5,
+        )
         names = [name for name, _ in self.day.volume_names()]
         done: list[Any] = []
         moved = Counter[str]()
@@ -521,6 +616,7 @@
         def hit(k: int) -> None:
             self._hit(k, "killed", time.monotonic() + x.down)
             self._kill_head(k, x.down)
+
         self._each(x, hit)
 
     def _do_duty_term(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
@@ -535,6 +631,7 @@
             self.told_to_end.discard(k)
             self.heads[k].wait_up()
             self.note("head", head=k, what="up")
+
         self._each(x, hit)
 
     def _do_duty_stall(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
@@ -545,16 +642,19 @@
             gevent.sleep(x.size)
             self.heads[k].signal(signal.SIGCONT)
             self.note("stall", t=began, head=k, until=time.monotonic())
+
         self._each(x, hit)
 
     def _do_duty_cut(self, x: TroubleBlock, cells: list[_Cell], heads: list[int], out: bool = True) -> None:
         """The holder is cut off from the other heads for `size` seconds; it reaches nodes and services as before.
         out: what it says is lost, too."""
+
         def hit(k: int) -> None:
             self._hit(k, "cut off" if out else "hears nothing", time.monotonic() + x.size)
             self.links.cut_heads({k}, out=out, back=True)
             gevent.sleep(x.size)
             self.links.cut_heads({k}, out=False, back=False)
+
         self._each(x, hit)
 
     def _do_duty_one_way(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
@@ -563,11 +663,13 @@
     def _do_duty_nodes(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """The holder is cut off from nodes and services for `size` seconds, not from the other heads: what it sends
         is held back and comes after that."""
+
         def hit(k: int) -> None:
             self._hit(k, "held back", time.monotonic() + x.size + 1.0)
             self.links.cut_servers({k}, out=True, back=True)
             gevent.sleep(x.size)
             self.links.cut_servers({k}, out=False, back=False)
+
         self._each(x, hit)
 
     def _do_duty_voters(self, x: TroubleBlock, cells: list[_Cell], heads: list[int], lost: bool = False) -> None:
@@ -603,6 +705,7 @@
 
     def _do_head_lies(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """In place of what these heads say of what they share the others hear that every node is dead; size 1: well."""
+
         def lie(k: int, body: bytes) -> bytes:
             mark = messages.unpack(body).mark
             verdict = messages.Verdict.WELL if x.size == 1 else messages.Verdict.SHUT
@@ -617,8 +720,9 @@
         for link in liars:
             link.lie = None
 
-    def _do_heads_cut(self, x: TroubleBlock, cells: list[_Cell], heads: list[int], out: bool = True, back: bool = True
-                      ) -> None:
+    def _do_heads_cut(
+        self, x: TroubleBlock, cells: list[_Cell], heads: list[int], out: bool = True, back: bool = True
+    ) -> None:
         """A part of the heads is cut off from the others, and reaches nodes and services as before; `every` under
         `length`: it heals and is cut again, for half of the time each. out: what they say is lost; back: what is said
         to them."""
@@ -657,14 +761,16 @@
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
         moments is not counted as left."""
-        sides = {c.cell: Sides(self.folder / f"cell-{c.cell}", Store(self.folder / f"cell-{c.cell}" / "objects"))
-                 for c in self.cells}
+        sides = {
+            c.cell: Sides(self.folder / f"cell-{c.cell}", Store(self.folder / f"cell-{c.cell}" / "objects"))
+            for c in self.cells
+        }
         left = missing = twice = 0
         named = ""
         for f in self._facts():
             left += f.cell in self.drained and (f.volume, f.extent) in self.to_leave
             serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is Role.OWNER]
-            under_way = sides[f.cell].side(f.volume, f.extent)      # the day's end came in the middle of its move
+            under_way = sides[f.cell].side(f.volume, f.extent)  # the day's end came in the middle of its move
             missing += not serve and not (under_way.role is Role.FENCED and under_way.kept and f.cell in self.drained)
             twice += len(serve) > 1
             if len(serve) != 1 and not named:
@@ -679,8 +785,10 @@
         story = read(rows_of(self.folder))
         verdict = judge(story, terms_of(self.day))
         plan_of = {name: b.name for name, b in self.day.volume_names()}
-        ops = [Served(r[0], r[1], plan_of[r[1]], r[2], r[3], r[4], r[5])
-               for r in msgspec.json.decode((self.folder / "ended.json").read_bytes())]
+        ops = [
+            Served(r[0], r[1], plan_of[r[1]], r[2], r[3], r[4], r[5])
+            for r in msgspec.json.decode((self.folder / "ended.json").read_bytes())
+        ]
         duties = None
         if self.day.duties is not None:
             duties = judge_duties(story, self.day.duties.lease, bool(self.drained))
@@ -689,5 +797,4 @@
         shared = judge_shared(story, terms_of(self.day), self.day.day.heads)
         if self.day.shared is not None:
             verdict.findings.append(shared.used)
-        return Result(verdict, count(self.day, ops), ops, self.events, wrong, duties, shared,
-                      self.head_cpu)
+        return Result(verdict, count(self.day, ops), ops, self.events, wrong, duties, shared, self.head_cpu)
--- a/fawnspool/duties/claim.py
+++ b/fawnspool/duties/claim.py
@@ -4,6 +4,7 @@
 clocks may differ in rate by `drift`, so what a voter promises for `lease` of its seconds surely stands for `span` of
 the asker's. A claim holds while a majority of its votes stands; nothing else makes a holder.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
--- a/fawnspool/duties/compare.py
+++ b/fawnspool/duties/compare.py
@@ -1,4 +1,5 @@
 """What nodes hold against what the map says, for one shard. Reports, mends nothing. No I/O, no clock."""
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
@@ -6,7 +7,7 @@
 
 from fawnspool.duties.drain import shard_of
 
-NAMED_MOST = 5          # examples in a report
+NAMED_MOST = 5  # examples in a report
 
 
 @dataclass(frozen=True)
@@ -27,12 +28,16 @@
         return text + (f" ({', '.join(named)})" if named else "")
 
 
-def compare(mapped: Mapping[tuple[str, str], int], held: Mapping[int, Iterable[tuple[str, str]] | None], shard: int,
-            shards: int) -> Report:
+def compare(
+    mapped: Mapping[tuple[str, str], int], held: Mapping[int, Iterable[tuple[str, str]] | None], shard: int, shards: int
+) -> Report:
     """mapped: extent to cell; held: by cell what its node has, None where it did not answer."""
     mine = {name: cell for name, cell in mapped.items() if shard_of(*name, shards) == shard}
-    there = {cell: {name for name in names if shard_of(*name, shards) == shard}
-             for cell, names in held.items() if names is not None}
+    there = {
+        cell: {name for name in names if shard_of(*name, shards) == shard}
+        for cell, names in held.items()
+        if names is not None
+    }
     missing = sorted(name for name, cell in mine.items() if cell in there and name not in there[cell])
     stray = sorted({name for cell, names in there.items() for name in names if mine.get(name) != cell})
     return Report(len(mine), tuple(missing), tuple(stray), tuple(sorted(set(held) - set(there))))
--- a/fawnspool/duties/drain.py
+++ b/fawnspool/duties/drain.py
@@ -4,6 +4,7 @@
 successor goes on where its predecessor was without being told. How fast: an even part of the fleet's moves and bytes
 a second, and nothing while its head has its hands full.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -11,9 +12,9 @@
 
 import xxhash
 
-BACK_OFF_S = 0.2        # after the first failure of an extent, doubled with each
+BACK_OFF_S = 0.2  # after the first failure of an extent, doubled with each
 BACK_OFF_MOST_S = 10.0
-BURST_S = 1.0           # of the rates that may be used at once: an even flow, so that a start is no surge
+BURST_S = 1.0  # of the rates that may be used at once: an even flow, so that a start is no surge
 
 
 def shard_of(volume: str, extent: str, shards: int) -> int:
@@ -53,7 +54,7 @@
         wants = (1.0, min(float(size), depths[1]))
         short = max((w - v) / r for w, v, r in zip(wants, self.level, rates, strict=True))
         if short > 0:
-            return max(short, 0.001)        # rounding must not make it ask for ever
+            return max(short, 0.001)  # rounding must not make it ask for ever
         self.level = [self.level[0] - 1.0, self.level[1] - size]
         return 0.0
 
--- a/fawnspool/duties/fence.py
+++ b/fawnspool/duties/fence.py
@@ -6,11 +6,12 @@
 shows its token to every place that it will touch (`raise`), and touches none that has not taken it. Two lives with
 one token can only come of voters that forgot or differ; then the first life that a place saw has it there.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-DUTIES_MOST = 4096      # names one place remembers: it may not forget any, so it takes no more
+DUTIES_MOST = 4096  # names one place remembers: it may not forget any, so it takes no more
 
 
 class Fenced(Exception):
--- a/fawnspool/duties/holder.py
+++ b/fawnspool/duties/holder.py
@@ -4,6 +4,7 @@
 used by one claim of one life of a head and never again after it was given back, so a late word about it can't revive
 it.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, field
@@ -15,8 +16,8 @@
 from fawnspool.duties.vote import Verdict
 from fawnspool.duties.voter import Out, Say
 
-_SERIALS = 256          # askings remembered; older ones are longer ago than a lease
-_LAGS = 2               # late wakings within a lease after which a head is too slow to hold anything
+_SERIALS = 256  # askings remembered; older ones are longer ago than a lease
+_LAGS = 2  # late wakings within a lease after which a head is too slow to hold anything
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,13 +43,13 @@
 @dataclass(slots=True)
 class _Held:
     claim: Claim
-    began: float                    # when it came for it
+    began: float  # when it came for it
     holding: bool = False
-    retry: float = float("inf")     # of a candidate: when it asks again
-    no: set[int] = field(default_factory=set)       # of a candidate: voters that gave their vote to somebody for longer
-    next: Claim | None = None       # the same claim under a higher token, until a majority has given that
-    above: bool = False             # a voter whose vote is free has promised a higher token
-    heard: set[int] = field(default_factory=set)    # voters that answered at all
+    retry: float = float("inf")  # of a candidate: when it asks again
+    no: set[int] = field(default_factory=set)  # of a candidate: voters that gave their vote to somebody for longer
+    next: Claim | None = None  # the same claim under a higher token, until a majority has given that
+    above: bool = False  # a voter whose vote is free has promised a higher token
+    heard: set[int] = field(default_factory=set)  # voters that answered at all
 
 
 class Holder:
@@ -57,20 +58,20 @@
     def __init__(self, terms: Terms, me: int, who: int, seed: int, now: float) -> None:
         self.terms, self.me, self.who, self.random = terms, me, who, Random(f"{seed}-{who}-holder")
         self.held: dict[int, _Held] = {}
-        self.known: dict[int, int] = {}             # the highest token heard of, by duty
-        self.asked: dict[int, float] = {}           # serial to when it was sent
+        self.known: dict[int, int] = {}  # the highest token heard of, by duty
+        self.asked: dict[int, float] = {}  # serial to when it was sent
         self.serial = self.random.getrandbits(31)
         self.takes, self.ending = True, False
-        self.able_at = float("-inf")                # before, it takes nothing: it was of no use
+        self.able_at = float("-inf")  # before, it takes nothing: it was of no use
         self.useless = self.deaf = 0
         self.next_here = now + self.random.random() * terms.here / 4
         self.next_renew = now
-        self.alive: dict[int, tuple[float, int]] = {}       # voter: (when it said so, heads that take duties)
+        self.alive: dict[int, tuple[float, int]] = {}  # voter: (when it said so, heads that take duties)
         self.relieved = now
         self.lags: list[float] = []
-        self.freed: list[tuple[float, int, int]] = []       # (when to say again that it is given back, duty, token)
+        self.freed: list[tuple[float, int, int]] = []  # (when to say again that it is given back, duty, token)
         self.events: list[Event] = []
-        self.well: dict[tuple[int, str], float] = {}    # when what a held duty needs was last within reach
+        self.well: dict[tuple[int, str], float] = {}  # when what a held duty needs was last within reach
         self.strangers = 0
 
     # ------------------------------------------------------------ what it holds
@@ -131,8 +132,15 @@
         return out
 
     def _message(self, now: float, kind: Kind, rows: tuple[Row, ...] = (), serial: int = 0) -> Message:
-        return Message(kind, self.terms.mark, self.who, serial, len(self.held),
-                       ENDS if self.ending else TAKES if self._willing(now) else NOT_NOW, rows)
+        return Message(
+            kind,
+            self.terms.mark,
+            self.who,
+            serial,
+            len(self.held),
+            ENDS if self.ending else TAKES if self._willing(now) else NOT_NOW,
+            rows,
+        )
 
     def _told(self, now: float, voter: int, m: Message) -> list[Out]:
         asked = self.asked.get(m.serial)
@@ -147,7 +155,7 @@
             h = self.held.get(r.duty)
             if h is None or asked < h.began:
                 if r.verdict == Verdict.GRANTED and (h is None or r.token != h.claim.token):
-                    back.append(Row(r.duty, r.token))       # a vote for a claim that is over: nobody must wait for it
+                    back.append(Row(r.duty, r.token))  # a vote for a claim that is over: nobody must wait for it
                 continue
             h.heard.add(voter)
             if r.verdict == Verdict.GRANTED:
@@ -195,7 +203,7 @@
         if h.holding:
             self.events.append(Lost(duty, h.claim.token, why))
         tokens = [h.claim.token] + ([h.next.token] if h.next is not None else [])
-        self.freed += [(now + self.terms.lease / 20, duty, t) for t in tokens]      # said twice, as one may be lost
+        self.freed += [(now + self.terms.lease / 20, duty, t) for t in tokens]  # said twice, as one may be lost
         return [Row(duty, t, int(h.holding)) for t in tokens]
 
     def _free(self, now: float, rows: list[Row]) -> list[Out]:
@@ -214,7 +222,7 @@
         """What the duty needs is out of this head's reach, for longer than a lease. It takes nothing for a while,
         longer each time: guards duties against a head that holds and does nothing. Harm: where the service itself is
         away all heads rest, and the duty waits up to 8 leases after it is back."""
-        if now >= self.able_at:         # several duties that are given back at one stroke count once
+        if now >= self.able_at:  # several duties that are given back at one stroke count once
             self.useless = min(4, self.useless + 1)
             self.able_at = now + self.terms.lease * 2.0 ** (self.useless - 1)
         return self.release(now, duty, why)
@@ -257,14 +265,22 @@
     def due(self) -> float:
         times = [self.next_here, *(t for t, _, _ in self.freed)]
         if self.held:
-            times += [self.next_renew, *(min(self._end(h), h.retry) if h.holding else
-                                         min(h.retry, h.began + self.terms.renew) for h in self.held.values())]
+            times += [
+                self.next_renew,
+                *(
+                    min(self._end(h), h.retry) if h.holding else min(h.retry, h.began + self.terms.renew)
+                    for h in self.held.values()
+                ),
+            ]
         return min(times)
 
     def tick(self, now: float) -> list[Out]:
         out = list[Out]()
-        over = [d for d, h in self.held.items() if (h.holding and now >= self._end(h)) or
-                (not h.holding and now >= h.began + self.terms.renew)]
+        over = [
+            d
+            for d, h in self.held.items()
+            if (h.holding and now >= self._end(h)) or (not h.holding and now >= h.began + self.terms.renew)
+        ]
         if any(self.held[d].holding or len(self.held[d].heard) < self.terms.majority for d in over):
             self._deaf(now)
         back = [row for d in over for row in self._drop(now, d, "not renewed")]
--- a/fawnspool/duties/messages.py
+++ b/fawnspool/duties/messages.py
@@ -16,6 +16,7 @@
 TOLD and KNOWN bear the asker's `who`: no other life of it may take them for its own. The leading byte tells all of them
 from the module's own bodies (1, 2). What does not read is counted and harms nothing.
 """
+
 from __future__ import annotations
 
 import struct
@@ -23,11 +24,11 @@
 from enum import IntEnum
 
 LEADING = 0xD0
-ROWS = 17               # of one body
+ROWS = 17  # of one body
 _HEAD = struct.Struct(">BBIQIHH")
 _ROW = struct.Struct(">HQBH")
 WAIT_MOST = 65_535
-NOT_NOW, TAKES, ENDS = 0, 1, 2       # what a head says of itself
+NOT_NOW, TAKES, ENDS = 0, 1, 2  # what a head says of itself
 
 
 class Kind(IntEnum):
@@ -40,7 +41,7 @@
     KNOWN = 7
 
 
-FOR_HOLDER = (Kind.TOLD, Kind.CALL)     # the others are for voters
+FOR_HOLDER = (Kind.TOLD, Kind.CALL)  # the others are for voters
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +49,7 @@
     duty: int
     token: int
     verdict: int = 0
-    wait: float = 0.0       # seconds
+    wait: float = 0.0  # seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,10 +82,10 @@
     leading, kind, mark, who, serial, a, b = _HEAD.unpack_from(body)
     if leading != LEADING or kind not in Kind._value2member_map_:
         raise Unread(f"kind {kind} behind {leading:#x}")
-    rows = tuple(Row(d, t, v, w / 1000) for d, t, v, w in _ROW.iter_unpack(body[_HEAD.size:]))
+    rows = tuple(Row(d, t, v, w / 1000) for d, t, v, w in _ROW.iter_unpack(body[_HEAD.size :]))
     return Message(Kind(kind), mark, who, serial, a, b, rows)
 
 
 def batches(rows: list[Row]) -> list[tuple[Row, ...]]:
     """Rows by bodies."""
-    return [tuple(rows[k:k + ROWS]) for k in range(0, len(rows), ROWS)]
+    return [tuple(rows[k : k + ROWS]) for k in range(0, len(rows), ROWS)]
--- a/fawnspool/duties/terms.py
+++ b/fawnspool/duties/terms.py
@@ -3,6 +3,7 @@
 `mark` is a checksum of it that every message carries: a voter answers nobody whose settings differ, as majorities of
 two sets of voters need not meet.
 """
+
 from __future__ import annotations
 
 import zlib
--- a/fawnspool/duties/vote.py
+++ b/fawnspool/duties/vote.py
@@ -6,6 +6,7 @@
 no vote that it may have given can be in force, and then learns from the other voters how high tokens have come
 (`voter.py`).
 """
+
 from __future__ import annotations
 
 from collections.abc import Mapping
@@ -15,8 +16,8 @@
 
 class Verdict(IntEnum):
     GRANTED = 0
-    REFUSED = 1         # another holds it, or the token is not above what was promised
-    SILENT = 2          # this voter gives no votes yet
+    REFUSED = 1  # another holds it, or the token is not above what was promised
+    SILENT = 2  # this voter gives no votes yet
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnspool/duties/voter.py
+++ b/fawnspool/duties/voter.py
@@ -9,6 +9,7 @@
 until then each further yes to the same claim asks for it to be kept again, or it would be said of a vote that a restart
 forgets.
 """
+
 from __future__ import annotations
 
 from collections.abc import Mapping
@@ -21,8 +22,8 @@
 from fawnspool.duties.terms import Terms
 from fawnspool.duties.vote import Seat, Verdict
 
-SAMPLE = 8              # heads compared before one is called: work a call must not grow with the fleet
-MISSED_MOST = 4         # doublings of the time for which a head that did not come is not called again
+SAMPLE = 8  # heads compared before one is called: work a call must not grow with the fleet
+MISSED_MOST = 4  # doublings of the time for which a head that did not come is not called again
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,20 +93,20 @@
                 self.seats[duty] = vote.reborn(Seat(token, who_had), now, terms.lease)
         self.heads: dict[int, _Head] = {}
         self.order: list[int] = []
-        self.takers = 0                         # heads that are there and take duties, as of the last count
+        self.takers = 0  # heads that are there and take duties, as of the last count
         self.counted = float("-inf")
-        self.called: dict[int, int] = {}        # duty to the head that was called last
+        self.called: dict[int, int] = {}  # duty to the head that was called last
         # Held by other voters' votes, as the holder's life says: until when that is believed.
         self.elsewhere: dict[int, tuple[float, int]] = {}
-        self.holds: dict[int, int] = {}         # the life that said with its asking that it holds, by duty
+        self.holds: dict[int, int] = {}  # the life that said with its asking that it holds, by duty
         self.free_since: dict[int, float] = {}
         self.strangers = self.grants = self.refusals = 0
-        self.disk_failed = False                # set by who keeps: the last `Keep` could not be
+        self.disk_failed = False  # set by who keeps: the last `Keep` could not be
         # Votes that are not known to be on disk (duty, token and who), and is what it learned? Before that no vote may
         # be there, or the file would look whole.
         self.unkept: dict[int, tuple[int, int]] = {}
         self.floor_unkept = False
-        self.looks: list[tuple[float, int]] = []        # a heap; what is not the duty's `next_look` is passed over
+        self.looks: list[tuple[float, int]] = []  # a heap; what is not the duty's `next_look` is passed over
         self.next_look: dict[int, float] = {}
         for duty in range(len(terms.names)):
             self._look_at(duty, self._free_at(duty, now) + self._turn(duty, now))
@@ -126,7 +127,7 @@
         if m.kind is Kind.HERE:
             self._there(now, sender, m)
         elif m.kind is Kind.FREE:
-            self._there(now, sender, m)         # one that gives up its last for good says that it takes no more
+            self._there(now, sender, m)  # one that gives up its last for good says that it takes no more
             return self._freed(now, m)
         elif m.kind is Kind.FLOOR and sender in self.terms.voters:
             top = max([self.floor, *(s.token for s in self.seats.values())])
@@ -135,8 +136,9 @@
             return self._learned(sender, m)
         return []
 
-    def _say(self, to: int, kind: Kind, asked: Message | None = None, rows: tuple[Row, ...] = (), a: int = 0,
-             serial: int = 0) -> Say:
+    def _say(
+        self, to: int, kind: Kind, asked: Message | None = None, rows: tuple[Row, ...] = (), a: int = 0, serial: int = 0
+    ) -> Say:
         """An answer bears the asker's own numbers: no other life of that head may take it for its own."""
         if asked is not None:
             return Say(to, Message(kind, self.terms.mark, asked.who, asked.serial, a, 0, rows))
@@ -149,7 +151,7 @@
             self.order.append(sender)
         if m.who != head.who:
             head.who, head.ends = m.who, False
-        head.ends |= m.b == ENDS        # what it said before that may come after it
+        head.ends |= m.b == ENDS  # what it said before that may come after it
         head.heard, head.load, head.takes = now, m.a, m.b == TAKES and not head.ends
 
     def _asked(self, now: float, sender: int, m: Message) -> list[Out]:
@@ -177,15 +179,17 @@
                     keep.append((r.duty, seat.token, seat.who))
             else:
                 self.refusals += 1
-                if r.verdict and r.token < seat.token:      # it holds by others' votes: nobody is to be called
+                if r.verdict and r.token < seat.token:  # it holds by others' votes: nobody is to be called
                     self.elsewhere[r.duty] = (now + self.terms.lease, m.who)
-            rows.append(Row(r.duty, max(seat.token, self.floor), verdict, max(0.0, seat.until - now)
-                            if not seat.freed else 0.0))
+            rows.append(
+                Row(r.duty, max(seat.token, self.floor), verdict, max(0.0, seat.until - now) if not seat.freed else 0.0)
+            )
         if not rows:
             return []
         told = self._say(sender, Kind.TOLD, m, tuple(rows), self._takers(now))
-        return [Keep(tuple(keep), self.floor if self.floor_unkept else -1), told] if keep or self.floor_unkept \
-            else [told]
+        return (
+            [Keep(tuple(keep), self.floor if self.floor_unkept else -1), told] if keep or self.floor_unkept else [told]
+        )
 
     def kept(self, keep: Keep) -> None:
         """It is on disk."""
@@ -299,9 +303,14 @@
     def _least(self, now: float) -> int | None:
         """Of some heads that are there and take duties, the one with the fewest."""
         few = self.order if len(self.order) <= SAMPLE else self.random.sample(self.order, SAMPLE)
-        fit = [(self.heads[n].load, self.random.random(), n) for n in few if self.heads[n].takes and
-               self._fresh(self.heads[n], now) and now >= self.heads[n].rest and
-               self.heads[n].load < self.terms.most]
+        fit = [
+            (self.heads[n].load, self.random.random(), n)
+            for n in few
+            if self.heads[n].takes
+            and self._fresh(self.heads[n], now)
+            and now >= self.heads[n].rest
+            and self.heads[n].load < self.terms.most
+        ]
         return min(fit)[2] if fit else None
 
     # ------------------------------------------------------------ seeing into it
--- a/fawnspool/extents/copies.py
+++ b/fawnspool/extents/copies.py
@@ -13,29 +13,30 @@
 left behind, and none lands twice. A node that lost its memory of fences does not know whether it serves: it is unsure
 until the map service has told it the extent's generation.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 
-CLOSE = 8               # writes that may be missing when the source is fenced: what comes over while nobody is served
+CLOSE = 8  # writes that may be missing when the source is fenced: what comes over while nobody is served
 
 
 class Role(Enum):
     ABSENT = "absent"
     FILLING = "filling"
     OWNER = "owner"
-    FENCED = "fenced"           # answers `moved`
-    CANCELLED = "cancelled"     # will never open at its generation
-    UNSURE = "unsure"           # came back without its memory
+    FENCED = "fenced"  # answers `moved`
+    CANCELLED = "cancelled"  # will never open at its generation
+    UNSURE = "unsure"  # came back without its memory
 
 
 class Answer(Enum):
     DONE = "done"
-    MOVED = "moved"             # ask at `to`
-    NOT_YET = "not yet"         # it fills, or is unsure: try again soon
-    NO = "no"                   # a step of a move that may not be taken here now
+    MOVED = "moved"  # ask at `to`
+    NOT_YET = "not yet"  # it fills, or is unsure: try again soon
+    NO = "no"  # a step of a move that may not be taken here now
 
 
 @dataclass(slots=True)
@@ -78,8 +79,13 @@
         return Answer.DONE
 
     def _other(self) -> Answer:
-        return Answer.MOVED if self.role is Role.FENCED else Answer.NOT_YET if self.role in (
-            Role.FILLING, Role.UNSURE, Role.CANCELLED) else Answer.NO
+        return (
+            Answer.MOVED
+            if self.role is Role.FENCED
+            else Answer.NOT_YET
+            if self.role in (Role.FILLING, Role.UNSURE, Role.CANCELLED)
+            else Answer.NO
+        )
 
     # ------------------------------------------------------------ steps of a move
 
@@ -150,8 +156,12 @@
 
     def reopen(self, generation: int) -> Answer:
         """Undo a fence whose new node was cancelled at that generation: serve again, one above it."""
-        if self.role is not Role.FENCED or self.generation != generation or self.fence > self.position or \
-                not self.all_there():
+        if (
+            self.role is not Role.FENCED
+            or self.generation != generation
+            or self.fence > self.position
+            or not self.all_there()
+        ):
             return Answer.NO
         self.role, self.generation, self.to, self.fence = Role.OWNER, generation + 1, -1, -1
         return Answer.DONE
@@ -219,7 +229,7 @@
         if step == "own":
             if self.role is not Role.OWNER or self.generation >= 0:
                 return self.role is Role.OWNER and self.generation == generation
-            self.role = Role.ABSENT        # it holds it, and never took part in a move
+            self.role = Role.ABSENT  # it holds it, and never took part in a move
             done = self.own(generation)
         elif step == "fill":
             done = self.fill(generation)
--- a/fawnspool/extents/facts.py
+++ b/fawnspool/extents/facts.py
@@ -5,6 +5,7 @@
 of a shard, numbered by the map service: an epoch for each life of the service (one that comes back from an old backup
 has a new epoch and lower versions), a version for each change within it.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -14,10 +15,10 @@
 class State(IntEnum):
     """Of an extent's copy at its cell."""
 
-    HELD = 0        # reads and writes go there
-    COPYING = 1     # as HELD; another cell is being filled
-    FENCED = 2      # its old node answers `moved`; the new one takes over
-    GONE = 3        # deleted: a tombstone, kept until a snapshot without it
+    HELD = 0  # reads and writes go there
+    COPYING = 1  # as HELD; another cell is being filled
+    FENCED = 2  # its old node answers `moved`; the new one takes over
+    GONE = 3  # deleted: a tombstone, kept until a snapshot without it
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -79,9 +80,12 @@
 
 def check(delta: Delta, shards: int) -> None:
     """Raises DeltaError where numbers contradict each other: such a delta is not applied at all."""
+
     def wrong(text: str) -> DeltaError:
-        return DeltaError(f"delta of shard {delta.shard}, epoch {delta.epoch}, versions {delta.after} to {delta.upto}: "
-                          f"{text}")
+        return DeltaError(
+            f"delta of shard {delta.shard}, epoch {delta.epoch}, versions {delta.after} to {delta.upto}: {text}"
+        )
+
     if not 0 <= delta.shard < shards:
         raise wrong(f"there are {shards} shards")
     if delta.epoch < 1 or delta.after < 0 or delta.upto < delta.after:
--- a/fawnspool/extents/history.py
+++ b/fawnspool/extents/history.py
@@ -4,6 +4,7 @@
 and how far it knows each, and a log of changes behind a cut. A head says how far it was told; it gets the changes
 since, or all there is where the log does not reach or would be more.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
@@ -11,7 +12,7 @@
 
 from fawnspool.extents.map import EPOCHS
 
-LOG_LEAST = 1024        # changes that a shard's log may hold however small the shard is
+LOG_LEAST = 1024  # changes that a shard's log may hold however small the shard is
 
 
 class Way(Enum):
@@ -30,8 +31,8 @@
     lives: tuple[tuple[int, int], ...] = ()
     cut: tuple[int, int] = (0, 0)
     born: int = 0
-    logged: int = 0         # changes in the log
-    extents: int = 0        # that are there
+    logged: int = 0  # changes in the log
+    extents: int = 0  # that are there
 
     @property
     def epoch(self) -> int:
@@ -51,7 +52,7 @@
         number of a life that the backup never knew; where the clock stands back, one above the last that is known.
         Harm: a clock set back and a backup together could give one number twice."""
         last = self.lives[-1][0] if self.lives else 0
-        lives = tuple(row for row in self.lives if row[1])      # one without a change of this shard said nothing
+        lives = tuple(row for row in self.lives if row[1])  # one without a change of this shard said nothing
         return replace(self, lives=(*lives, (max(last + 1, clock_ms), 0))[-EPOCHS:])
 
     def change(self) -> Past:
@@ -71,4 +72,3 @@
     def too_long(self) -> bool:
         """Is the log longer than it may be? A head further behind than all there is takes a snapshot anyway."""
         return self.logged > max(LOG_LEAST, 2 * self.extents)
-
--- a/fawnspool/extents/keep.py
+++ b/fawnspool/extents/keep.py
@@ -3,13 +3,14 @@
 A row for each thing told, and the whole map now and then, so that a start reads little. Guards requests against a disk
 that is full or slow: after a failure it is let alone for a while. Harm: a kill meanwhile costs a longer catching up.
 """
+
 from __future__ import annotations
 
 from enum import Enum
 
-LOG_LEAST = 10_000      # facts in the log before a whole map is written, however small that is
-TIME_EVERY_S = 5.0      # between two notes that the map is whole
-RETRY_S = 10.0          # after the disk took nothing
+LOG_LEAST = 10_000  # facts in the log before a whole map is written, however small that is
+TIME_EVERY_S = 5.0  # between two notes that the map is whole
+RETRY_S = 10.0  # after the disk took nothing
 
 
 class Write(Enum):
@@ -21,7 +22,7 @@
 class Keep:
     def __init__(self) -> None:
         self.logged, self.rest, self.timed = 0, 0.0, 0.0
-        self.due = True                 # a whole map must be written before any more of the log
+        self.due = True  # a whole map must be written before any more of the log
 
     def failed(self, now: float) -> None:
         self.due, self.rest = True, now + RETRY_S
--- a/fawnspool/extents/map.py
+++ b/fawnspool/extents/map.py
@@ -4,6 +4,7 @@
 order of the same deltas, repeats among them, ends in the same map: facts are joined by `later`, and what a snapshot
 leaves out is remembered by its number (`floor`), so that a late delta can't bring it back.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
@@ -16,13 +17,13 @@
 from fawnspool.extents.facts import Delta, Fact, State, check, later
 
 Key = tuple[str, str]
-Floor = tuple[tuple[int, int], ...]         # (epoch, version), by epoch
+Floor = tuple[tuple[int, int], ...]  # (epoch, version), by epoch
 _GONE = State.GONE
-EPOCHS = 16             # lives of the service whose floors are remembered
-GAPS = 64               # ranges of versions told ahead of a gap, remembered for each shard
+EPOCHS = 16  # lives of the service whose floors are remembered
+GAPS = 64  # ranges of versions told ahead of a gap, remembered for each shard
 
 
-@lru_cache(maxsize=65536)       # volumes are few beside extents, and hashing one costs as much as a look-up
+@lru_cache(maxsize=65536)  # volumes are few beside extents, and hashing one costs as much as a look-up
 def shard_of(volume: str, shards: int) -> int:
     """A volume lies in one shard, so that its list is told by one log."""
     return xxhash.xxh3_64_intdigest(volume.encode()) % shards
@@ -73,7 +74,7 @@
         new = _snapshot(old, delta) if delta.whole else _change(old, delta)
         if new is old:
             return self
-        return ExtentMap((*self.shards[:delta.shard], new, *self.shards[delta.shard + 1:]))
+        return ExtentMap((*self.shards[: delta.shard], new, *self.shards[delta.shard + 1 :]))
 
     def hint(self, fact: Fact) -> ExtentMap:
         """What a node said of itself (`moved`): joined like any fact, tells nothing of how far a shard was told."""
@@ -82,7 +83,7 @@
         table = _join(old, (fact,), old.floor)
         if table is old.table:
             return self
-        return ExtentMap((*self.shards[:at], replace(old, table=table), *self.shards[at + 1:]))
+        return ExtentMap((*self.shards[:at], replace(old, table=table), *self.shards[at + 1 :]))
 
 
 def _under(f: Fact, floor: Floor) -> bool:
@@ -104,7 +105,7 @@
         key = (f.volume, f.extent)
         had = table.get(key) if changed is None else changed.get(key)
         if had is None and floor and _under(f, floor):
-            continue            # a snapshot that knew of it left it out
+            continue  # a snapshot that knew of it left it out
         holds = later(had, f)
         if holds is not had:
             if changed is None:
--- a/fawnspool/extents/moves.py
+++ b/fawnspool/extents/moves.py
@@ -3,6 +3,7 @@
 A mover keeps nothing that it needs: each step is found from the copies as they are, so one that died is resumed by any
 other, and a step that was taken but whose answer was lost is taken again without harm.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -15,15 +16,15 @@
     FILL = "fill"
     COPY = "copy"
     FENCE = "fence"
-    CATCH_UP = "catch up"       # what came between the last copy and the fence
+    CATCH_UP = "catch up"  # what came between the last copy and the fence
     OPEN = "open"
-    FLIP = "flip"               # tell the map service
+    FLIP = "flip"  # tell the map service
     FORGET = "forget"
     DONE = "done"
-    LOST = "lost"               # another move has won, or this one can't be: drop what was filled
-    CANCEL = "cancel"           # undo, first half: the new node must never open
-    REOPEN = "reopen"           # undo, second half
-    WAIT = "wait"               # a node does not answer, or is unsure
+    LOST = "lost"  # another move has won, or this one can't be: drop what was filled
+    CANCEL = "cancel"  # undo, first half: the new node must never open
+    REOPEN = "reopen"  # undo, second half
+    WAIT = "wait"  # a node does not answer, or is unsure
 
 
 @dataclass(frozen=True)
@@ -35,7 +36,7 @@
     position: int = 0
     to: int = -1
     fence: int = -1
-    kept: bool = True           # its data are still there
+    kept: bool = True  # its data are still there
 
 
 @dataclass(frozen=True)
@@ -61,14 +62,22 @@
 def tell_first(move: Move, source: Seen | None, dest: Seen | None, mapped: int, cell: int) -> Tell | None:
     """mapped, cell: what the map says of the extent. An unsure new node whose data are of the move's own generation had
     opened, as the source's fence names it: it serves, whatever the map has not been told yet."""
-    if source is not None and source.role is Role.OWNER and source.generation < 0 and \
-            (mapped, cell) == (move.generation - 1, move.source):
+    if (
+        source is not None
+        and source.role is Role.OWNER
+        and source.generation < 0
+        and (mapped, cell) == (move.generation - 1, move.source)
+    ):
         return Tell(move.source, "own", mapped)
     if source is not None and source.role is Role.UNSURE:
         return Tell(move.source, "confirm", mapped, cell == move.source)
     if dest is not None and dest.role is Role.UNSURE:
-        opened = dest.generation == move.generation and source is not None and source.role is Role.FENCED and \
-            (source.generation, source.to) == (move.generation, move.to)
+        opened = (
+            dest.generation == move.generation
+            and source is not None
+            and source.role is Role.FENCED
+            and (source.generation, source.to) == (move.generation, move.to)
+        )
         return Tell(move.to, "confirm", move.generation if opened else mapped, opened or cell == move.to)
     return None
 
@@ -106,6 +115,11 @@
     if undo:
         return Step.LOST
     if dest.role is not Role.FILLING or dest.generation != move.generation:
-        return Step.LOST if dest.generation >= move.generation or dest.role is Role.OWNER else \
-            Step.WAIT if dest.role is Role.UNSURE else Step.FILL
+        return (
+            Step.LOST
+            if dest.generation >= move.generation or dest.role is Role.OWNER
+            else Step.WAIT
+            if dest.role is Role.UNSURE
+            else Step.FILL
+        )
     return Step.FENCE if source.position - dest.position <= CLOSE else Step.COPY
--- a/fawnspool/extents/stale.py
+++ b/fawnspool/extents/stale.py
@@ -6,6 +6,7 @@
 places of late turned out wrong. Asking is bounded for the whole fleet: each head has its part of what the service
 bears, and after the service was out of reach heads come back spread over a time that their number sets.
 """
+
 from __future__ import annotations
 
 import math
@@ -20,9 +21,9 @@
 class Do(Enum):
     """With a request whose place is known."""
 
-    SEND = "send"               # the place holds, as far as can be told
-    ASK_BESIDE = "ask beside"   # send, and ask at the same time
-    ASK_FIRST = "ask first"     # a wrong send would cost more than the question
+    SEND = "send"  # the place holds, as far as can be told
+    ASK_BESIDE = "ask beside"  # send, and ask at the same time
+    ASK_FIRST = "ask first"  # a wrong send would cost more than the question
 
 
 @dataclass(frozen=True)
@@ -37,37 +38,37 @@
     heads: int = 1
     least_s: float = 0.2
     most_s: float = 10.0
-    waiting: int = 1024         # extents asked for at one time, at most
-    beside: float = 0.002       # chance of being old from which a question beside is worth its call
+    waiting: int = 1024  # extents asked for at one time, at most
+    beside: float = 0.002  # chance of being old from which a question beside is worth its call
 
 
 @dataclass
 class _Shard:
-    heard: float = -math.inf    # when its watch last gave a sign
-    whole: float = -math.inf    # until when it is known to be told everything
-    moves: float = 0.0          # moves a second and extent, smoothed
-    tries: int = 0              # calls that failed in a row
-    next: float = -math.inf     # no call before
-    since: float = -math.inf    # out of reach since
-    lives: bool = False         # heard in this life of the head: what it says of moves is of now
+    heard: float = -math.inf  # when its watch last gave a sign
+    whole: float = -math.inf  # until when it is known to be told everything
+    moves: float = 0.0  # moves a second and extent, smoothed
+    tries: int = 0  # calls that failed in a row
+    next: float = -math.inf  # no call before
+    since: float = -math.inf  # out of reach since
+    lives: bool = False  # heard in this life of the head: what it says of moves is of now
 
 
 class Staleness:
     """Asked for each request (`choose`) and told what came of it. Work per event does not grow with the map."""
 
-    GAIN = 0.05                 # smoothing of what is learned
-    FOLLOWED = 12               # submissions of one request after an extent that moves, at most
-    WAITS = 4                   # usual questions' time that one may take
-    RATE = 20.0                 # seconds over which the rate of moves is averaged
+    GAIN = 0.05  # smoothing of what is learned
+    FOLLOWED = 12  # submissions of one request after an extent that moves, at most
+    WAITS = 4  # usual questions' time that one may take
+    RATE = 20.0  # seconds over which the rate of moves is averaged
 
     def __init__(self, terms: Terms, shards: int, seed: int) -> None:
         self.terms, self.random = terms, Random(f"{seed}-stale")
         self.shards = [_Shard() for _ in range(shards)]
-        self.wrong = 0.0        # part of sends that went to a wrong node, of late
+        self.wrong = 0.0  # part of sends that went to a wrong node, of late
         self.ask_s, self.wrong_s = terms.ask_s, terms.wrong_s
         self.tokens, self.at = self._burst(), -math.inf
         self.asking: OrderedDict[tuple[str, str], float] = OrderedDict()
-        self.refused = 0        # questions that the budget did not allow
+        self.refused = 0  # questions that the budget did not allow
 
     def _rate(self) -> float:
         """Calls a second that this head may make."""
@@ -86,7 +87,7 @@
         behind = now - s.whole if s.whole > -math.inf else math.inf
         if behind == math.inf:
             return 1.0 if s.moves else max(self.wrong, self.terms.beside)
-        unsure = 0.0 if s.lives else self.terms.beside      # from disk alone: how often extents move is not known
+        unsure = 0.0 if s.lives else self.terms.beside  # from disk alone: how often extents move is not known
         return max(1 - math.exp(-s.moves * behind), self.wrong, unsure)
 
     def choose(self, now: float, m: ExtentMap, volume: str, extent: str, patience: float) -> Do:
@@ -151,7 +152,8 @@
         s.tries += 1
         most = min(self.terms.most_s, self.terms.least_s * 2.0 ** min(s.tries, 16))
         pause = max(self.terms.least_s, self.terms.heads / self.terms.peak) + self.random.random() * max(
-            most, 2 * self.terms.heads / self.terms.peak)
+            most, 2 * self.terms.heads / self.terms.peak
+        )
         s.next = now + pause
         return pause
 
--- a/fawnspool/head/attempts.py
+++ b/fawnspool/head/attempts.py
@@ -1,4 +1,5 @@
 """Carries out one `Send`: connection, request, answer; says how it ended. Chooses nothing."""
+
 from __future__ import annotations
 
 import time
@@ -25,8 +26,8 @@
 class Speech(Protocol):
     """How the nodes of an edge are spoken to; without I/O."""
 
-    hold_most: int      # bytes of an answer that is held whole
-    streams: bool       # may a larger one be passed on as it comes?
+    hold_most: int  # bytes of an answer that is held whole
+    streams: bool  # may a larger one be passed on as it comes?
 
     def head(self, pending: Pending, attempt: Attempt) -> bytes:
         """The head of the request to the node."""
@@ -38,7 +39,7 @@
         """How an attempt ended whose answer came whole."""
 
 
-_AT_ONCE = frozenset((Ending.RESET, Ending.CLOSED, Ending.UNWRITTEN_RESET))     # before any byte of an answer
+_AT_ONCE = frozenset((Ending.RESET, Ending.CLOSED, Ending.UNWRITTEN_RESET))  # before any byte of an answer
 
 
 class _Lost(Exception):
@@ -54,13 +55,20 @@
 
     __slots__ = ("answer", "ending", "kept", "told", "took")
 
-    def __init__(self, ending: Ending, took: float, answer: Answer | None = None, told: Heard | None = None,
-                 kept: bool = False) -> None:
+    def __init__(
+        self, ending: Ending, took: float, answer: Answer | None = None, told: Heard | None = None, kept: bool = False
+    ) -> None:
         self.ending, self.took, self.answer, self.told, self.kept = ending, took, answer, told, kept
 
 
-def carry_out(pending: Pending, attempt: Attempt, pool: Pool, speech: Speech, withdrawn: Callable[[int], bool],
-              begun: Callable[[Pending, Attempt], None]) -> Outcome:
+def carry_out(
+    pending: Pending,
+    attempt: Attempt,
+    pool: Pool,
+    speech: Speech,
+    withdrawn: Callable[[int], bool],
+    begun: Callable[[Pending, Attempt], None],
+) -> Outcome:
     """Run the attempt to its end. `withdrawn(node)`: may nothing new be written there any more? `begun` is called
     when an answer too large to hold starts to be passed on."""
     link: Link | None = None
@@ -108,7 +116,7 @@
     except NotReached as bad:
         if attempt.called_off:
             raise _Lost(Ending.CALLED_OFF_UNSENT) from None
-        if time.monotonic() >= attempt.written_by:      # its window was too short to tell: no sign against the node
+        if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
             raise _Lost(Ending.OUT_OF_TIME) from None
         if isinstance(bad, NoPlace):
             raise _Lost(Ending.NO_PLACE) from None
@@ -125,7 +133,7 @@
         if body.rest is None:
             link.send(head + body.start if body.start else head, until)
             return
-        body.spent = True       # the rest comes from the client once
+        body.spent = True  # the rest comes from the client once
         chunked = body.length is None
         link.send(head + (_chunk(body.start) if chunked else body.start), until)
         while True:
@@ -168,13 +176,19 @@
     return Ending.WRONG_LENGTH if "behind" in bad.text else Ending.MALFORMED
 
 
-def _answer(pending: Pending, attempt: Attempt, link: Link, status: Status, speech: Speech,
-            begun: Callable[[Pending, Attempt], None]) -> tuple[Ending, Answer | None]:
+def _answer(
+    pending: Pending,
+    attempt: Attempt,
+    link: Link,
+    status: Status,
+    speech: Speech,
+    begun: Callable[[Pending, Attempt], None],
+) -> tuple[Ending, Answer | None]:
     large = status.length is None or status.length > speech.hold_most
     if speech.streams and large and status.code in (200, 206):
         return _pass_on(pending, attempt, link, status, begun)
     if large and status.length is not None:
-        raise _Lost(Ending.WRONG_LENGTH)        # it names more than any answer has: nothing of it is read
+        raise _Lost(Ending.WRONG_LENGTH)  # it names more than any answer has: nothing of it is read
     try:
         body = link.body(attempt.deadline, speech.hold_most)
     except TimeoutError:
@@ -190,8 +204,9 @@
     return Ending.ANSWERED_TO_CLOSE if link.until_close else ending, Answer(status.code, status.headers, body)
 
 
-def _pass_on(pending: Pending, attempt: Attempt, link: Link, status: Status,
-             begun: Callable[[Pending, Attempt], None]) -> tuple[Ending, Answer | None]:
+def _pass_on(
+    pending: Pending, attempt: Attempt, link: Link, status: Status, begun: Callable[[Pending, Attempt], None]
+) -> tuple[Ending, Answer | None]:
     """A large answer goes to the client as it comes, as fast as the client takes it."""
     if not pending.begin():
         raise _Lost(Ending.CALLED_OFF)
@@ -220,4 +235,3 @@
         raise _Lost(Ending.CLIENT_LEFT) from None
     exchange.finish(True)
     return Ending.ANSWERED, Answer(status.code, status.headers, streamed=sent)
-
--- a/fawnspool/head/core.py
+++ b/fawnspool/head/core.py
@@ -4,6 +4,7 @@
 and waits for its one final answer. How nodes are spoken to is the edge's `Speech`, how the list is heard its list
 client. Every action of the module is carried out by one entry of `Core.table`; nothing here chooses.
 """
+
 from __future__ import annotations
 
 import math
@@ -24,14 +25,14 @@
 from fawnspool.net.wire import look_at_clocks
 from fawnspool.telemetry.sums import Sums
 
-if TYPE_CHECKING:       # only a head that records or traces needs these and their libraries
+if TYPE_CHECKING:  # only a head that records or traces needs these and their libraries
     from fawnspool.records.module import Recorder
     from fawnspool.telemetry.traces import Traces
 
-_WORKERS_IDLE = 256     # greenlets kept for the next attempts
-_SWEEP = 0.05           # seconds between two looks for clients that left
-_LOOKS = 500            # clients looked at in one go
-_PRUNED = 2             # pools looked at in one go
+_WORKERS_IDLE = 256  # greenlets kept for the next attempts
+_SWEEP = 0.05  # seconds between two looks for clients that left
+_LOOKS = 500  # clients looked at in one go
+_PRUNED = 2  # pools looked at in one go
 
 
 class Known(Protocol):
@@ -65,8 +66,8 @@
     most: int
     connect_timeout: float
     idle_close: float
-    lenient: bool = False       # bytes behind a whole answer do not spoil it (see `net.client.Link`)
-    cooldown: float = 0.0         # a connection rests so long between two requests
+    lenient: bool = False  # bytes behind a whole answer do not spoil it (see `net.client.Link`)
+    cooldown: float = 0.0  # a connection rests so long between two requests
 
 
 class Core:
@@ -74,8 +75,18 @@
 
     list: NodeSource
 
-    def __init__(self, settings: i.Settings, module: Any, speech: Speech, pools: PoolBounds, metrics: Sums, log: Any,
-                 *, recorder: Recorder | None = None, traces: Traces | None = None) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        module: Any,
+        speech: Speech,
+        pools: PoolBounds,
+        metrics: Sums,
+        log: Any,
+        *,
+        recorder: Recorder | None = None,
+        traces: Traces | None = None,
+    ) -> None:
         self.settings, self.speech, self.bounds = settings, speech, pools
         self.metrics, self.log, self.traces = metrics, log, traces
         self.pending: dict[int, Pending] = {}
@@ -83,12 +94,20 @@
         self.to_prune: list[tuple[str, int]] = []
         self.listed: set[tuple[str, int]] = set()
         self.pools: dict[tuple[str, int], Pool] = {}
-        self.ids = time.time_ns() // 1_000_000 << 20    # a later life's numbers are higher
+        self.ids = time.time_ns() // 1_000_000 << 20  # a later life's numbers are higher
         self.table: dict[type, Callable[[Any], None]] = {
-            i.Send: self._send, i.Refuse: self._refuse, i.Fail: self._fail, i.Cancel: self._cancel,
-            i.SetTimer: lambda a: self.loop.set_timer(a.delay, a.token), i.Probe: self._probe,
-            i.CloseIdle: self._close_idle, i.Tell: self._tell_peer, i.Log: lambda a: self.log.info(a.text),
-            i.Watch: lambda a: self.list.watch(a.on), i.FetchList: lambda a: self.list.fetch()}
+            i.Send: self._send,
+            i.Refuse: self._refuse,
+            i.Fail: self._fail,
+            i.Cancel: self._cancel,
+            i.SetTimer: lambda a: self.loop.set_timer(a.delay, a.token),
+            i.Probe: self._probe,
+            i.CloseIdle: self._close_idle,
+            i.Tell: self._tell_peer,
+            i.Log: lambda a: self.log.info(a.text),
+            i.Watch: lambda a: self.list.watch(a.on),
+            i.FetchList: lambda a: self.list.fetch(),
+        }
         self.workers = Workers(_WORKERS_IDLE)
         self.loop = Loop(module, self.table, metrics, log, self._raised, recorder)
         self.sweeper: Any = None
@@ -110,7 +129,7 @@
             for look in (look_at_clocks, self._now_and_then, self._prune, self._look_for_left):
                 try:
                     look()
-                except Exception:       # a head that looks no more goes on, and keeps all that it should give back
+                except Exception:  # a head that looks no more goes on, and keeps all that it should give back
                     self.log.error("a look failed", look=look.__name__, exc_info=True)
 
     def _now_and_then(self) -> None:
@@ -119,7 +138,7 @@
     def _prune(self) -> None:
         """Connections that nobody will use again are closed. Guards the descriptors: where nodes come and go, each
         that went would keep its idle ones for ever. It looks at a few pools a sweep, in turn."""
-        if not self.to_prune:       # a round begins; who is listed is gathered once a round
+        if not self.to_prune:  # a round begins; who is listed is gathered once a round
             self.to_prune = list(self.pools)
             self.listed = {known.address for known in self.list.nodes.values() if known.phase is i.Phase.READY}
         for where in [self.to_prune.pop() for _ in range(min(_PRUNED, len(self.to_prune)))]:
@@ -143,8 +162,13 @@
         now = time.monotonic()
         for ident in [self.to_look.pop() for _ in range(min(_LOOKS, len(self.to_look)))]:
             pending = self.pending.get(ident)
-            if pending is not None and now - pending.came > _SWEEP and pending.state is State.OPEN \
-                    and pending.exchange.read_all and pending.exchange.client_left():
+            if (
+                pending is not None
+                and now - pending.came > _SWEEP
+                and pending.state is State.OPEN
+                and pending.exchange.read_all
+                and pending.exchange.client_left()
+            ):
                 self.give_up(pending)
 
     # ------------------------------------------------------------ the client's side
@@ -152,7 +176,7 @@
     def take(self, pending: Pending) -> Pending:
         """Take a request: the module is told of it in its turn. Its number must be new (`next_id`)."""
         req = pending.req
-        if pending.deadline <= time.monotonic():    # it came too late: the head stood still, or it hardly waits
+        if pending.deadline <= time.monotonic():  # it came too late: the head stood still, or it hardly waits
             pending.settle(Kind.REFUSED)
             return pending
         self.pending[req.id] = pending
@@ -183,7 +207,7 @@
     def give_up(self, pending: Pending, kind: Kind = Kind.LEFT) -> None:
         """The client has left: the module is told, and owes nothing more."""
         if pending.state is State.BEGUN:
-            return          # the attempt that passes its answer on sees that for itself
+            return  # the attempt that passes its answer on sees that for itself
         if pending.settle(kind):
             self.loop.tell(i.ClientGone(pending.req.id))
             self.loop.tell(lambda: self._forget(pending))
@@ -202,8 +226,13 @@
             why = (outcome, self.last_reason(pending))
             self.metrics.reasons[why] = self.metrics.reasons.get(why, 0) + 1
         if pending.span is not None and self.traces is not None:
-            self.traces.end(pending.span, time.monotonic(), outcome=outcome, attempts=len(pending.attempts),
-                            reason=self.reason(pending))
+            self.traces.end(
+                pending.span,
+                time.monotonic(),
+                outcome=outcome,
+                attempts=len(pending.attempts),
+                reason=self.reason(pending),
+            )
 
     def reason(self, pending: Pending) -> str:
         """Why the request ended as it did, in words for its client."""
@@ -230,8 +259,13 @@
             return
         now = time.monotonic()
         limit = now + action.timeout if action.timeout > 0 else pending.deadline
-        attempt = Attempt(len(pending.attempts), action.node, now, min(limit, pending.deadline),
-                          now + action.write_within if action.write_within > 0 else math.inf)
+        attempt = Attempt(
+            len(pending.attempts),
+            action.node,
+            now,
+            min(limit, pending.deadline),
+            now + action.write_within if action.write_within > 0 else math.inf,
+        )
         if not pending.attempts:
             self.metrics.waited(pending.cls, now - pending.came)
         pending.attempts.append(attempt)
@@ -244,12 +278,14 @@
             outcome = Outcome(Ending.UNKNOWN_NODE, 0.0)
         else:
             try:
-                outcome = carry_out(pending, attempt, self.pool(known.address), self.speech, self._withdrawn,
-                                    self._begun)
+                outcome = carry_out(
+                    pending, attempt, self.pool(known.address), self.speech, self._withdrawn, self._begun
+                )
             except Exception:
                 self.log.error("an attempt's code raised", id=pending.req.id, exc_info=True)
-                outcome = Outcome(Ending.RESET if attempt.sent else Ending.UNWRITTEN_RESET,
-                                  time.monotonic() - attempt.began)
+                outcome = Outcome(
+                    Ending.RESET if attempt.sent else Ending.UNWRITTEN_RESET, time.monotonic() - attempt.began
+                )
             if outcome.answer is not None:
                 pending.cell = known.cell
         attempt.ending = outcome.ending
@@ -263,8 +299,15 @@
         self.metrics.attempt(attempt.node, result.value, outcome.took)
         self.metrics.ended(outcome.ending.value)
         if pending.span is not None and self.traces is not None:
-            self.traces.attempt(pending.span, attempt.began, attempt.began + outcome.took, node=attempt.node,
-                                number=attempt.number, result=result.value, ending=outcome.ending.value)
+            self.traces.attempt(
+                pending.span,
+                attempt.began,
+                attempt.began + outcome.took,
+                node=attempt.node,
+                number=attempt.number,
+                result=result.value,
+                ending=outcome.ending.value,
+            )
         if result is i.Result.SERVED:
             pending.settle(Kind.SERVED, outcome.answer)
         elif pending.state is State.BEGUN:
@@ -275,9 +318,18 @@
         told = outcome.told
         final = pending.state is State.SETTLED
         self._forget(pending)
-        return i.Outcome(pending.req.id, attempt.number, attempt.node, outcome.took, result, final,
-                         told.others if told is not None else 0, told.used if told is not None else None,
-                         told.load if told is not None and told.load else None, outcome.kept)
+        return i.Outcome(
+            pending.req.id,
+            attempt.number,
+            attempt.node,
+            outcome.took,
+            result,
+            final,
+            told.others if told is not None else 0,
+            told.used if told is not None else None,
+            told.load if told is not None and told.load else None,
+            outcome.kept,
+        )
 
     def _begun(self, pending: Pending, attempt: Attempt) -> None:
         self.loop.tell(i.Begun(pending.req.id, attempt.number, attempt.node, time.monotonic() - attempt.began))
@@ -294,7 +346,7 @@
 
     def _close(self, ident: int, kind: Kind, retry_after: float) -> None:
         pending = self.pending.get(ident)
-        if pending is None or pending.state is State.BEGUN:     # an answer is under way: it is the final one
+        if pending is None or pending.state is State.BEGUN:  # an answer is under way: it is the final one
             return
         pending.retry_after = retry_after
         pending.settle(kind)
@@ -308,7 +360,7 @@
         if attempt.ending is None and not (pending.state is State.BEGUN and attempt.link is not None):
             attempt.called_off = True
             if attempt.link is not None:
-                attempt.link.close()    # wakes the attempt's greenlet; the node sees the connection end
+                attempt.link.close()  # wakes the attempt's greenlet; the node sees the connection end
 
     def _forget(self, pending: Pending) -> None:
         if pending.state is State.SETTLED and not pending.open_attempts:
@@ -326,8 +378,9 @@
         pool = self.pools.get(where)
         if pool is None:
             n = self.bounds
-            pool = self.pools[where] = Pool(where, n.most, n.connect_timeout, n.idle_close, lenient=n.lenient,
-                                            cooldown=n.cooldown)
+            pool = self.pools[where] = Pool(
+                where, n.most, n.connect_timeout, n.idle_close, lenient=n.lenient, cooldown=n.cooldown
+            )
         return pool
 
     def close_one_idle(self) -> bool:
@@ -356,5 +409,8 @@
         """Bound, held and out by node, as the module has them (a baseline has none)."""
         lanes = getattr(self.loop.module, "lanes", {}).values()
         rows = [lane for lane in lanes if lane.node is not None]
-        return {"bound": {x.node: x.bound for x in rows}, "held": {x.node: float(x.held) for x in rows},
-                "out": {x.node: float(len(x.out)) for x in rows}}
+        return {
+            "bound": {x.node: x.bound for x in rows},
+            "held": {x.node: float(x.held) for x in rows},
+            "out": {x.node: float(len(x.out)) for x in rows},
+        }
--- a/fawnspool/head/duties.py
+++ b/fawnspool/head/duties.py
@@ -5,6 +5,7 @@
 threads, so that a slow disk holds up neither requests nor this head's own renewals; what follows a vote is said once
 it is kept.
 """
+
 from __future__ import annotations
 
 import os
@@ -29,8 +30,8 @@
 from fawnspool.head.votefile import VoteFile
 from fawnspool.records.frames import Writer
 
-_INBOX = 4096           # datagrams that wait for their turn, at most
-_LAST_WORDS = 0.02      # seconds between the two sayings that all is given back
+_INBOX = 4096  # datagrams that wait for their turn, at most
+_LAST_WORDS = 0.02  # seconds between the two sayings that all is given back
 
 
 class LeaseOver(Exception):
@@ -84,8 +85,18 @@
     """`works`: by kind, what is done while a duty of it is held; it returns or raises LeaseOver, Fenced. `beside`
     runs all the while."""
 
-    def __init__(self, config: DutiesBlock, me: int, heads: int, seed: int, folder: Path, peers: Peers,
-                 works: dict[str, Callable[[Hold], None]], beside: Callable[[Duties], None], log: Any) -> None:
+    def __init__(
+        self,
+        config: DutiesBlock,
+        me: int,
+        heads: int,
+        seed: int,
+        folder: Path,
+        peers: Peers,
+        works: dict[str, Callable[[Hold], None]],
+        beside: Callable[[Duties], None],
+        log: Any,
+    ) -> None:
         self.config, self.me, self.peers, self.works, self.log = config, me, peers, works, log
         self.beside = beside
         self.terms = terms_of(config, heads)
@@ -107,8 +118,8 @@
         self.flag = Event()
         self.to_keep: Queue[list[Out]] = Queue()
         self.greenlets: list[Any] = []
-        self.counts: Counter[str] = Counter()       # for metrics: took, fenced, unread, unkept
-        self.lost: Counter[str] = Counter()         # by why
+        self.counts: Counter[str] = Counter()  # for metrics: took, fenced, unread, unkept
+        self.lost: Counter[str] = Counter()  # by why
         self.kinds = [(block, k) for block in config.duty for k in range(block.shards)]
 
     def clock(self) -> float:
@@ -174,7 +185,7 @@
                     else:
                         self._say([o])
                 self._disk(False, "")
-            except OSError as bad:      # what was to follow is not said: the vote was not given
+            except OSError as bad:  # what was to follow is not said: the vote was not given
                 self._disk(True, str(bad))
 
     def _disk(self, failed: bool, why: str) -> None:
@@ -245,8 +256,9 @@
             why = "not renewed"
         except Fenced as bad:
             self.counts["fenced"] += 1
-            self.log.warning("a step was refused: a newer holder has been there", duty=hold.name, token=hold.token,
-                             newest=bad.newest)
+            self.log.warning(
+                "a step was refused: a newer holder has been there", duty=hold.name, token=hold.token, newest=bad.newest
+            )
             if self.holds.get(hold.duty) is hold:
                 self._say(self.holder.fenced(self.clock(), hold.duty, bad.newest))
                 self._happened()
@@ -256,8 +268,11 @@
             why = f"its work raised {type(bad).__name__}"
         if self.holds.get(hold.duty) is hold:
             now = self.clock()
-            self._say(self.holder.of_no_use(now, hold.duty, why) if why.startswith("its") else
-                      self.holder.release(now, hold.duty, why or "its work is over"))
+            self._say(
+                self.holder.of_no_use(now, hold.duty, why)
+                if why.startswith("its")
+                else self.holder.release(now, hold.duty, why or "its work is over")
+            )
             self._happened()
 
     def reached(self, duty: int, what: str, well: bool) -> None:
@@ -274,8 +289,19 @@
     def _note(self, what: str, duty: str, token: int, end: float, why: str = "") -> None:
         """For a drill: times on this machine's clock."""
         if self.record is not None:
-            self.record.put({"k": "duty", "t": time.monotonic(), "head": self.me, "who": self.who, "what": what,
-                             "duty": duty, "token": token, "end": end / self.rate, "why": why})
+            self.record.put(
+                {
+                    "k": "duty",
+                    "t": time.monotonic(),
+                    "head": self.me,
+                    "who": self.who,
+                    "what": what,
+                    "duty": duty,
+                    "token": token,
+                    "end": end / self.rate,
+                    "why": why,
+                }
+            )
 
     def _note_ends(self) -> None:
         if self.record is None:
@@ -283,7 +309,7 @@
         for hold in self.holds.values():
             end = self.holder.end(hold.duty)
             if end > getattr(hold, "noted", 0.0):
-                hold.noted = end        # type: ignore[attr-defined]
+                hold.noted = end  # type: ignore[attr-defined]
                 self._note("until", hold.name, hold.token, end)
 
     def status(self) -> dict[str, Any]:
@@ -292,9 +318,13 @@
         out: dict[str, Any] = {
             "held": {h.name: {"token": h.token, "left_s": round(h.left(), 2)} for h in self.holds.values()},
             "takes": self.holder.takes and not self.holder.ending and now >= self.holder.able_at,
-            "took": self.counts["took"], "lost": dict(self.lost), "fenced": self.counts["fenced"],
+            "took": self.counts["took"],
+            "lost": dict(self.lost),
+            "fenced": self.counts["fenced"],
             "unread": self.counts["unread"],
-            "strangers": self.holder.strangers + (self.voter.strangers if self.voter is not None else 0), "voter": None}
+            "strangers": self.holder.strangers + (self.voter.strangers if self.voter is not None else 0),
+            "voter": None,
+        }
         if self.voter is not None:
             unheld = {self.terms.names[d]: round(t / self.rate, 1) for d, t in sorted(self.voter.unheld(now).items())}
             out["voter"] = {"votes": self.voter.voting, "disk_failed": self.voter.disk_failed, "unheld_s": unheld}
--- a/fawnspool/head/endings.py
+++ b/fawnspool/head/endings.py
@@ -4,6 +4,7 @@
 so what was not wholly handed to the kernel never ran; whatever was may have, also where a kept connection was
 closed under it, as nobody can tell whether the node read it first.
 """
+
 from __future__ import annotations
 
 from enum import Enum
--- a/fawnspool/head/head.py
+++ b/fawnspool/head/head.py
@@ -3,6 +3,7 @@
 `submit` takes a request for the client's side and returns its `Pending`; its `done` is set with the one final
 answer.
 """
+
 from __future__ import annotations
 
 import time
@@ -39,7 +40,7 @@
 from fawnspool.telemetry.metrics import HeadMetrics
 from fawnspool.telemetry.traces import Traces
 
-AGE_MOST_MS = 10**9         # also where the map was never whole
+AGE_MOST_MS = 10**9  # also where the map was never whole
 POLICIES: dict[str, Callable[[i.Settings, int], Any]] = {"module": Controller, "pass": PassThrough}
 
 
@@ -67,25 +68,40 @@
         self.behind = Behind()
         self.started = time.monotonic()
         module = make_policy(h.policy, settings, h.seed)
-        recorder = Recorder(h.record, h.policy, settings, h.seed, module_hash(module),
-                            self.behind) if h.record else None
+        recorder = (
+            Recorder(h.record, h.policy, settings, h.seed, module_hash(module), self.behind) if h.record else None
+        )
         traces = Traces(h.trace, h.trace_share, f"head-{h.number}", self.behind) if h.trace else None
-        self.figures = HeadMetrics(self.gauges, lambda: self.places.status(), self.duty_status,
-                                   self.shared_status)
-        super().__init__(settings, module, NodeSpeech(h.number, settings, c.clients.replay_bytes),
-                         PoolBounds(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
-                         self.figures, logs.get(head=h.number), recorder=recorder, traces=traces)
+        self.figures = HeadMetrics(self.gauges, lambda: self.places.status(), self.duty_status, self.shared_status)
+        super().__init__(
+            settings,
+            module,
+            NodeSpeech(h.number, settings, c.clients.replay_bytes),
+            PoolBounds(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
+            self.figures,
+            logs.get(head=h.number),
+            recorder=recorder,
+            traces=traces,
+        )
         self.list: ListClient
         if rows is not None:
-            self.list = FixedList(rows, config.nodes.zones, config.nodes.kinds, self.loop.tell, self.log,
-                                  self.behind)
+            self.list = FixedList(rows, config.nodes.zones, config.nodes.kinds, self.loop.tell, self.log, self.behind)
         else:
             self.list = ListClient(
-                address(config.list.address), h.number, config.nodes.zones, config.nodes.kinds,
-                config.list.mode == "push", config.list.call_timeout, Path(h.data) / "list.json", self.loop.tell,
-                self.log, self.behind)
-        self.places = Places(source, Terms(heads=h.heads), h.seed, self.log) if source is not None \
-            else self._places(config)
+                address(config.list.address),
+                h.number,
+                config.nodes.zones,
+                config.nodes.kinds,
+                config.list.mode == "push",
+                config.list.call_timeout,
+                Path(h.data) / "list.json",
+                self.loop.tell,
+                self.log,
+                self.behind,
+            )
+        self.places = (
+            Places(source, Terms(heads=h.heads), h.seed, self.log) if source is not None else self._places(config)
+        )
         self.peers: Peers | None = None
         self.duties: Duties | None = None
         self.sharing: Sharing | None = None
@@ -93,33 +109,69 @@
     def _places(self, config: HeadConfig) -> Places:
         k = config.catalogue
         where = address(k.address)
-        return Places(MapClient(where, k.call_timeout), Terms(heads=config.head.heads, peak=k.peak), config.head.seed,
-                      self.log, address=where, timeout=k.call_timeout, folder=Path(config.head.data),
-                      behind=self.behind, follow=k.watch)
+        return Places(
+            MapClient(where, k.call_timeout),
+            Terms(heads=config.head.heads, peak=k.peak),
+            config.head.seed,
+            self.log,
+            address=where,
+            timeout=k.call_timeout,
+            folder=Path(config.head.data),
+            behind=self.behind,
+            follow=k.watch,
+        )
 
     def start(self) -> None:
         h = self.config.head
         if self.config.peer and h.peer_listen:
-            self.peers = Peers(address(h.peer_listen), h.number,
-                               {int(p.name): address(p.address) for p in self.config.peer}, self.loop.tell)
+            self.peers = Peers(
+                address(h.peer_listen),
+                h.number,
+                {int(p.name): address(p.address) for p in self.config.peer},
+                self.loop.tell,
+            )
         super().start()
         self.list.start()
         self.places.start()
         if self.config.duties is not None and self.peers is not None:
             self._start_duties(self.peers)
         if self.config.shared is not None and self.peers is not None:
-            self.sharing = Sharing(self.config.shared, h.number, h.heads, h.seed, self.peers,
-                                   {n: name for name, n in self.numbers.items()}, lambda: len(self.list.nodes),
-                                   lambda: doubts(self.loop.module), self.loop.tell, self.log)
+            self.sharing = Sharing(
+                self.config.shared,
+                h.number,
+                h.heads,
+                h.seed,
+                self.peers,
+                {n: name for name, n in self.numbers.items()},
+                lambda: len(self.list.nodes),
+                lambda: doubts(self.loop.module),
+                self.loop.tell,
+                self.log,
+            )
             self.sharing.start()
 
     def _start_duties(self, peers: Peers) -> None:
         c, k = self.config, self.config.catalogue
         assert c.duties is not None
-        works = Works(self.places, MapClient(address(k.address), k.call_timeout), lambda: self.list.nodes,
-                      lambda: len(self.pending), self.log, k.call_timeout)
-        self.duties = Duties(c.duties, c.head.number, c.head.heads, c.head.seed, Path(c.head.data), peers,
-                             works.by_kind, works.poll, self.log)
+        works = Works(
+            self.places,
+            MapClient(address(k.address), k.call_timeout),
+            lambda: self.list.nodes,
+            lambda: len(self.pending),
+            self.log,
+            k.call_timeout,
+        )
+        self.duties = Duties(
+            c.duties,
+            c.head.number,
+            c.head.heads,
+            c.head.seed,
+            Path(c.head.data),
+            peers,
+            works.by_kind,
+            works.poll,
+            self.log,
+        )
         self.duties.start()
 
     def hand_over(self) -> None:
@@ -156,20 +208,60 @@
 
     # ------------------------------------------------------------ the client's side
 
-    def submit(self, *, volume: str, cls: int, method: bytes, target: bytes, forward: list[tuple[bytes, bytes]],
-               body: Body, exchange: Any, patience: float, came: float, units: float, cell: int, extent: int,
-               repeat: bool, op: str, idem: str) -> Pending:
+    def submit(
+        self,
+        *,
+        volume: str,
+        cls: int,
+        method: bytes,
+        target: bytes,
+        forward: list[tuple[bytes, bytes]],
+        body: Body,
+        exchange: Any,
+        patience: float,
+        came: float,
+        units: float,
+        cell: int,
+        extent: int,
+        repeat: bool,
+        op: str,
+        idem: str,
+    ) -> Pending:
         """Take a request. `patience`: seconds from `came` until its answer must have left at the latest."""
         block = self.volumes[volume]
-        req = i.Request(self.next_id(), cls, self.plans[block.plan], extent, patience, self.numbers[volume], units,
-                        cell, block.heads, repeat, method in (b"PUT", b"DELETE"))
-        pending = Pending(req, method, target, forward, body, exchange, op, idem, came, came + patience,
-                          self.config.class_[cls].name, block.plan)
-        if age := self.places.behind_by():      # the place may be old: the client is told
+        req = i.Request(
+            self.next_id(),
+            cls,
+            self.plans[block.plan],
+            extent,
+            patience,
+            self.numbers[volume],
+            units,
+            cell,
+            block.heads,
+            repeat,
+            method in (b"PUT", b"DELETE"),
+        )
+        pending = Pending(
+            req,
+            method,
+            target,
+            forward,
+            body,
+            exchange,
+            op,
+            idem,
+            came,
+            came + patience,
+            self.config.class_[cls].name,
+            block.plan,
+        )
+        if age := self.places.behind_by():  # the place may be old: the client is told
             pending.said = [(b"Fawn-Map-Age-Ms", b"%d" % min(age * 1000, AGE_MOST_MS))]
         if self.traces is not None:
-            pending.span = self.traces.begin(came, volume=volume, cls=pending.cls, plan=block.plan, units=units,
-                                             method=method.decode(), op=op)
+            pending.span = self.traces.begin(
+                came, volume=volume, cls=pending.cls, plan=block.plan, units=units, method=method.decode(), op=op
+            )
         self.take(pending)
         if self.sharing is not None:
             self.sharing.request(req.volume, block.heads, self.config.plan[req.plan], units)
@@ -185,8 +277,9 @@
         result = i.Result.UNREACHED
         if known is not None:
             try:
-                status, _ = call(self.pool(known.address), b"GET", b"/-/probe",
-                                 began + self.config.nodes.connect_timeout)
+                status, _ = call(
+                    self.pool(known.address), b"GET", b"/-/probe", began + self.config.nodes.connect_timeout
+                )
                 load = read_told(status.headers.get(TOLD)).load or None
                 result = i.Result.SERVED if status.code == 200 else i.Result.ERROR
             except NotReached:
@@ -212,26 +305,46 @@
     def status(self) -> dict[str, Any]:
         """What the head thinks of each node, and how it fares itself."""
         now = time.monotonic()
-        lanes = {lane.node: lane for lane in getattr(self.loop.module, "lanes", {}).values()
-                 if lane.node is not None}
+        lanes = {lane.node: lane for lane in getattr(self.loop.module, "lanes", {}).values() if lane.node is not None}
         nodes = []
         for ident, known in sorted(self.list.nodes.items()):
-            row: dict[str, Any] = {"node": ident, "address": f"{known.address[0]}:{known.address[1]}",
-                                   "zone": known.zone, "cell": known.cell, "listed": known.phase.value}
+            row: dict[str, Any] = {
+                "node": ident,
+                "address": f"{known.address[0]}:{known.address[1]}",
+                "zone": known.zone,
+                "cell": known.cell,
+                "listed": known.phase.value,
+            }
             if (lane := lanes.get(ident)) is not None:
-                row |= {"state": "trials only" if not lane.sound() else
-                        "may be cold" if lane.born is not None else "sound",
-                        "bound": round(lane.bound, 2), "held": lane.held, "out": len(lane.out),
-                        "response_ms": round(lane.response * 1000, 2), "wait_ms": round(lane.wait * 1000, 2),
-                        "bad_signs": lane.failed, "heard_s": round(now - lane.heard, 2)}
+                row |= {
+                    "state": "trials only" if not lane.sound() else "may be cold" if lane.born is not None else "sound",
+                    "bound": round(lane.bound, 2),
+                    "held": lane.held,
+                    "out": len(lane.out),
+                    "response_ms": round(lane.response * 1000, 2),
+                    "wait_ms": round(lane.wait * 1000, 2),
+                    "bad_signs": lane.failed,
+                    "heard_s": round(now - lane.heard, 2),
+                }
             nodes.append(row)
         m = self.metrics
-        return {"head": self.config.head.number, "policy": self.config.head.policy,
-                "up_s": round(now - self.started, 1),
-                "list": {"version": self.list.version, "reachable": self.list.reachable,
-                         "heard_s": round(now - self.list.heard, 2) if self.list.heard else None},
-                "in_hand": len(self.pending), "module": {
-                    "events": m.module_events, "errors": m.module_errors,
-                    "us_per_event": round(m.module_seconds / max(1, m.module_events) * 1e6, 1)},
-                "map": self.places.status(), "duties": self.duty_status(),
-                "shared": self.shared_status(), "nodes": nodes}
+        return {
+            "head": self.config.head.number,
+            "policy": self.config.head.policy,
+            "up_s": round(now - self.started, 1),
+            "list": {
+                "version": self.list.version,
+                "reachable": self.list.reachable,
+                "heard_s": round(now - self.list.heard, 2) if self.list.heard else None,
+            },
+            "in_hand": len(self.pending),
+            "module": {
+                "events": m.module_events,
+                "errors": m.module_errors,
+                "us_per_event": round(m.module_seconds / max(1, m.module_events) * 1e6, 1),
+            },
+            "map": self.places.status(),
+            "duties": self.duty_status(),
+            "shared": self.shared_status(),
+            "nodes": nodes,
+        }
--- a/fawnspool/head/listlink.py
+++ b/fawnspool/head/listlink.py
@@ -2,6 +2,7 @@
 
 One failure, one event: when to ask again is not settled here.
 """
+
 from __future__ import annotations
 
 import re
@@ -16,8 +17,8 @@
 from fawnspool.net.client import Broken, Link, NoPlace, Pool, call
 from fawnspool.net.http import request_bytes
 
-LINE_MOST = 4 << 20     # bytes of one object on a watch
-_EVICTIONS = 4              # connections closed for one of ours, at most
+LINE_MOST = 4 << 20  # bytes of one object on a watch
+_EVICTIONS = 4  # connections closed for one of ours, at most
 _T = TypeVar("_T")
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -28,7 +29,7 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.rest, self.parts = list[bytes](), list[bytes]()    # of a line, of an object that is not whole
+        self.rest, self.parts = list[bytes](), list[bytes]()  # of a line, of an object that is not whole
         self.tail = self.size = self.depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
@@ -58,12 +59,19 @@
     version = 0
     line_most = LINE_MOST
 
-    def __init__(self, address: tuple[str, int], timeout: float, silence: float, tell: Callable[[Any], None],
-                 log: Any, free_descriptor: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        timeout: float,
+        silence: float,
+        tell: Callable[[Any], None],
+        log: Any,
+        free_descriptor: Callable[[], bool] = lambda: False,
+    ) -> None:
         self.timeout, self.silence, self.tell, self.log = timeout, silence, tell, log
-        self.free_descriptor = free_descriptor      # closes a connection that can be spared
+        self.free_descriptor = free_descriptor  # closes a connection that can be spared
         self.pool = Pool(address, 4, timeout, 60.0)
-        self.heard = 0.0                # when the service last said anything
+        self.heard = 0.0  # when the service last said anything
         self.reachable = False
         self.watching: Any = None
         self.calls: set[Any] = set()
@@ -114,14 +122,15 @@
         version = self.version
         try:
             status, body = self._with_descriptor(
-                lambda: call(self.pool, b"GET", self.call_target(), time.monotonic() + self.timeout))
+                lambda: call(self.pool, b"GET", self.call_target(), time.monotonic() + self.timeout)
+            )
             if status.code != 200:
                 raise ValueError(f"answered {status.code}")
             if self.version != version:
                 self.log.info("an answer that a watch overtook is dropped")
                 return
             self._heard(body)
-        except Exception as bad:        # whatever it is: the module has to know, or it never asks again
+        except Exception as bad:  # whatever it is: the module has to know, or it never asks again
             self._failed(bad)
 
     def _watch(self) -> None:
@@ -129,7 +138,7 @@
         failure the module chooses when."""
         me = gevent.getcurrent()
         while True:
-            pool, link = self.pool, None        # a move changes the pool
+            pool, link = self.pool, None  # a move changes the pool
             try:
                 link, began = self._open_watch(pool)
                 self._follow(link, began)
--- a/fawnspool/head/lists.py
+++ b/fawnspool/head/lists.py
@@ -1,4 +1,5 @@
 """The head's side of the node list: a watch that stands, single calls, and the last list kept on disk."""
+
 from __future__ import annotations
 
 import functools
@@ -16,7 +17,7 @@
 from fawnspool.head.listlink import ListLink
 from fawnspool.records.behind import Behind
 
-_BEATS = 2.0            # beats of a watch that may be missing, in units of the call time-out
+_BEATS = 2.0  # beats of a watch that may be missing, in units of the call time-out
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -53,9 +54,19 @@
 class ListClient(ListLink):
     """Turns what the list service says into `NodeList` events."""
 
-    def __init__(self, address: tuple[str, int], head: int, zones: tuple[str, ...], kinds: tuple[str, ...],
-                 pushes: bool, timeout: float, saved: Path, tell: Callable[[Any], None], log: Any,
-                 behind: Behind) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        head: int,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        pushes: bool,
+        timeout: float,
+        saved: Path,
+        tell: Callable[[Any], None],
+        log: Any,
+        behind: Behind,
+    ) -> None:
         super().__init__(address, timeout, _BEATS * timeout, tell, log)
         self.head, self.zones, self.kinds, self.pushes = head, zones, kinds, pushes
         self.saved, self.behind = saved, behind
@@ -99,7 +110,7 @@
             raise ValueError(str(bad)) from None
         if told.kind == "changes" and told.version <= self.version:
             if told.entries:
-                return          # heard before
+                return  # heard before
         elif told.kind == "whole" and told.version < self.version:
             self.log.warning("the list went back", had=self.version, got=told.version)
         self._apply(i.ListKind.CHANGES if told.kind == "changes" else i.ListKind.WHOLE, told.version, told.entries)
@@ -119,10 +130,17 @@
             except ValueError as bad:
                 self.log.error("a list entry does not read", entry=str(row), error=str(bad))
                 continue
-            entries.append(i.ListEntry(
-                row.node, self.zones.index(row.zone) if row.zone in self.zones else 0,
-                self.kinds.index(row.kind) if row.kind in self.kinds else 0, row.cell, phase, row.size,
-                now - row.age_s if row.age_s >= 0 else 0.0))
+            entries.append(
+                i.ListEntry(
+                    row.node,
+                    self.zones.index(row.zone) if row.zone in self.zones else 0,
+                    self.kinds.index(row.kind) if row.kind in self.kinds else 0,
+                    row.cell,
+                    phase,
+                    row.size,
+                    now - row.age_s if row.age_s >= 0 else 0.0,
+                )
+            )
             if phase is i.Phase.GONE:
                 self.nodes.pop(row.node, None)
                 self.rows.pop(row.node, None)
@@ -149,8 +167,15 @@
 class FixedList(ListClient):
     """A list that is given once, for a head with embedded nodes."""
 
-    def __init__(self, rows: list[Row], zones: tuple[str, ...], kinds: tuple[str, ...],
-                 tell: Callable[[Any], None], log: Any, behind: Behind) -> None:
+    def __init__(
+        self,
+        rows: list[Row],
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        tell: Callable[[Any], None],
+        log: Any,
+        behind: Behind,
+    ) -> None:
         super().__init__(("127.0.0.1", 0), 0, zones, kinds, False, 1.0, Path(os.devnull), tell, log, behind)
         self.given = rows
 
--- a/fawnspool/head/loop.py
+++ b/fawnspool/head/loop.py
@@ -5,6 +5,7 @@
 beside the queue. If the module raises, what it had asked for until then is carried out, the request at hand is
 failed, the error is logged and counted, and the loop goes on.
 """
+
 from __future__ import annotations
 
 import heapq
@@ -19,7 +20,7 @@
 from fawnspool.net.waits import Gate
 from fawnspool.telemetry.sums import Sums
 
-if TYPE_CHECKING:       # only a head that records needs the recorder and its libraries
+if TYPE_CHECKING:  # only a head that records needs the recorder and its libraries
     from fawnspool.records.module import Recorder
 
 Stamp = Callable[[], float]
@@ -28,8 +29,15 @@
 class Loop:
     """Drives `module` (anything with `handle(now, event) -> actions`)."""
 
-    def __init__(self, module: Any, table: dict[type, Callable[[Any], None]], metrics: Sums, log: Any,
-                 on_error: Callable[[Any], None], recorder: Recorder | None = None) -> None:
+    def __init__(
+        self,
+        module: Any,
+        table: dict[type, Callable[[Any], None]],
+        metrics: Sums,
+        log: Any,
+        on_error: Callable[[Any], None],
+        recorder: Recorder | None = None,
+    ) -> None:
         self.module, self.table, self.metrics, self.log = module, table, metrics, log
         self.on_error, self.recorder = on_error, recorder
         self.inbox: deque[Any] = deque()
@@ -65,7 +73,7 @@
     def run(self) -> None:
         while not self.stopping:
             handled = 0
-            while self.inbox and handled < 64:      # then look at the timers, however full the queue is
+            while self.inbox and handled < 64:  # then look at the timers, however full the queue is
                 event = self.inbox.popleft()
                 handled += 1
                 if callable(event):
@@ -79,7 +87,7 @@
                 self.metrics.lag.add(now - due)
                 self._handle(i.Timer(token))
             if self.inbox:
-                gevent.sleep(0)     # let sockets move between two rounds
+                gevent.sleep(0)  # let sockets move between two rounds
                 continue
             if self.recorder is not None:
                 self._record()
@@ -103,8 +111,10 @@
         assert self.recorder is not None
         self.recorder.flush()
         if self.recorder.stopped:
-            self.log.error("recording stopped: make room or set a faster place under `record`, then restart",
-                           why=self.recorder.stopped)
+            self.log.error(
+                "recording stopped: make room or set a faster place under `record`, then restart",
+                why=self.recorder.stopped,
+            )
             self.metrics.recordings_stopped += 1
             self.recorder.close()
             self.recorder = None
@@ -115,7 +125,7 @@
         try:
             actions = self.module.handle(now, event)
         except Exception as bad:
-            asked = getattr(self.module, "acts", None)      # of this event, if it came so far as to begin a new list
+            asked = getattr(self.module, "acts", None)  # of this event, if it came so far as to begin a new list
             actions = list(asked) if asked is not None and asked is not before else []
             error = f"{type(bad).__name__}: {bad}"
             self.metrics.module_errors += 1
@@ -127,7 +137,7 @@
         for action in actions:
             try:
                 self.table[type(action)](action)
-            except Exception:       # the loop must outlive whatever one action meets
+            except Exception:  # the loop must outlive whatever one action meets
                 self.log.error("an action failed", action=repr(action)[:200], exc_info=True)
         if error:
             self.on_error(event)
--- a/fawnspool/head/mapfile.py
+++ b/fawnspool/head/mapfile.py
@@ -8,6 +8,7 @@
 older than its map changes nothing, as facts are joined whatever order they come in. All writing is done behind the
 loop's back. A disk that takes nothing costs the file, never a request: the next start asks the service for more.
 """
+
 from __future__ import annotations
 
 import contextlib
@@ -30,8 +31,8 @@
 from fawnspool.records.frames import Reader, Writer
 
 FORM = 1
-PIECE = 1000            # facts in one frame
-_FACT_BYTES = 120       # of a fact in the queue, roughly
+PIECE = 1000  # facts in one frame
+_FACT_BYTES = 120  # of a fact in the queue, roughly
 _STATES = {s.value: s for s in State}
 
 
@@ -52,7 +53,7 @@
             found, at, why = _whole(folder / "map.rec")
     except FileNotFoundError:
         return Saved()
-    except Exception as bad:        # a file of another make: nothing of it is used
+    except Exception as bad:  # a file of another make: nothing of it is used
         return Saved(why=f"map.rec: {bad}")
     if found is None:
         return Saved(why=why)
@@ -68,7 +69,7 @@
         why = reader.torn
     except FileNotFoundError:
         pass
-    except Exception as bad:        # whatever a damaged log holds: what was read up to there stands
+    except Exception as bad:  # whatever a damaged log holds: what was read up to there stands
         why = f"map.log.rec: {bad}"
     return Saved(found, at, why)
 
@@ -99,15 +100,19 @@
     for row in rows:
         if row[0] == 2:
             for volume, extent, cell, generation, epoch, version, how, size in row[1]:
-                table[volume, extent] = Fact(volume, extent, cell, Stamp(generation, epoch, version), _STATES[how],
-                                             size)
+                table[volume, extent] = Fact(
+                    volume, extent, cell, Stamp(generation, epoch, version), _STATES[how], size
+                )
             continue
         if here >= 0:
             shards[here] = Shard(table.finish(), state.told, state.ahead, state.floor)
         if row[0] == 3:
             return ExtentMap(tuple(shards)), at, ""
-        here, table, state = int(row[1]), Map[Key, Fact]().mutate(), msgspec.convert(
-            {"told": row[2], "ahead": row[3], "floor": row[4]}, _State).shard()
+        here, table, state = (
+            int(row[1]),
+            Map[Key, Fact]().mutate(),
+            msgspec.convert({"told": row[2], "ahead": row[3], "floor": row[4]}, _State).shard(),
+        )
     return None, 0.0, f"{path.name}: {reader.torn or 'its end is missing'}"
 
 
@@ -150,7 +155,7 @@
         self.folder, self.behind, self.log = folder, behind, log
         self.keep = Keep()
         self.writer: Writer | None = None
-        self.problem = ""               # set by the thread
+        self.problem = ""  # set by the thread
 
     def told(self, value: Delta | Fact, m: ExtentMap) -> None:
         """`m` is the map with it."""
@@ -171,7 +176,7 @@
         if what is Write.NOTHING:
             return
         if what is Write.WHOLE:
-            work, size = functools.partial(self._write_whole, m, time.time()), 0    # it shares the map's memory
+            work, size = functools.partial(self._write_whole, m, time.time()), 0  # it shares the map's memory
         else:
             work, size = functools.partial(self._write_row, row), count * _FACT_BYTES
         if not self.behind.put(work, size):
@@ -192,7 +197,7 @@
 
     def _write_row(self, row: list[Any]) -> None:
         if self.writer is None:
-            return              # the whole map that goes before could not be written
+            return  # the whole map that goes before could not be written
         try:
             self.writer.put(row)
         except OSError as bad:
--- a/fawnspool/head/mover.py
+++ b/fawnspool/head/mover.py
@@ -2,6 +2,7 @@
 
 It keeps nothing that it needs: one that was killed is resumed by calling `move` again, here or elsewhere.
 """
+
 from __future__ import annotations
 
 import time
@@ -42,15 +43,22 @@
     each step, for whoever wants to see or to stop it. stamp(): the duty, token, who and head that each step bears; it
     raises where the duty is not held any more. left(): seconds that a call may take at most."""
 
-    def __init__(self, where: Callable[[int], tuple[str, int] | None], places: MapClient, timeout: float = 2.0,
-                 taken: Callable[[Step], None] = lambda step: None, stamp: Callable[[], dict[str, Any]] = dict,
-                 left: Callable[[], float] = lambda: float("inf")) -> None:
+    def __init__(
+        self,
+        where: Callable[[int], tuple[str, int] | None],
+        places: MapClient,
+        timeout: float = 2.0,
+        taken: Callable[[Step], None] = lambda step: None,
+        stamp: Callable[[], dict[str, Any]] = dict,
+        left: Callable[[], float] = lambda: float("inf"),
+    ) -> None:
         self.where, self.places, self.timeout, self.taken = where, places, timeout, taken
         self.stamp, self.left = stamp, left
         self.pools: dict[tuple[str, int], Pool] = {}
 
-    def move(self, volume: str, extent: str, to: int, deadline: float, undo: bool = False,
-             last: Move | None = None) -> Step:
+    def move(
+        self, volume: str, extent: str, to: int, deadline: float, undo: bool = False, last: Move | None = None
+    ) -> Step:
         """Bring the extent to a cell, or give that up where that is still safe: DONE, LOST (another move has won, or
         there is nothing to move), or WAIT where the deadline (monotonic) came first. last: a move that was begun."""
         move, looks = last, 0
@@ -68,7 +76,7 @@
                     move = Move(fact.cell, to, fact.stamp.generation + 1)
                 step = self._once(move, volume, extent, undo)
             except _BAD:
-                pass                # a node or the service is away: look again
+                pass  # a node or the service is away: look again
             if step in (Step.DONE, Step.LOST):
                 return step
             if step is Step.WAIT:
@@ -85,7 +93,7 @@
 
     def _once(self, move: Move, volume: str, extent: str, undo: bool) -> Step:
         fact = self.places.fact(volume, extent)
-        mapped = move.generation if fact is None else fact.stamp.generation      # deleted: nobody needs the flip
+        mapped = move.generation if fact is None else fact.stamp.generation  # deleted: nobody needs the flip
         source, dest = self.look(move.source, volume, extent), self.look(move.to, volume, extent)
         if fact is not None and (tell := tell_first(move, source, dest, mapped, fact.cell)) is not None:
             self._step(tell.cell, volume, extent, tell.step, tell.generation, mine=tell.mine)
@@ -130,13 +138,22 @@
 
     # ------------------------------------------------------------ nodes
 
-    def _call(self, cell: int, method: bytes, place: str, volume: str, extent: str, body: bytes = b"",
-              effect: bool = False, **more: int) -> tuple[int, bytes]:
+    def _call(
+        self,
+        cell: int,
+        method: bytes,
+        place: str,
+        volume: str,
+        extent: str,
+        body: bytes = b"",
+        effect: bool = False,
+        **more: int,
+    ) -> tuple[int, bytes]:
         where = self.where(cell)
         if where is None:
             raise NotReached(f"cell {cell} has no node")
         pool = self.pools.setdefault(where, Pool(where, 8, self.timeout, 10.0))
-        stamp = self.stamp() if effect else {}      # after every wait, and just before the step leaves
+        stamp = self.stamp() if effect else {}  # after every wait, and just before the step leaves
         target = f"{place}?{urlencode({'volume': volume, 'key': extent, **more, **stamp})}".encode()
         status, data = call(pool, method, target, time.monotonic() + min(self.timeout, self.left()), body)
         if status.code == 403:
--- a/fawnspool/head/nodespeech.py
+++ b/fawnspool/head/nodespeech.py
@@ -1,4 +1,5 @@
 """The project's own wire to its nodes (docs/node-wire.md), as the attempts speak it. No I/O, no choices."""
+
 from __future__ import annotations
 
 import time
@@ -10,7 +11,7 @@
 from fawnspool.net.http import Status, request_bytes
 from fawnspool.net.nodewire import CALL, TOLD, Call, read_told
 
-_FINAL = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))     # of a request that the node understood
+_FINAL = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))  # of a request that the node understood
 
 
 class NodeSpeech:
@@ -24,11 +25,23 @@
     def head(self, pending: Pending, attempt: Attempt) -> bytes:
         req = pending.req
         cls = self.settings.classes[req.cls]
-        call = Call(self.number, req.id, attempt.number, req.cls, req.units, req.extent, cls.effect.value,
-                    cls.group.value, cls.window, max(0.0, attempt.deadline - time.monotonic()), pending.op,
-                    pending.idem)
-        return request_bytes(pending.method, pending.target, b"node", [(CALL, call.pack()), *pending.forward],
-                             pending.body.length)
+        call = Call(
+            self.number,
+            req.id,
+            attempt.number,
+            req.cls,
+            req.units,
+            req.extent,
+            cls.effect.value,
+            cls.group.value,
+            cls.window,
+            max(0.0, attempt.deadline - time.monotonic()),
+            pending.op,
+            pending.idem,
+        )
+        return request_bytes(
+            pending.method, pending.target, b"node", [(CALL, call.pack()), *pending.forward], pending.body.length
+        )
 
     def told(self, pending: Pending, status: Status) -> Heard:
         told, used = read_told(status.headers.get(TOLD)), None
--- a/fawnspool/head/peers.py
+++ b/fawnspool/head/peers.py
@@ -4,6 +4,7 @@
 
 A body is the module's, or that of whoever has claimed its leading byte (`claim`).
 """
+
 from __future__ import annotations
 
 import socket as std
@@ -25,8 +26,9 @@
 class Peers:
     """This head's end of the datagrams."""
 
-    def __init__(self, listen: tuple[str, int], me: int, addresses: dict[int, tuple[str, int]],
-                 tell: Callable[[Any], None]) -> None:
+    def __init__(
+        self, listen: tuple[str, int], me: int, addresses: dict[int, tuple[str, int]], tell: Callable[[Any], None]
+    ) -> None:
         self.me, self.addresses, self.tell = me, addresses, tell
         self.life, self.number = time.time_ns(), 0
         self.seen: dict[int, Seen] = {}
@@ -49,21 +51,21 @@
                 try:
                     self.sock.sendto(data, address)
                 except OSError:
-                    continue        # a peer that is down: the datagram is lost
+                    continue  # a peer that is down: the datagram is lost
 
     def _hear(self) -> None:
         while True:
             try:
                 data, _ = self.sock.recvfrom(2048)
             except ConnectionError:
-                continue            # an earlier datagram found nobody listening
+                continue  # an earlier datagram found nobody listening
             if len(data) < _HEAD.size or len(data) > _HEAD.size + BODY_MOST:
                 continue
             magic, sender, life, number = _HEAD.unpack_from(data)
             if magic != b"FP1" or sender not in self.addresses or sender == self.me:
                 continue
             if self.seen.setdefault(sender, Seen()).first(life, number, time.monotonic()):
-                body = data[_HEAD.size:]
+                body = data[_HEAD.size :]
                 hear = self.claimed.get(body[0]) if body else None
                 if hear is not None:
                     hear(sender, body)
--- a/fawnspool/head/pending.py
+++ b/fawnspool/head/pending.py
@@ -5,6 +5,7 @@
 
 Whoever settles first gives the answer; later ones are told that they came late and change nothing.
 """
+
 from __future__ import annotations
 
 import math
@@ -20,7 +21,7 @@
 
 class State(Enum):
     OPEN = "open"
-    BEGUN = "begun"          # the first bytes of an answer went to the client
+    BEGUN = "begun"  # the first bytes of an answer went to the client
     SETTLED = "settled"
 
 
@@ -30,7 +31,7 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"            # the client went away: nothing is owed
+    LEFT = "left"  # the client went away: nothing is owed
 
 
 @dataclass(slots=True)
@@ -40,7 +41,7 @@
     status: int
     headers: dict[bytes, bytes]
     body: bytes = b""
-    streamed: int = -1       # bytes passed on; -1: not streamed
+    streamed: int = -1  # bytes passed on; -1: not streamed
 
 
 class Body:
@@ -50,7 +51,7 @@
 
     def __init__(self, start: bytes, length: int | None, rest: Iterator[bytes] | None = None) -> None:
         self.start, self.length, self.rest, self.spent = start, length, rest, False
-        self.error: BaseException | None = None     # what came of reading the rest
+        self.error: BaseException | None = None  # what came of reading the rest
 
 
 @dataclass(slots=True, eq=False)
@@ -61,10 +62,10 @@
     node: int
     began: float
     deadline: float
-    written_by: float = math.inf    # it must be wholly written by then, or not at all
+    written_by: float = math.inf  # it must be wholly written by then, or not at all
     link: Any = None
     called_off: bool = False
-    sent: bool = False       # some of it was handed to the kernel
+    sent: bool = False  # some of it was handed to the kernel
     ending: Ending | None = None
 
     @property
@@ -94,10 +95,10 @@
     retry_after: float = 0.0
     attempts: list[Attempt] = field(default_factory=list)
     open_attempts: int = 0
-    cell: int = -1           # of the node that served it
+    cell: int = -1  # of the node that served it
     done: Gate = field(default_factory=Gate)
     span: Any = None
-    said: list[tuple[bytes, bytes]] = field(default_factory=list)   # headers that its answer carries in any case
+    said: list[tuple[bytes, bytes]] = field(default_factory=list)  # headers that its answer carries in any case
 
     def begin(self) -> bool:
         """An attempt is about to pass its answer on; False: too late, another answer stands."""
--- a/fawnspool/head/places.py
+++ b/fawnspool/head/places.py
@@ -2,6 +2,7 @@
 
 Carries out what `extents/stale.py` decides of places that may be old, and what `extents/map.py` makes of what is told.
 """
+
 from __future__ import annotations
 
 import math
@@ -22,8 +23,8 @@
 from fawnspool.net.http import BadMessage
 from fawnspool.records.behind import Behind
 
-SILENT_BEATS = 2.5      # of a watch, in its beats, before it counts as broken
-LARGE = 1000            # facts in one delta after which others get their turn
+SILENT_BEATS = 2.5  # of a watch, in its beats, before it counts as broken
+LARGE = 1000  # facts in one delta after which others get their turn
 SHARDS_MOST = 4096
 
 
@@ -36,8 +37,9 @@
 
     def fact(self, volume: str, key: str) -> Fact | None: ...
 
-    def note(self, volume: str, key: str, cell: int, size: int, new: bool = False,
-             generation: int = -1) -> tuple[Fact, bool]: ...
+    def note(
+        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
+    ) -> tuple[Fact, bool]: ...
 
     def drop(self, volume: str, key: str) -> Fact | None: ...
 
@@ -47,8 +49,9 @@
 class MapClient:
     """Calls of the map service, each within a deadline (monotonic). Raises PlacesError where it is out of reach."""
 
-    def __init__(self, address: tuple[str, int], timeout: float, pool: Pool | None = None,
-                 deadline: float = math.inf) -> None:
+    def __init__(
+        self, address: tuple[str, int], timeout: float, pool: Pool | None = None, deadline: float = math.inf
+    ) -> None:
         self.pool, self.timeout, self.deadline = pool or Pool(address, 256, timeout, 30.0), timeout, deadline
 
     def until(self, deadline: float) -> MapClient:
@@ -56,8 +59,13 @@
 
     def _call(self, target: bytes, kind: Any, **asked: Any) -> tuple[int, Any]:
         try:
-            status, body = call(self.pool, b"POST", target, min(self.deadline, time.monotonic() + self.timeout),
-                                msgspec.msgpack.encode(asked))
+            status, body = call(
+                self.pool,
+                b"POST",
+                target,
+                min(self.deadline, time.monotonic() + self.timeout),
+                msgspec.msgpack.encode(asked),
+            )
             if status.code == 403:
                 refused = msgspec.msgpack.decode(body, type=_Refused)
                 raise Fenced(refused.fenced, refused.newest)
@@ -71,10 +79,12 @@
         found: Fact | None = self._call(b"/find", Fact, volume=volume, key=key)[1]
         return found
 
-    def note(self, volume: str, key: str, cell: int, size: int, new: bool = False,
-             generation: int = -1) -> tuple[Fact, bool]:
-        status, stands = self._call(b"/put", Fact, volume=volume, key=key, cell=cell, size=size, new=new,
-                                    generation=generation)
+    def note(
+        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
+    ) -> tuple[Fact, bool]:
+        status, stands = self._call(
+            b"/put", Fact, volume=volume, key=key, cell=cell, size=size, new=new, generation=generation
+        )
         return stands, status == 200
 
     def drop(self, volume: str, key: str) -> Fact | None:
@@ -83,8 +93,9 @@
 
     def flip(self, volume: str, key: str, cell: int, generation: int, **stamp: Any) -> Fact | None:
         """stamp: of a duty, see `duties/fence.py`. Raises Fenced."""
-        holds: Fact | None = self._call(b"/flip", Fact, volume=volume, key=key, cell=cell, generation=generation,
-                                        **stamp)[1]
+        holds: Fact | None = self._call(
+            b"/flip", Fact, volume=volume, key=key, cell=cell, generation=generation, **stamp
+        )[1]
         return holds
 
     def fence(self, note: str, **stamp: Any) -> None:
@@ -141,7 +152,7 @@
 class _MapLink(ListLink):
     """The watch; what it says goes to `Places`."""
 
-    line_most = 64 << 20        # a snapshot of one shard is one line
+    line_most = 64 << 20  # a snapshot of one shard is one line
 
     def __init__(self, address: tuple[str, int], timeout: float, beat: float, places: Places, log: Any) -> None:
         super().__init__(address, timeout, SILENT_BEATS * beat, lambda event: None, log)
@@ -177,10 +188,20 @@
 class Places:
     """`address` None: the service is in this process and asked each time. `start` before the first `find`."""
 
-    def __init__(self, source: Any, terms: Terms, seed: int, log: Any, *, address: tuple[str, int] | None = None,
-                 timeout: float = 0.5, folder: Path | None = None, behind: Behind | None = None,
-                 follow: bool = True) -> None:
-        self.follow = follow        # False: no watch, and what is known is sent to until a node says otherwise
+    def __init__(
+        self,
+        source: Any,
+        terms: Terms,
+        seed: int,
+        log: Any,
+        *,
+        address: tuple[str, int] | None = None,
+        timeout: float = 0.5,
+        folder: Path | None = None,
+        behind: Behind | None = None,
+        follow: bool = True,
+    ) -> None:
+        self.follow = follow  # False: no watch, and what is known is sent to until a node says otherwise
         self.source, self.terms, self.seed, self.log = source, terms, seed, log
         self.map = ExtentMap.empty(1)
         self.stale = Staleness(terms, 1, seed)
@@ -189,7 +210,7 @@
         self.folder = folder
         self.hits = self.asked = self.wrong = 0
         self.stopped = False
-        self.last: list[float] = [0.0]          # when a shard was last told something (monotonic)
+        self.last: list[float] = [0.0]  # when a shard was last told something (monotonic)
 
     def start(self) -> None:
         """Take the saved map, then watch."""
@@ -237,7 +258,7 @@
     def begins(self, count: int) -> None:
         if not 1 <= count <= SHARDS_MOST:
             raise ValueError(f"a map of {count} shards")
-        if count != len(self.map.shards):       # another map: of the one held nothing can be joined
+        if count != len(self.map.shards):  # another map: of the one held nothing can be joined
             self._shards(count)
             if self.file is not None:
                 self.file.keep.anew()
@@ -245,8 +266,11 @@
     def told(self, delta: Delta) -> None:
         old, now = self.map, time.monotonic()
         self.map = old.apply(delta)
-        moves = sum(had.cell != f.cell for f in delta.facts if (had := old.find(f.volume, f.extent)) is not None) \
-            if not delta.whole else 0
+        moves = (
+            sum(had.cell != f.cell for f in delta.facts if (had := old.find(f.volume, f.extent)) is not None)
+            if not delta.whole
+            else 0
+        )
         shard = self.map.shards[delta.shard]
         span, self.last[delta.shard] = now - self.last[delta.shard], now
         self.stale.told(now, delta.shard, shard.gap is None, moves, len(shard.table), 0.0 if delta.whole else span)
@@ -273,7 +297,7 @@
     def find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> tuple[int, int] | None:
         """(cell, size in bytes), or None: there is no such object. Raises PlacesError."""
         found = None if fresh or self.link is None else self.map.find(volume, key)
-        if found is None:       # not known here: it may have come into being a moment ago
+        if found is None:  # not known here: it may have come into being a moment ago
             found = self._ask(volume, key, deadline)
             return None if found is None else (found.cell, found.size)
         now = time.monotonic()
@@ -338,8 +362,9 @@
         self._hint(Fact(volume, key, cell, Stamp(generation, 0, 0), State.HELD, size))
         return cell, size
 
-    def note(self, volume: str, key: str, cell: int, size: int, new: bool, deadline: float,
-             generation: int = -1) -> bool:
+    def note(
+        self, volume: str, key: str, cell: int, size: int, new: bool, deadline: float, generation: int = -1
+    ) -> bool:
         """A write left the object there, sent to the place of that generation; False: with `new`, another one came
         first. Raises PlacesError."""
         had = self.map.find(volume, key)
@@ -360,6 +385,13 @@
 
     def status(self) -> dict[str, Any]:
         age = self.age()
-        return {"extents": len(self.map), "shards": len(self.map.shards), "reachable": self.reachable(),
-                "age_s": round(age, 2) if age < math.inf else None, "hits": self.hits, "asked": self.asked,
-                "wrong_sends": self.wrong, "not_asked": self.stale.refused}
+        return {
+            "extents": len(self.map),
+            "shards": len(self.map.shards),
+            "reachable": self.reachable(),
+            "age_s": round(age, 2) if age < math.inf else None,
+            "hits": self.hits,
+            "asked": self.asked,
+            "wrong_sends": self.wrong,
+            "not_asked": self.stale.refused,
+        }
--- a/fawnspool/head/shared.py
+++ b/fawnspool/head/shared.py
@@ -1,6 +1,7 @@
 """Carries out what heads share: passes requests, outcomes, datagrams and time to `shared/sharer.py`, tells the module
 what follows. It chooses nothing. All calls run in one thread and none yields, so the sharer needs no owner.
 """
+
 from __future__ import annotations
 
 import math
@@ -19,7 +20,7 @@
 from fawnspool.shared.takers import Say
 from fawnspool.shared.terms import Terms
 
-SHOWN_MOST = 100        # volumes in the status
+SHOWN_MOST = 100  # volumes in the status
 
 
 def terms_of(config: SharedBlock, heads: int) -> Terms:
@@ -31,9 +32,19 @@
     """names: of volumes, by number; listed: how many nodes there are; doubts: nodes with bad signs that the module has
     counted; tell: into the module's queue."""
 
-    def __init__(self, config: SharedBlock, me: int, heads: int, seed: int, peers: Peers, names: dict[int, str],
-                 listed: Callable[[], int], doubts: Callable[[], list[tuple[int, int]]], tell: Callable[[Any], None],
-                 log: Any) -> None:
+    def __init__(
+        self,
+        config: SharedBlock,
+        me: int,
+        heads: int,
+        seed: int,
+        peers: Peers,
+        names: dict[int, str],
+        listed: Callable[[], int],
+        doubts: Callable[[], list[tuple[int, int]]],
+        tell: Callable[[Any], None],
+        log: Any,
+    ) -> None:
         self.peers, self.names, self.listed, self.tell, self.log = peers, names, listed, tell, log
         self.doubts = doubts
         # Seconds of the wall clock: a later start is a later life, unless the clock was set back (docs/shared.md).
@@ -89,7 +100,7 @@
                 self.peers.send(o.to, pack(o.message))
                 continue
             if isinstance(o, i.Hearsay):
-                if o.well or o.node not in self.shunned:        # else: its turn to try it is another
+                if o.well or o.node not in self.shunned:  # else: its turn to try it is another
                     self.counts["mended" if o.well else "shunned"] += 1
                     self.log.info("a shunned node is well" if o.well else "node shunned on hearsay", node=o.node)
                 self.shunned = self.shunned - {o.node} if o.well else self.shunned | {o.node}
@@ -102,11 +113,27 @@
             found = s.table.read(now, volume)
             if found is not None:
                 most = None if math.isinf(found.at_most) else round(found.at_most, 1)
-                volumes.append({"volume": self.names.get(volume, str(volume)), "used_at_most": most,
-                                "used_at_least": round(found.at_least, 1), "age_s": round(found.age, 2),
-                                "heads": found.heads, "unheard": found.others})
-        return {"alone": self.alone, "heard_s": round(now - s.heard, 2) if s.heard > 0 else None,
-                "heads": s.judge.there(now), "volumes_in_all": len(s.table.mine), "volumes": volumes,
-                "nodes": [{"node": k, **row} for k, row in s.judge.status(now).items()],
-                "shunned": s.judge.shunned(), "said": self.counts["said"], "unread": self.counts["unread"],
-                "strangers": s.strangers, "told_shunned": self.counts["shunned"], "told_mended": self.counts["mended"]}
+                volumes.append(
+                    {
+                        "volume": self.names.get(volume, str(volume)),
+                        "used_at_most": most,
+                        "used_at_least": round(found.at_least, 1),
+                        "age_s": round(found.age, 2),
+                        "heads": found.heads,
+                        "unheard": found.others,
+                    }
+                )
+        return {
+            "alone": self.alone,
+            "heard_s": round(now - s.heard, 2) if s.heard > 0 else None,
+            "heads": s.judge.there(now),
+            "volumes_in_all": len(s.table.mine),
+            "volumes": volumes,
+            "nodes": [{"node": k, **row} for k, row in s.judge.status(now).items()],
+            "shunned": s.judge.shunned(),
+            "said": self.counts["said"],
+            "unread": self.counts["unread"],
+            "strangers": s.strangers,
+            "told_shunned": self.counts["shunned"],
+            "told_mended": self.counts["mended"],
+        }
--- a/fawnspool/head/votefile.py
+++ b/fawnspool/head/votefile.py
@@ -4,6 +4,7 @@
 What does not read is not used: the voter then is one without memory, which says nothing until it has learned
 (`duties/voter.py`). A torn last row is that of a vote that was never said.
 """
+
 from __future__ import annotations
 
 import os
@@ -14,7 +15,7 @@
 from fawnspool.duties.voter import Keep, Memory
 from fawnspool.records.frames import Reader, RecordingError, Writer
 
-LONG = 10_000           # rows after which the file is written anew at a start
+LONG = 10_000  # rows after which the file is written anew at a start
 
 
 class VoteFile:
@@ -23,7 +24,7 @@
     def __init__(self, folder: Path, terms: Terms, sync: bool) -> None:
         self.path, self.terms, self.sync = folder / "votes.rec", terms, sync
         folder.mkdir(parents=True, exist_ok=True)
-        self.why = ""                   # why there is no memory
+        self.why = ""  # why there is no memory
         self.writer: Writer | None = None
         self.memory = self._read()
 
@@ -47,7 +48,7 @@
         if floor < 0 or (reader.torn and "cut short" not in reader.torn):
             self.why = reader.torn or "it was never known how high tokens had come"
             return None
-        if mark != self.terms.mark:     # duties may bear other numbers now: of all of them the highest token
+        if mark != self.terms.mark:  # duties may bear other numbers now: of all of them the highest token
             rows, floor = {}, max([floor, *(token for token, _ in rows.values())])
             self._anew(rows, floor)
         elif count > 2 * len(rows) + LONG:
--- a/fawnspool/head/workers.py
+++ b/fawnspool/head/workers.py
@@ -1,4 +1,5 @@
 """Greenlets that carry out attempts, kept for the next one: making a greenlet costs a tenth of a request's time."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
--- a/fawnspool/head/works.py
+++ b/fawnspool/head/works.py
@@ -4,6 +4,7 @@
 All a successor needs is with the map and the nodes: which cells are to be drained, what still lies there, how far a
 move has come. Before its first step a holder shows its token to the map service, and to each node before a step there.
 """
+
 from __future__ import annotations
 
 import time
@@ -25,20 +26,27 @@
 from fawnspool.net.client import Broken, NotReached, Pool, call
 from fawnspool.net.http import BadMessage
 
-ASK_EVERY = 1.0         # seconds between two looks at what operators want, of all duties of one head together
-SLICE = 2000            # facts looked at before others get their turn
+ASK_EVERY = 1.0  # seconds between two looks at what operators want, of all duties of one head together
+SLICE = 2000  # facts looked at before others get their turn
 DRAIN, PAUSE, RELEASE = "drain/", "pause/", "release/"
 
 
 class Works:
     """Of one head. in_hand(): requests that it has; nodes(): its list by node number."""
 
-    def __init__(self, places: Places, client: MapClient, nodes: Callable[[], dict[int, Any]],
-                 in_hand: Callable[[], int], log: Any, timeout: float) -> None:
+    def __init__(
+        self,
+        places: Places,
+        client: MapClient,
+        nodes: Callable[[], dict[int, Any]],
+        in_hand: Callable[[], int],
+        log: Any,
+        timeout: float,
+    ) -> None:
         self.places, self.client, self.nodes, self.in_hand, self.log = places, client, nodes, in_hand, log
         self.timeout = timeout
         self.by_kind: dict[str, Callable[[Hold], None]] = {"drain": self.drain, "compare": self.compare}
-        self.wanted: Wishes | None = None       # None: the map service does not say
+        self.wanted: Wishes | None = None  # None: the map service does not say
 
     # ------------------------------------------------------------ what both need
 
@@ -100,8 +108,9 @@
             wishes = self._wishes(hold)
             if wishes is not None and not self._paused(hold, wishes):
                 held = {cell: self._held(hold, where) for cell, where in self._cells().items()}
-                report = compare({(f.volume, f.extent): f.cell for f in self._facts(hold)}, held, hold.shard,
-                                 hold.kind.shards)
+                report = compare(
+                    {(f.volume, f.extent): f.cell for f in self._facts(hold)}, held, hold.shard, hold.kind.shards
+                )
                 self.log.info("inventories compared", duty=hold.name, report=str(report))
                 self._show(hold, str(report))
             until = time.monotonic() + hold.kind.every
@@ -122,8 +131,12 @@
 
     def _held(self, hold: Hold, where: tuple[str, int]) -> list[tuple[str, str]] | None:
         try:
-            status, body = call(Pool(where, 1, self.timeout, 0.0), b"GET", b"/-/objects",
-                                time.monotonic() + min(self.timeout, hold.left()))
+            status, body = call(
+                Pool(where, 1, self.timeout, 0.0),
+                b"GET",
+                b"/-/objects",
+                time.monotonic() + min(self.timeout, hold.left()),
+            )
             if status.code != 200:
                 return None
             return [(row[0], row[1]) for row in msgspec.json.decode(body, type=list[tuple[str, str, int, str]])]
@@ -140,11 +153,17 @@
         self.works, self.hold, self.kind = works, hold, hold.kind
         self.pace = Pace(self.kind.moves / self.kind.shards, self.kind.bytes / self.kind.shards, self.kind.busy)
         self.failures = Failures()
-        self.shown: set[tuple[str, int]] = set()        # nodes that have seen this holder's token
+        self.shown: set[tuple[str, int]] = set()  # nodes that have seen this holder's token
         self.moved = 0
         self.said = float("-inf")
-        self.mover = Mover(lambda cell: works._cells().get(cell), works.client, works.timeout,
-                           taken=lambda step: hold.check(), stamp=hold.stamp, left=lambda: max(0.0, hold.left()))
+        self.mover = Mover(
+            lambda cell: works._cells().get(cell),
+            works.client,
+            works.timeout,
+            taken=lambda step: hold.check(),
+            stamp=hold.stamp,
+            left=lambda: max(0.0, hold.left()),
+        )
 
     def run(self) -> None:
         hold, works = self.hold, self.works
@@ -152,7 +171,7 @@
             hold.sleep(0.2)
         while True:
             wishes = works._wishes(hold)
-            cells = {int(name[len(DRAIN):]) for name in wishes or () if name.startswith(DRAIN)}
+            cells = {int(name[len(DRAIN) :]) for name in wishes or () if name.startswith(DRAIN)}
             if wishes is None or not cells or works._paused(hold, wishes):
                 hold.sleep(ASK_EVERY / 8)
                 continue
@@ -187,14 +206,14 @@
         hold, key = self.hold, (f.volume, f.extent)
         if not self.failures.due(time.monotonic(), key):
             return
-        fresh = self.works.places.map.find(*key)        # a move, or a delete, may have come meanwhile
+        fresh = self.works.places.map.find(*key)  # a move, or a delete, may have come meanwhile
         if fresh is None or fresh.cell != f.cell:
             return
         while (wait := self.pace.wait(time.monotonic(), fresh.size, self.works.in_hand())) > 0:
             hold.sleep(wait)
         to = self._where(f, drained)
         ready = [self._ready(cell) for cell in (f.cell, to) if cell is not None]
-        hold.reached("any node", any(ready))        # one that is away is its own affair; all of them is this head's
+        hold.reached("any node", any(ready))  # one that is away is its own affair; all of them is this head's
         hold.check()
         if to is None or not all(ready):
             return self.failures.failed(time.monotonic(), key)
--- a/fawnspool/interface.py
+++ b/fawnspool/interface.py
@@ -3,6 +3,7 @@
 Plain records in the field's own terms; nothing here decides anything. Times are seconds
 on the caller's clock, sizes are units, node and volume names are opaque numbers.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -12,9 +13,9 @@
 class Effect(Enum):
     """What running a request twice would do."""
 
-    SAFE = "safe"        # nothing: repeat and refuse freely
-    KEYED = "keyed"      # nodes of one group drop a repeat for a while
-    UNSAFE = "unsafe"    # harm: never twice
+    SAFE = "safe"  # nothing: repeat and refuse freely
+    KEYED = "keyed"  # nodes of one group drop a repeat for a while
+    UNSAFE = "unsafe"  # harm: never twice
 
 
 class Group(Enum):
@@ -32,23 +33,23 @@
 
 
 class ListKind(Enum):
-    SAVED = "saved"      # what the head last had; maybe old
+    SAVED = "saved"  # what the head last had; maybe old
     WHOLE = "whole"
     CHANGES = "changes"
-    FAILED = "failed"    # asking failed; the held list stands
+    FAILED = "failed"  # asking failed; the held list stands
 
 
 class Result(Enum):
     """How an attempt ended."""
 
     SERVED = "served"
-    ERROR = "error"                # answered with an error: may have run
-    FULL = "full"                  # turned away unseen
-    TIMED_OUT = "timed out"        # may have run, may still run
-    UNREACHED = "unreached"        # no connection: never ran
-    BROKEN = "broken"              # connection broke: may have run
-    CANCELLED = "cancelled"        # called off: may have run
-    MOOT = "moot"                  # never sent
+    ERROR = "error"  # answered with an error: may have run
+    FULL = "full"  # turned away unseen
+    TIMED_OUT = "timed out"  # may have run, may still run
+    UNREACHED = "unreached"  # no connection: never ran
+    BROKEN = "broken"  # connection broke: may have run
+    CANCELLED = "cancelled"  # called off: may have run
+    MOOT = "moot"  # never sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,20 +61,20 @@
     late_worth: float
     effect: Effect
     group: Group
-    window: float        # how long a group remembers a keyed request
+    window: float  # how long a group remembers a keyed request
     writes: bool
     stream: bool
-    ordered: bool        # requests of one extent run one at a time, in turn
+    ordered: bool  # requests of one extent run one at a time, in turn
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     name: str
-    rate: float          # nominal units a second of one volume
-    reserve: float       # units a second that earn their full worth
+    rate: float  # nominal units a second of one volume
+    reserve: float  # units a second that earn their full worth
     weight: float
     worth_factor: float
-    limit: float         # units a second; 0: none
+    limit: float  # units a second; 0: none
     limit_depth: float
     limit_slack: float
 
@@ -85,21 +86,21 @@
     heads: int
     me: int
     zone: int
-    must_ask: bool               # the node list comes only when asked for
+    must_ask: bool  # the node list comes only when asked for
     must_ask_in: float
     drain_grace: float
     answer_slack: float
-    fall: float                  # a cold node falls over when overfed for this long
+    fall: float  # a cold node falls over when overfed for this long
     fall_multiple: float
-    cold_capacity: float         # share of its capacity with which a node starts, at least
+    cold_capacity: float  # share of its capacity with which a node starts, at least
     warm_after: float
-    young_limit: float           # units that a cold node always bears within `fall`, all heads together
+    young_limit: float  # units that a cold node always bears within `fall`, all heads together
     mean_units: float
     largest_units: float
     cells: int
     share_worth: float
     spare_worth: float
-    meter: float                 # period of the volume meter; 0: none
+    meter: float  # period of the volume meter; 0: none
     tells_others: bool
     try_limit: int
     second_copies: bool
@@ -110,7 +111,7 @@
     max_retry_after: float
     connect_timeout: float
     tick: float
-    extra_free: float | None     # attempt budget; None: no budget asked
+    extra_free: float | None  # attempt budget; None: no budget asked
     extra_ratio: float
     extra_span: float
     settle_after_doubt: float
@@ -128,7 +129,7 @@
     cell: int
     phase: Phase
     size: float
-    started: float               # 0: long ago
+    started: float  # 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,13 +144,13 @@
     id: int
     cls: int
     plan: int
-    extent: int                  # 0: none
-    patience: float              # until the client gives up on this try
+    extent: int  # 0: none
+    patience: float  # until the client gives up on this try
     volume: int
     units: float
-    cell: int                    # -1: a new object, any node
-    heads: int                   # how many heads the volume works through
-    repeat: bool                 # the client's second try, where marked
+    cell: int  # -1: a new object, any node
+    heads: int  # how many heads the volume works through
+    repeat: bool  # the client's second try, where marked
     writes: bool
 
 
@@ -170,11 +171,11 @@
     node: int
     took: float
     result: Result
-    final: bool                  # nothing more is owed for the request
-    by_others: int               # units this node served the volume through other heads since last told
-    used: float | None           # the volume's whole use in a past period, as a share of its rate
+    final: bool  # nothing more is owed for the request
+    by_others: int  # units this node served the volume through other heads since last told
+    used: float | None  # the volume's whole use in a past period, as a share of its rate
     load: tuple[float, ...] | None
-    kept: bool = False           # it went over a connection that had carried others: its break may be only that's
+    kept: bool = False  # it went over a connection that had carried others: its break may be only that's
 
 
 @dataclass(frozen=True, slots=True)
@@ -215,8 +216,8 @@
 
     node: int
     well: bool
-    pause: float = 0.0           # not well: seconds until this head's turn to try it
-    shut: bool = False           # not well: it took no connection
+    pause: float = 0.0  # not well: seconds until this head's turn to try it
+    shut: bool = False  # not well: it took no connection
 
 
 Event = NodeList | Request | Begun | Outcome | ClientGone | Timer | Probed | PeerMessage | Takers | Hearsay
@@ -229,14 +230,14 @@
 class Send:
     id: int
     node: int
-    timeout: float = 0.0         # 0: until the client gives up
-    write_within: float = 0.0    # it must be wholly written within so long, or not at all; 0: no such bound
+    timeout: float = 0.0  # 0: until the client gives up
+    write_within: float = 0.0  # it must be wholly written within so long, or not at all; 0: no such bound
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
     id: int
-    retry_after: float = 0.0     # 0: no advice
+    retry_after: float = 0.0  # 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
@@ -268,7 +269,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    head: int | None             # None: every other head
+    head: int | None  # None: every other head
     body: bytes
 
 
--- a/fawnspool/model/between.py
+++ b/fawnspool/model/between.py
@@ -1,4 +1,5 @@
 """What passes between heads in simulated time, cut, lost, doubled, late; and the heads' own `Sharer`."""
+
 from __future__ import annotations
 
 from random import Random
@@ -15,7 +16,7 @@
 if TYPE_CHECKING:
     from fawnspool.model.world import World, _Head
 
-FRAME = 28 + 23         # bytes of IP and UDP headers, and of `head/peers.py`
+FRAME = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
 
 
 class Between:
@@ -23,12 +24,12 @@
 
     def __init__(self, world: World) -> None:
         self.world, self.random = world, Random(f"{world.own}-between")
-        self.cut: set[tuple[int, int]] = set()      # (from, to)
-        self.part = self.late_by = 0.0              # of bad weather
-        self.liars: dict[int, Verdict] = {}         # what they say of every node, in place of what they share
+        self.cut: set[tuple[int, int]] = set()  # (from, to)
+        self.part = self.late_by = 0.0  # of bad weather
+        self.liars: dict[int, Verdict] = {}  # what they say of every node, in place of what they share
         self.sent: dict[int, int] = {}
         self.bytes: dict[int, int] = {}
-        self.hearsay: list[tuple[float, int, i.Hearsay]] = []     # when, at which head
+        self.hearsay: list[tuple[float, int, i.Hearsay]] = []  # when, at which head
 
     def send(self, sender: int, head: _Head, body: bytes) -> None:
         w, r = self.world, self.random
@@ -49,7 +50,7 @@
         if not head.up:
             return
         if body[:1] == bytes((LEADING,)):
-            if head.sharing is not None:        # also what was meant for an earlier life: it must see that itself
+            if head.sharing is not None:  # also what was meant for an earlier life: it must see that itself
                 head.do(0.0, head.sharing.hear, sender, body)
         elif head.life == life:
             head.do(0.0, head.tell, i.PeerMessage(sender, body))
@@ -111,8 +112,9 @@
     def request(self, req: i.Request) -> None:
         plan = self.head.settings.plans[req.plan]
         if plan.limit and req.heads > 1:
-            self.sharer.table.asked(self.world.engine.now, req.volume, req.heads, plan.limit, plan.limit_depth,
-                                    req.units)
+            self.sharer.table.asked(
+                self.world.engine.now, req.volume, req.heads, plan.limit, plan.limit_depth, req.units
+            )
 
     def outcome(self, event: i.Outcome, req: i.Request) -> None:
         if event.result is i.Result.SERVED:
--- a/fawnspool/model/compare.py
+++ b/fawnspool/model/compare.py
@@ -4,6 +4,7 @@
 same seed: arrivals, sizes, faults and network draws are the same, so their difference is the arms' own. Rules come
 first: a broken one is reported with the run that shows it.
 """
+
 from __future__ import annotations
 
 import dataclasses
@@ -28,7 +29,7 @@
 from fawnspool.rules.story import read
 
 MAIN = "worth"
-Traffic = Described | Recorded | None        # drawn from a description, replayed, or (None) the day's own script
+Traffic = Described | Recorded | None  # drawn from a description, replayed, or (None) the day's own script
 
 
 class ChangeError(Exception):
@@ -43,8 +44,8 @@
     version: str = ""
     changes: tuple[str, ...] = ()
     constants: tuple[tuple[str, float], ...] = ()
-    seed_shift: int = 0          # of the heads' own random numbers: two equal arms that still differ
-    luck: int = 0                # another draw of all that the day and its seed do not say
+    seed_shift: int = 0  # of the heads' own random numbers: two equal arms that still differ
+    luck: int = 0  # another draw of all that the day and its seed do not say
 
 
 @dataclass(frozen=True)
@@ -81,7 +82,9 @@
         if len(parts) < 3 or parts[1] not in labels:
             _no(text, f"{parts[0]} is one of: {', '.join(labels)}")
         at = labels.index(parts[1])
-        return dataclasses.replace(node, **{name: (*now[:at], _change(now[at], parts[2:], value, text), *now[at + 1:])})
+        return dataclasses.replace(
+            node, **{name: (*now[:at], _change(now[at], parts[2:], value, text), *now[at + 1 :])}
+        )
     if dataclasses.is_dataclass(now):
         if len(parts) < 2:
             _no(text, f"{parts[0]} is a block")
@@ -116,8 +119,10 @@
     world = World(day, seed, shifted, params, ops, luck=arm.luck)
     service = count(day, world.run())
     verdict = judge(read(world.rows), terms_of(day))
-    figures = {MAIN: service.whole.share,
-               "worst 5 s": min((r.share for r in service.windows.values() if r.due), default=1.0)}
+    figures = {
+        MAIN: service.whole.share,
+        "worst 5 s": min((r.share for r in service.windows.values() if r.due), default=1.0),
+    }
     figures |= {f"plan {name}": row.share for name, row in sorted(service.plans.items())}
     classes: dict[str, list[float]] = {}
     for (name, _), row in service.rows.items():
@@ -125,8 +130,9 @@
         both[0] += row.earned
         both[1] += row.due
     figures |= {f"class {name}": e / d if d else 1.0 for name, (e, d) in sorted(classes.items())}
-    return RunFigures(figures, tuple(f"{f.rule}: {f.breaches[0].text}" for f in verdict.findings if f.breaches),
-                      len(world.errors))
+    return RunFigures(
+        figures, tuple(f"{f.rule}: {f.breaches[0].text}" for f in verdict.findings if f.breaches), len(world.errors)
+    )
 
 
 @dataclass
@@ -164,9 +170,20 @@
     return spread
 
 
-def compare(name: str, day: Day, a: Arm, b: Arm, runs: int, run: Runner, *, narrow: float = 0.005, level: float = 0.95,
-            first_seed: int = 1, params: Callable[[int], Params] = lambda seed: Params(),
-            traffic: Traffic = None) -> DayComparison:
+def compare(
+    name: str,
+    day: Day,
+    a: Arm,
+    b: Arm,
+    runs: int,
+    run: Runner,
+    *,
+    narrow: float = 0.005,
+    level: float = 0.95,
+    first_seed: int = 1,
+    params: Callable[[int], Params] = lambda seed: Params(),
+    traffic: Traffic = None,
+) -> DayComparison:
     """Paired runs of `day` until the difference of worth can be told, its interval is narrower than `narrow` either
     way, or `runs` are spent. params(seed): the model's parameters of that run, the same for both arms."""
     out = DayComparison(name)
@@ -180,12 +197,20 @@
         out.a += results[::2]
         out.b += results[1::2]
         out.runs = upto
-        out.broken = [f"{arm.name}, seed {seed}: {text}" for arm, rows in ((a, out.a), (b, out.b))
-                      for seed, row in zip(out.seeds, rows, strict=True) for text in row.broken]
+        out.broken = [
+            f"{arm.name}, seed {seed}: {text}"
+            for arm, rows in ((a, out.a), (b, out.b))
+            for seed, row in zip(out.seeds, rows, strict=True)
+            for text in row.broken
+        ]
         out.intervals = {
-            figure: paired(np.array([y.figures[figure] - x.figures[figure] for x, y in zip(out.a, out.b, strict=True)]),
-                           1 - alpha, 7)
-            for figure in out.a[0].figures}
+            figure: paired(
+                np.array([y.figures[figure] - x.figures[figure] for x, y in zip(out.a, out.b, strict=True)]),
+                1 - alpha,
+                7,
+            )
+            for figure in out.a[0].figures
+        }
         rest = {f: v.p for f, v in out.intervals.items() if f != MAIN}
         out.told = holm(rest, alpha) | ({MAIN} if out.intervals[MAIN].p <= alpha else set())
         if MAIN in out.told:
--- a/fawnspool/model/duties.py
+++ b/fawnspool/model/duties.py
@@ -4,6 +4,7 @@
 What is checked comes from all heads' state at one true time, which no head can see: two that hold one duty at once, a
 token that does not rise. What is measured: datagrams and bytes of each head, and the time until a duty is held again.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -17,7 +18,7 @@
 from fawnspool.duties.voter import Keep, Memory, Out, Voter
 from fawnspool.model.engine import Engine
 
-_UDP = 28 + 23          # bytes of IP and UDP headers, and of `head/peers.py`
+_UDP = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
 
 
 @dataclass(frozen=True)
@@ -43,8 +44,8 @@
     holder: Any = None
     voter: Any = None
     disk: dict[int, tuple[int, int]] = field(default_factory=dict)
-    floor: int = -1                     # -1: the disk is empty
-    full: bool = False                  # nothing can be kept, and nothing that follows is said
+    floor: int = -1  # -1: the disk is empty
+    full: bool = False  # nothing can be kept, and nothing that follows is said
     inbox: list[tuple[int, Message]] = field(default_factory=list)
     wakes: float = float("inf")
     sent: int = 0
@@ -60,8 +61,8 @@
         self.hosts = [Host(n) for n in range(terms.heads)]
         for host, rate in zip(self.hosts, rates, strict=False):
             host.rate = rate
-        self.cut: set[tuple[int, int]] = set()      # (from, to)
-        self.owner: dict[int, tuple[Host, int, int]] = {}       # duty: who took it last, in which life, which token
+        self.cut: set[tuple[int, int]] = set()  # (from, to)
+        self.owner: dict[int, tuple[Host, int, int]] = {}  # duty: who took it last, in which life, which token
         self.lost: dict[int, tuple[float, str]] = {}
         self.wrong: list[str] = []
         self.gaps: list[tuple[int, str, float]] = []
@@ -82,8 +83,9 @@
         host.up, host.stopped, host.inbox, host.wakes = True, False, [], float("inf")
         host.holder = Holder(self.terms, host.number, who, self.seed, now)
         memory = Memory(dict(host.disk), host.floor) if host.floor >= 0 else None
-        host.voter = Voter(self.terms, host.number, who, self.seed, now, memory) \
-            if host.number in self.terms.voters else None
+        host.voter = (
+            Voter(self.terms, host.number, who, self.seed, now, memory) if host.number in self.terms.voters else None
+        )
         self._wake(host, host.life)
 
     def kill(self, host: Host, why: str = "killed") -> None:
@@ -186,8 +188,14 @@
 
     def _hear(self, host: Host, sender: int, m: Message) -> None:
         now = self.clock(host)
-        self._out(host, host.holder.hear(now, sender, m) if m.kind in FOR_HOLDER else
-                  host.voter.hear(now, sender, m) if host.voter is not None else [])
+        self._out(
+            host,
+            host.holder.hear(now, sender, m)
+            if m.kind in FOR_HOLDER
+            else host.voter.hear(now, sender, m)
+            if host.voter is not None
+            else [],
+        )
         self._happened(host)
         self._again(host)
 
@@ -196,8 +204,13 @@
         for e in events:
             if isinstance(e, Took):
                 self._took(host, e)
-            elif isinstance(e, Lost) and (mine := self.owner.get(e.duty)) is not None and mine[0] is host and \
-                    mine[2] == e.token and e.duty not in self.lost:
+            elif (
+                isinstance(e, Lost)
+                and (mine := self.owner.get(e.duty)) is not None
+                and mine[0] is host
+                and mine[2] == e.token
+                and e.duty not in self.lost
+            ):
                 self.lost[e.duty] = (self.engine.now, e.why)
 
     def _took(self, host: Host, e: Took) -> None:
--- a/fawnspool/model/engine.py
+++ b/fawnspool/model/engine.py
@@ -1,4 +1,5 @@
 """Simulated time: a heap of calls. The same pushes give the same order."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
--- a/fawnspool/model/fit.py
+++ b/fawnspool/model/fit.py
@@ -8,6 +8,7 @@
     starts    up - killed - the time away that the day names; nodes of one trouble start one after another
     down      got - out                               = node_net + 0.5 head_cost + client_net + bytes
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -24,9 +25,9 @@
 from fawnspool.model.service import Sample
 from fawnspool.rules.story import Story, read
 
-LEAST = 40          # observations under which a part of the fit counts as poor
-_GONE = 2.0         # seconds after which an attempt without an answer no longer holds its node
-GROUPS = 10         # parts into which observations are dealt, to see how estimates vary
+LEAST = 40  # observations under which a part of the fit counts as poor
+_GONE = 2.0  # seconds after which an attempt without an answer no longer holds its node
+GROUPS = 10  # parts into which observations are dealt, to see how estimates vary
 
 
 @dataclass(frozen=True)
@@ -46,10 +47,10 @@
     poor: list[str] = field(default_factory=list)
     classes: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
-    rate: float = 0.0            # requests a second and node, at most
+    rate: float = 0.0  # requests a second and node, at most
     runs: int = 0
-    by_class: dict[str, Part] = field(default_factory=dict)     # a class's time for a unit over all classes'
-    misfit: float = 0.0          # of worth: what the model missed on these runs beyond luck, a standard deviation
+    by_class: dict[str, Part] = field(default_factory=dict)  # a class's time for a unit over all classes'
+    misfit: float = 0.0  # of worth: what the model missed on these runs beyond luck, a standard deviation
 
     def params(self) -> Params:
         """The estimates themselves."""
@@ -58,6 +59,7 @@
 
     def drawn(self, seed: int) -> Params:
         """Parameters drawn within their uncertainty, one purpose's draws apart from another's."""
+
         def draw(name: str, part: Part) -> float:
             rng = np.random.default_rng([seed, sum(name.encode())])
             return max(0.0, part.value + part.error * float(rng.standard_normal()))
@@ -108,8 +110,11 @@
         out.poor.append("network and head")
     for name, value in (("node_start", Params().node_start), ("head_start", Params().head_start)):
         some = samples[name]
-        out.parts[name] = Part(float(np.mean(some)), float(np.std(some, ddof=1) / len(some) ** 0.5), len(some)) \
-            if len(some) > 1 else Part(value, value / 3, len(some))
+        out.parts[name] = (
+            Part(float(np.mean(some)), float(np.std(some, ddof=1) / len(some) ** 0.5), len(some))
+            if len(some) > 1
+            else Part(value, value / 3, len(some))
+        )
         if len(some) <= 1 and {"node_start": "crash", "head_start": "head_roll"}[name] in out.kinds:
             out.poor.append(f"{name} (too few restarts)")
     return out
@@ -157,7 +162,7 @@
         starts = sorted(came[node], reverse=True)
         for row in rows:
             if starts and row["t"] >= starts[-1]:
-                free = starts.pop()         # a process that starts has nothing in hand
+                free = starts.pop()  # a process that starts has nothing in hand
             out = story.outs.get((node, row["head"], row["id"], row["n"]))
             idle = row["t"] >= free
             free = max(free, out["t"] if out is not None else row["t"] + _GONE)
@@ -176,25 +181,39 @@
     last = max((t for t in came if t <= row["t"]), default=None)
     passed = 1.0 if last is None else min(1.0, (row["t"] - last) / max(1e-9, day.fleet.warm_after))
     on = [x for x in day.trouble if x.at + 0.2 <= at <= x.at + x.length and x.kind == "pauses"]
-    others = any(x.kind in ("slow", "neighbour", "ageing") and x.at - 0.2 <= at <= x.at + x.length + 2
-                 for x in day.trouble)
+    others = any(
+        x.kind in ("slow", "neighbour", "ageing") and x.at - 0.2 <= at <= x.at + x.length + 2 for x in day.trouble
+    )
     calm = last is None and _calm(day, at)
-    return Sample(run * 10_000 + row["node"], day.class_[row["cls"]].name, row["units"] * day.fleet.unit_time,
-                  out["t"] - row["t"], 1.0 if others else passed, day.fleet.cold_from,
-                  on[0].size / 1000 if len(on) == 1 and not others else 0.0, calm)
+    return Sample(
+        run * 10_000 + row["node"],
+        day.class_[row["cls"]].name,
+        row["units"] * day.fleet.unit_time,
+        out["t"] - row["t"],
+        1.0 if others else passed,
+        day.fleet.cold_from,
+        on[0].size / 1000 if len(on) == 1 and not others else 0.0,
+        calm,
+    )
 
 
 def _nodes(work: list[Sample], out: Fit) -> None:
     """What service.py estimates. Nodes that came back cold are known by their reads before that."""
     base = out.parts["node_cost"].value
     of = service.kinds(work, base)
-    found = {"slow_times": service.slow_times(of), "cold_scale": service.cold_scale(work, of, base),
-             "pause_scale": service.pause_scale(work, of, base)}
+    found = {
+        "slow_times": service.slow_times(of),
+        "cold_scale": service.cold_scale(work, of, base),
+        "pause_scale": service.pause_scale(work, of, base),
+    }
     for name, e in found.items():
         out.parts[name] = Part(e.value, e.error, e.seen)
     seen = {"cold_scale": {"crash", "unlisted_restart", "ageing", "preempt"}, "pause_scale": {"pauses"}}
-    out.poor += [f"{name} (too few reads tell it)" for name, of_kinds in seen.items()
-                 if of_kinds & set(out.kinds) and found[name].seen < 8]
+    out.poor += [
+        f"{name} (too few reads tell it)"
+        for name, of_kinds in seen.items()
+        if of_kinds & set(out.kinds) and found[name].seen < 8
+    ]
     for cls, e in service.class_scale(work, of, base).items():
         out.by_class[cls] = Part(e.value, e.error, e.seen)
         if e.seen < 8:
@@ -218,8 +237,11 @@
     lines = []
     for k in range(GROUPS + 1):
         pick = np.arange(len(named)) if not k else rng.integers(0, len(named), len(named))
-        slope, base = np.polyfit(named[pick], took[pick], 1) if np.ptp(named[pick]) > 0 else (
-            float(np.mean(took[pick] / named[pick])), 0.0)
+        slope, base = (
+            np.polyfit(named[pick], took[pick], 1)
+            if np.ptp(named[pick]) > 0
+            else (float(np.mean(took[pick] / named[pick])), 0.0)
+        )
         lines.append((float(slope), float(base)))
     spread = np.std(np.array(lines[1:]), axis=0)
     out.parts["unit_scale"] = Part(lines[0][0], float(spread[0]), len(named))
@@ -244,7 +266,7 @@
         known.add(place)
         if out is None or not _calm(day, ask["t"] - start):
             continue
-        if seen and arrived["t"] - ask["t"] < 0.02:     # longer: it was held, which is the module's doing
+        if seen and arrived["t"] - ask["t"] < 0.02:  # longer: it was held, which is the module's doing
             samples["up"].append(arrived["t"] - ask["t"])
         samples["down"].append(ends[0]["t"] - out["t"])
 
--- a/fawnspool/model/node.py
+++ b/fawnspool/model/node.py
@@ -7,6 +7,7 @@
 A service's length is settled when it starts; pauses that begin later push it back, other changes of pace
 act on what starts after them.
 """
+
 from __future__ import annotations
 
 import math
@@ -20,20 +21,20 @@
     """What a node is like. Times in seconds, work in units."""
 
     cores: int = 2
-    unit_time: float = 0.02          # of one unit on one warm core; 0: everything is instant
-    room: int = 64                   # requests that may wait
-    cold_from: float = 0.3           # part of its power with which it starts
-    warm_after: float = 10.0         # it gains evenly over this time
-    seek_saved: float = 0.0          # part of the work saved on a first attempt that goes on a recent extent
-    remembers: int = 2               # extents that it remembers for that
-    deferred: float = 0.0            # part of a write's work that is put off
-    flush_every: float = 2.0         # and done together this often
-    drops_expired: bool = True       # work whose time is up is not begun
-    cancels: str = "all"             # what a cancel stops: "none", "queued", "all"
-    spread: float = 0.2              # of a request's work around its mean: uniform, this part either way
-    fall_multiple: float = 2.0       # the rule for cold nodes; see `arrive`
+    unit_time: float = 0.02  # of one unit on one warm core; 0: everything is instant
+    room: int = 64  # requests that may wait
+    cold_from: float = 0.3  # part of its power with which it starts
+    warm_after: float = 10.0  # it gains evenly over this time
+    seek_saved: float = 0.0  # part of the work saved on a first attempt that goes on a recent extent
+    remembers: int = 2  # extents that it remembers for that
+    deferred: float = 0.0  # part of a write's work that is put off
+    flush_every: float = 2.0  # and done together this often
+    drops_expired: bool = True  # work whose time is up is not begun
+    cancels: str = "all"  # what a cancel stops: "none", "queued", "all"
+    spread: float = 0.2  # of a request's work around its mean: uniform, this part either way
+    fall_multiple: float = 2.0  # the rule for cold nodes; see `arrive`
     fall: float = 2.0
-    fall_slack: float = 8.0          # units by which chance may pass the budget
+    fall_slack: float = 8.0  # units by which chance may pass the budget
 
 
 @dataclass(slots=True)
@@ -44,8 +45,8 @@
     units: float
     writes: bool = False
     extent: int = 0
-    first: bool = True               # the request's first attempt
-    until: float = math.inf          # when its sender stops waiting
+    first: bool = True  # the request's first attempt
+    until: float = math.inf  # when its sender stops waiting
     began: float = -1.0
     ends: float = math.inf
     flush: bool = False
@@ -55,9 +56,9 @@
 class Pace:
     """What presses on a node just now."""
 
-    slow: float = 1.0                # times slower
-    taken: float = 0.0               # share of the machine that another program takes
-    paused: float = 0.0              # it stands still until then
+    slow: float = 1.0  # times slower
+    taken: float = 0.0  # share of the machine that another program takes
+    paused: float = 0.0  # it stands still until then
 
 
 @dataclass
@@ -66,7 +67,7 @@
 
     traits: NodeTraits
     random: Random
-    started: float                   # -inf: long ago, so warm
+    started: float  # -inf: long ago, so warm
     pace: Pace = field(default_factory=Pace)
     waiting: deque[Work] = field(default_factory=deque)
     running: dict[int, Work] = field(default_factory=dict)
@@ -76,9 +77,9 @@
     flush_at: float = 0.0
     fallen: bool = False
     flushes: int = 0
-    served_time: float = 0.0         # recent service time, smoothed
-    inside: float = 0.0              # units arrived within the last `fall` seconds
-    over: list[Work] = field(default_factory=list)      # ended or dropped while something else was done: not told yet
+    served_time: float = 0.0  # recent service time, smoothed
+    inside: float = 0.0  # units arrived within the last `fall` seconds
+    over: list[Work] = field(default_factory=list)  # ended or dropped while something else was done: not told yet
     dropped: list[Work] = field(default_factory=list)
 
     def warmth(self, now: float) -> float:
@@ -101,10 +102,10 @@
             self.inside += work.units
             while self.arrivals[0][0] <= now - t.fall:
                 self.inside -= self.arrivals.popleft()[1]
-            middle = self.power(max(self.started, now - t.fall / 2))     # its mean over the window
+            middle = self.power(max(self.started, now - t.fall / 2))  # its mean over the window
             if self.inside > t.fall_multiple * middle * t.fall + t.fall_slack:
                 self.fallen = True
-        self.over = self.step(now)      # ends that the next `step` has still to tell
+        self.over = self.step(now)  # ends that the next `step` has still to tell
         if len(self.waiting) >= t.room and len(self.running) >= t.cores:
             return False
         self.waiting.append(work)
--- a/fawnspool/model/predict.py
+++ b/fawnspool/model/predict.py
@@ -4,6 +4,7 @@
 is delays, nodes' own luck and the heads' random numbers (`luck`), what the fit is unsure of, and what the model misses
 of the real heads on the runs it was fitted on (`misfit`). The interval holds all three.
 """
+
 from __future__ import annotations
 
 import hashlib
@@ -54,20 +55,33 @@
     return text_hash(msgspec.json.encode(fit)) if fit is not None else "none"
 
 
-def predict(name: str, day: Day, day_hash: str, seed: int, fit: Fit | None, runs: int, run: Runner,
-            level: float = 0.95) -> Predicted:
+def predict(
+    name: str, day: Day, day_hash: str, seed: int, fit: Fit | None, runs: int, run: Runner, level: float = 0.95
+) -> Predicted:
     """Play the day `runs` times with other luck and other draws of the fit's parameters."""
-    jobs: list[Job] = [(day, Arm("predicted", luck=k + 1), seed, _params(fit, seed * 1000 + k), None)
-                       for k in range(runs)]
+    jobs: list[Job] = [
+        (day, Arm("predicted", luck=k + 1), seed, _params(fit, seed * 1000 + k), None) for k in range(runs)
+    ]
     came = list(run(jobs))
     shares = np.array([r.figures[MAIN] for r in came])
     luck = float(shares.std(ddof=1)) if runs > 1 else 0.0
     missed = fit.misfit if fit is not None else 0.0
     far = float(np.quantile(student(max(1, runs - 1)), (1 + level) / 2))
-    half = far * float(np.sqrt(luck ** 2 * (1 + 1 / runs) + missed ** 2))
+    half = far * float(np.sqrt(luck**2 * (1 + 1 / runs) + missed**2))
     mean = float(shares.mean())
-    return Predicted(name, day_hash, seed, mean, max(0.0, mean - half), min(1.0, mean + half), luck, missed, level,
-                     runs, tuple(dict.fromkeys(b for r in came for b in r.broken)))
+    return Predicted(
+        name,
+        day_hash,
+        seed,
+        mean,
+        max(0.0, mean - half),
+        min(1.0, mean + half),
+        luck,
+        missed,
+        level,
+        runs,
+        tuple(dict.fromkeys(b for r in came for b in r.broken)),
+    )
 
 
 def _params(fit: Fit | None, seed: int) -> Params:
@@ -77,7 +91,7 @@
 def misfit(pairs: Iterable[tuple[float, float, float, int]]) -> float:
     """What lies between measured and predicted beyond luck: (measured, mean, luck, runs) of each run. A standard
     deviation; luck counts for the run itself and for the mean's own error."""
-    rows = [(x - m) ** 2 - s ** 2 * (1 + 1 / n) for x, m, s, n in pairs]
+    rows = [(x - m) ** 2 - s**2 * (1 + 1 / n) for x, m, s, n in pairs]
     return float(np.sqrt(max(0.0, float(np.mean(rows))))) if rows else 0.0
 
 
--- a/fawnspool/model/report.py
+++ b/fawnspool/model/report.py
@@ -2,6 +2,7 @@
 
 The same kept comparison gives the same bytes: charts carry no date and no random names.
 """
+
 from __future__ import annotations
 
 import io
@@ -18,8 +19,9 @@
 from fawnspool.model.stats import Interval
 from fawnspool.model.store import Kept
 
-_PAGE = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined, trim_blocks=True,
-                           lstrip_blocks=True).from_string("""<!doctype html>
+_PAGE = jinja2.Environment(
+    autoescape=True, undefined=jinja2.StrictUndefined, trim_blocks=True, lstrip_blocks=True
+).from_string("""<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Comparison {{ ident }}</title>
 <style>
 body { font: 15px/1.45 sans-serif; max-width: 62em; margin: 2em auto; padding: 0 1em; color: #222 }
@@ -65,14 +67,27 @@
     """The page of a comparison."""
     q = kept.question
     return _PAGE.render(
-        ident=kept.ident, a=describe_arm(q.a, q.versions[0]), b=describe_arm(q.b, q.versions[1]),
+        ident=kept.ident,
+        a=describe_arm(q.a, q.versions[0]),
+        b=describe_arm(q.b, q.versions[1]),
         broken=[f"{c.day}: {text}" for c in kept.answers for text in c.broken],
-        answers=[words(c, q.a, q.b) for c in kept.answers], overview=_overview(kept.answers),
-        days=[{"name": c.day, "runs": c.runs, "seeds": _span(c.seeds), "why": c.why, "rows": _rows(c),
-               "chart": _runs(c)} for c in kept.answers],
-        about=[("version of A", q.versions[0]), ("version of B", q.versions[1]), ("model", q.program), ("fit", q.fit),
-               ("first seed", q.seed), ("runs at most", q.runs), ("stops once within", q.narrow),
-               *((f"traffic of {d.name}", d.traffic or "the day's own script") for d in q.days)])
+        answers=[words(c, q.a, q.b) for c in kept.answers],
+        overview=_overview(kept.answers),
+        days=[
+            {"name": c.day, "runs": c.runs, "seeds": _span(c.seeds), "why": c.why, "rows": _rows(c), "chart": _runs(c)}
+            for c in kept.answers
+        ],
+        about=[
+            ("version of A", q.versions[0]),
+            ("version of B", q.versions[1]),
+            ("model", q.program),
+            ("fit", q.fit),
+            ("first seed", q.seed),
+            ("runs at most", q.runs),
+            ("stops once within", q.narrow),
+            *((f"traffic of {d.name}", d.traffic or "the day's own script") for d in q.days),
+        ],
+    )
 
 
 def describe_arm(arm: Arm, version: str) -> str:
@@ -110,8 +125,12 @@
 
 def _overview(answers: list[DayComparison]) -> Markup:
     """Every figure's interval on every day, the main one's first."""
-    rows = [(f"{c.day}: {f}", v, f in c.told) for c in answers for f, v in _ordered(c)
-            if f == MAIN or f in c.told or f == "worst 5 s"]
+    rows = [
+        (f"{c.day}: {f}", v, f in c.told)
+        for c in answers
+        for f, v in _ordered(c)
+        if f == MAIN or f in c.told or f == "worst 5 s"
+    ]
     figure = Figure(figsize=(8, 0.8 + 0.32 * len(rows)), layout="constrained")
     axes = figure.subplots()
     for k, (_, v, told) in enumerate(rows):
--- a/fawnspool/model/seen.py
+++ b/fawnspool/model/seen.py
@@ -4,6 +4,7 @@
 whose first try lies before the recording stands for a client with little time left), hold several lives of a head, and
 come from machines whose clocks differ: those are aligned by the datagrams that heads sent each other.
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -16,8 +17,8 @@
 from fawnspool.days.day import Day
 from fawnspool.records.module import open_recording, read_action, read_event
 
-_AGAIN = 10.0           # seconds within which a repeat's first try is looked for
-_RUN = 1.0              # seconds between two requests of one run, at most
+_AGAIN = 10.0  # seconds within which a repeat's first try is looked for
+_RUN = 1.0  # seconds between two requests of one run, at most
 
 
 class TrafficError(Exception):
@@ -38,7 +39,7 @@
     patience: float
     heads: int
     run: int = 0
-    late: bool = False           # really a repeat: its first try lies before the recording
+    late: bool = False  # really a repeat: its first try lies before the recording
 
 
 @dataclass
@@ -82,8 +83,21 @@
             continue
         first[op] = row
         block = plan_of[row["vol"]]
-        out.asked.append(Asked(row["t"] - start, row["head"], row["vol"], block.name, day.class_[row["cls"]].name,
-                               float(row["units"]), bool(row["w"]), row["pat"], block.heads, extents.get(op, 0), n > 0))
+        out.asked.append(
+            Asked(
+                row["t"] - start,
+                row["head"],
+                row["vol"],
+                block.name,
+                day.class_[row["cls"]].name,
+                float(row["units"]),
+                bool(row["w"]),
+                row["pat"],
+                block.heads,
+                extents.get(op, 0),
+                n > 0,
+            )
+        )
     again = {(r["op"], r["n"] - 1) for r in asks if r["n"]}
     for key, how in gots.items():
         if how not in ("served", "left") and key not in again and key[0] in first:
@@ -155,8 +169,9 @@
     settings = lives[0].settings
     notes = [f"{life.path.name}: torn at {life.torn}; read up to there" for life in lives if life.torn]
     for life in lives[1:]:
-        if [p.name for p in life.settings.plans] != [p.name for p in settings.plans] or \
-                [c.name for c in life.settings.classes] != [c.name for c in settings.classes]:
+        if [p.name for p in life.settings.plans] != [p.name for p in settings.plans] or [
+            c.name for c in life.settings.classes
+        ] != [c.name for c in settings.classes]:
             raise TrafficError(f"{life.path}: other plans or classes than {lives[0].path}: records of one fleet only")
     shifts = [0.0] * len(lives) if same_clock else _shifts(lives, notes)
     seen: set[tuple[int, int]] = set()
@@ -186,14 +201,27 @@
             while before and t - before[0] > _AGAIN:
                 before.pop(0)
             if before:
-                before.pop(0)       # its first try was seen: the model's own clients will try again
+                before.pop(0)  # its first try was seen: the model's own clients will try again
                 continue
             late, orphans = True, orphans + 1
         else:
             firsts[key].append(t)
         cls, plan = settings.classes[req.cls], settings.plans[req.plan]
-        out.asked.append(Asked(t - start, head, f"volume-{req.volume:x}", plan.name, cls.name, req.units, req.writes,
-                               req.patience, max(1, req.heads), req.extent, late))
+        out.asked.append(
+            Asked(
+                t - start,
+                head,
+                f"volume-{req.volume:x}",
+                plan.name,
+                cls.name,
+                req.units,
+                req.writes,
+                req.patience,
+                max(1, req.heads),
+                req.extent,
+                late,
+            )
+        )
     if orphans:
         notes.append(f"{orphans} repeats without a first try count as clients with little time left")
     return _finish(out)
@@ -217,8 +245,10 @@
                     best = (found[1], n, shifts[k] + found[0])
         if best is None:
             lost = [str(life.path) for n, life in enumerate(lives) if n not in shifts]
-            raise TrafficError(f"the clocks of {', '.join(lost)} can't be set against the others': no datagrams both "
-                               "ways were recorded. If one machine wrote them all, say so (--same-clock)")
+            raise TrafficError(
+                f"the clocks of {', '.join(lost)} can't be set against the others': no datagrams both "
+                "ways were recorded. If one machine wrote them all, say so (--same-clock)"
+            )
         error, n, shift = best
         shifts[n] = shift
         if abs(shift) > 0.01:
--- a/fawnspool/model/service.py
+++ b/fawnspool/model/service.py
@@ -7,6 +7,7 @@
     cold_scale    the part of its power with which a node really starts, over the part that the day names
     pause_scale   how long a pause really is, over the length that the day names
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -17,9 +18,9 @@
 from numpy.typing import NDArray
 
 Floats = NDArray[np.float64]
-FAST = 1.5              # a node whose reads take over so many times the fastest nodes' is a slow one
-EARLY = 0.7             # of the ramp: behind it a node is so nearly warm that the ramp's start hardly shows
-PAUSE = 0.25            # of a named pause: what a read takes beyond its service to count as held up by one
+FAST = 1.5  # a node whose reads take over so many times the fastest nodes' is a slow one
+EARLY = 0.7  # of the ramp: behind it a node is so nearly warm that the ramp's start hardly shows
+PAUSE = 0.25  # of a named pause: what a read takes beyond its service to count as held up by one
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,8 +92,13 @@
 def pause_scale(samples: Sequence[Sample], of: dict[int, float], base: float) -> Estimate:
     """From reads that pauses held up. One that was being served is held for the whole pause, one that came within it
     for the rest of it, so the longest tell the length: the 95th of a hundred is taken, as the last may have met two."""
-    over = np.array([(s.took - base - of[s.node] * s.named) / s.pause for s in samples
-                     if s.pause and s.node in of and s.took - base - of[s.node] * s.named > PAUSE * s.pause])
+    over = np.array(
+        [
+            (s.took - base - of[s.node] * s.named) / s.pause
+            for s in samples
+            if s.pause and s.node in of and s.took - base - of[s.node] * s.named > PAUSE * s.pause
+        ]
+    )
     if len(over) < 2:
         return Estimate(1.0, 0.1, len(over))
     return Estimate(float(np.quantile(over, 0.95)), _error(over, lambda x: float(np.quantile(x, 0.95))), len(over))
--- a/fawnspool/model/staged.py
+++ b/fawnspool/model/staged.py
@@ -3,6 +3,7 @@
 `fawnspool/rollout/` decides; this tells it what each window showed and restarts the heads that it names. A window is
 looked at once every request of it has ended, so a verdict comes later than its window by twice the longest deadline.
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -32,11 +33,11 @@
 
     verdict: Verdict = Verdict.WAIT
     why: str = "the day ended first"
-    upgraded: int = 0                       # heads that ever ran the new version
+    upgraded: int = 0  # heads that ever ran the new version
     most_at_once: int = 0
     share: float = 1.0
-    lost: float = 0.0                       # head-seconds of worth, as the decisions saw it
-    saw_after: int = 0                      # windows until the last verdict
+    lost: float = 0.0  # head-seconds of worth, as the decisions saw it
+    saw_after: int = 0  # windows until the last verdict
     steps: list[tuple[float, str]] = field(default_factory=list)
     broken: tuple[str, ...] = ()
 
@@ -78,14 +79,24 @@
 class Staged:
     """One roll-out over one day. down: how long a head is away before its process starts."""
 
-    def __init__(self, day: Day, seed: int, old: Policy, new: Policy, bound: Bound, spread: float, *,
-                 params: Params | None = None, down: float = 0.5) -> None:
+    def __init__(
+        self,
+        day: Day,
+        seed: int,
+        old: Policy,
+        new: Policy,
+        bound: Bound,
+        spread: float,
+        *,
+        params: Params | None = None,
+        down: float = 0.5,
+    ) -> None:
         self.day, self.bound, self.old, self.new = day, bound, old, new
         self.world = World(day, seed, old, params)
         self.facts = {f.number: f for f in facts(self.world)}
         self.rollout = Rollout(plan(list(self.facts.values()), bound, spread, seed), bound, spread)
         self.down = down + self.world.params.head_start
-        self.restarts: list[tuple[float, int]] = []         # when a head went away
+        self.restarts: list[tuple[float, int]] = []  # when a head went away
         self.usual: list[float] = []
         self.raised: dict[int, int] = {}
         self.looked = 0
@@ -147,10 +158,11 @@
         usual = float(np.median(self.usual)) or 1.0
         raised = {h: n - self.raised.get(h, 0) for h, n in w.raised.items() if n > self.raised.get(h, 0)}
         self.raised = dict(w.raised)
-        back = {h: at + self.down for at, h in self.restarts}       # the latest of each
+        back = {h: at + self.down for at, h in self.restarts}  # the latest of each
         # A window whose requests began before its heads had changed still shows the old version.
-        away = frozenset(h for b in self.rollout.batches[:self.rollout.at + 1] for h in b.heads
-                         if back.get(h, end) > start)
+        away = frozenset(
+            h for b in self.rollout.batches[: self.rollout.at + 1] for h in b.heads if back.get(h, end) > start
+        )
         up = {h: start - at for h, at in back.items()}
         return Window(_shares(self.day, w, k, length), asked / usual, self._broken(start, end), raised, away, up)
 
@@ -158,7 +170,7 @@
         """Rules broken in requests of a window, by head: each side's records judged alone."""
         w = self.world
         ops = {op.name for op in w.ops if start <= op.at < end}
-        rows = w.rows[self.looked:]
+        rows = w.rows[self.looked :]
         self.looked = _first(w.rows, self.looked, BEGIN + start - 1.0)
         by_head: dict[int, list[Mapping[str, Any]]] = defaultdict(list)
         common = [r for r in w.rows if r["k"] in ("up", "told", "head", "stall")]
@@ -168,7 +180,7 @@
         out = {}
         for h, mine in by_head.items():
             if self.rollout.at < 0:
-                break               # nothing to lay at the new version's door yet
+                break  # nothing to lay at the new version's door yet
             found = judge(read([*common, *mine]), terms_of(self.day))
             for f in found.findings:
                 if f.rule in _OWN and f.breaches:
