--- a/fawnspool/model/stats.py
+++ b/fawnspool/model/stats.py
@@ -3,6 +3,7 @@
 Sources: Efron and Tibshirani, An Introduction to the Bootstrap, ch. 12 (bootstrap-t); Holm 1979 for several figures.
 Looks share the error evenly (Bonferroni over looks), which is safe and simple.
 """
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -38,7 +39,7 @@
     if n < 2:
         return Interval(mean, -float("inf"), float("inf"), level, 1.0, n)
     error = float(np.std(differences, ddof=1)) / np.sqrt(n)
-    if error < 1e-12:       # equal in every run: there is nothing to tell, or no doubt
+    if error < 1e-12:  # equal in every run: there is nothing to tell, or no doubt
         return Interval(mean, mean, mean, level, 1.0 if abs(mean) < 1e-12 else 0.0, n)
     rng = np.random.default_rng(seed)
     drawn = differences[rng.integers(0, n, (DRAWS, n))]
--- a/fawnspool/model/store.py
+++ b/fawnspool/model/store.py
@@ -3,6 +3,7 @@
 One JSON file for each, named by the hash of its question: days, arms (with hashes of their versions), seeds, fit and
 budget. The same question so has one answer; another answer to it is told, never overwritten.
 """
+
 from __future__ import annotations
 
 import hashlib
@@ -37,8 +38,8 @@
 
     a: Arm
     b: Arm
-    versions: tuple[str, str]            # hashes of the arms' texts with their constants
-    program: str                         # hash of the model itself
+    versions: tuple[str, str]  # hashes of the arms' texts with their constants
+    program: str  # hash of the model itself
     days: tuple[AskedDay, ...]
     runs: int
     narrow: float
@@ -88,8 +89,10 @@
         path = self.folder / f"{kept.ident}.json"
         data = kept.text()
         if path.exists() and path.read_bytes() != data:
-            raise StoreError(f"{path}: holds another answer to the same question: the model is not deterministic, or "
-                             "the file was changed; move it away to keep both")
+            raise StoreError(
+                f"{path}: holds another answer to the same question: the model is not deterministic, or "
+                "the file was changed; move it away to keep both"
+            )
         self.folder.mkdir(parents=True, exist_ok=True)
         draft = path.with_suffix(".draft")
         draft.write_bytes(data)
--- a/fawnspool/model/traffic.py
+++ b/fawnspool/model/traffic.py
@@ -14,6 +14,7 @@
 Each purpose draws from a numpy generator of its own, and each volume from one of its own, so that a change of one thing
 (a class's sizes, one more volume) leaves the other draws as they were.
 """
+
 from __future__ import annotations
 
 import math
@@ -28,8 +29,8 @@
 from fawnspool.days.traffic import Op
 from fawnspool.model.seen import Asked, Recorded, TrafficError
 
-LEAST = 40              # observations under which an estimate counts as poor
-POINTS = 21             # of each distribution that is kept as quantiles
+LEAST = 40  # observations under which an estimate counts as poor
+POINTS = 21  # of each distribution that is kept as quantiles
 LAGS = (1.0, 2.0, 3.0, 4.0, 6.0)
 Floats = NDArray[np.float64]
 
@@ -101,11 +102,12 @@
     rows = np.array([_counts([a.t for a in rows], seen.length) for rows in by_volume.values()])
     both = _wander(rows)
     # What a volume wanders beside all together is its own: variances of the logs add up.
-    own = max(0.0, both.sd ** 2 - together.sd ** 2)
+    own = max(0.0, both.sd**2 - together.sd**2)
     alone = Wander(math.sqrt(own), both.keeps if own > 0 else 0.0)
     skew, lead = _leads(by_volume, poor)
-    out = Described(len(groups) / seen.length, seen.length, seen.heads, seen.nodes, {}, together, alone, skew, lead,
-                    poor=poor)
+    out = Described(
+        len(groups) / seen.length, seen.length, seen.heads, seen.nodes, {}, together, alone, skew, lead, poor=poor
+    )
     for plan in sorted({a.plan for a, _ in groups}):
         out.plans[plan] = _plan(plan, [g for g in groups if g[0].plan == plan], len(groups), seen.length, poor)
     _repeats(seen, out)
@@ -127,7 +129,7 @@
 
 
 def _counts(times: list[float], length: float) -> Floats:
-    return np.bincount(np.array(times, dtype=int), minlength=int(length) + 1)[:max(1, int(length))].astype(float)
+    return np.bincount(np.array(times, dtype=int), minlength=int(length) + 1)[: max(1, int(length))].astype(float)
 
 
 def _wander(rows: Floats) -> Wander:
@@ -136,7 +138,7 @@
     if rows.shape[1] < 4:
         return Wander()
     means = rows.mean(axis=1)
-    square = float(np.sum(means ** 2))
+    square = float(np.sum(means**2))
     if square <= 0:
         return Wander()
     over = float(np.sum(rows.var(axis=1, ddof=1) - means)) / square
@@ -163,7 +165,7 @@
             starts = np.searchsorted(times, times + low, side="right" if not lag else "left")
             ends = np.searchsorted(times, times + high, side="left")
             for k in range(len(rows)):
-                same[lag] += (at[starts[k]:ends[k]] == at[k]).tolist()
+                same[lag] += (at[starts[k] : ends[k]] == at[k]).tolist()
     if heads < 2:
         return 0.0, 1e9
     if min(len(v) for v in same.values()) < LEAST:
@@ -173,7 +175,7 @@
     skew = _skew(now, heads)
     base = now - 1 / heads
     if base < 0.02:
-        return skew, 1e9            # all heads alike: there is no lead that could move
+        return skew, 1e9  # all heads alike: there is no lead that could move
     # A lead that is drawn anew every E seconds is still the same after `lag` with chance 1 - lag / E.
     parts = np.array([(float(np.mean(same[lag])) - 1 / heads) / base for lag in LAGS])
     fall = float(np.sum((1 - parts) * np.array(LAGS)) / np.sum(np.array(LAGS) ** 2))
@@ -187,7 +189,7 @@
         mid = (low + high) / 2
         p = np.arange(1, heads + 1) ** -mid
         p = p / p.sum()
-        low, high = (mid, high) if float(np.sum(p ** 2)) < same else (low, mid)
+        low, high = (mid, high) if float(np.sum(p**2)) < same else (low, mid)
     return (low + high) / 2
 
 
@@ -195,7 +197,7 @@
     volumes = Counter(first.volume for first, _ in groups)
     counts = np.array(list(volumes.values()), dtype=float)
     mean = float(counts.mean())
-    over = (float(counts.var(ddof=1)) - mean) / mean ** 2 if len(counts) > 1 else 0.0
+    over = (float(counts.var(ddof=1)) - mean) / mean**2 if len(counts) > 1 else 0.0
     heads = Counter(first.heads for first, _ in groups).most_common(1)[0][0]
     out = PlanShape(len(groups) / all_, len(volumes), math.sqrt(math.log1p(max(0.0, over))), heads)
     for cls in sorted({first.cls for first, _ in groups}):
@@ -204,8 +206,13 @@
         if len(alls) < LEAST:
             poor.append(f"plan {name}, class {cls}: {len(alls)} requests were seen, {LEAST} are wanted")
         out.classes[cls] = ClassShape(
-            len(rows) / len(groups), alls[0].writes, _points([a.units for a in alls]),
-            _points([float(len(some)) for _, some in rows]), _points([a.patience for a in alls]), len(alls))
+            len(rows) / len(groups),
+            alls[0].writes,
+            _points([a.units for a in alls]),
+            _points([float(len(some)) for _, some in rows]),
+            _points([a.patience for a in alls]),
+            len(alls),
+        )
     return out
 
 
@@ -239,11 +246,28 @@
     by_name = {b.name: b for b in day.volumes}
     for name, shape in d.plans.items():
         block = by_name.get(name, day.volumes[0])
-        blocks.append(replace(block, name=name, count=max(1, round(shape.volumes * rate / d.rate)), heads=shape.heads,
-                              nodes=min(block.nodes, nodes)))
-    return replace(day, day=replace(day.day, heads=heads, nodes=nodes, length=length), volumes=tuple(blocks),
-                   load=replace(day.load, rate=rate, retries=min(5, d.retries), backoff=round(d.backoff, 6),
-                                skew=d.skew, lead_every=round(min(d.lead_every, 1e6), 6)))
+        blocks.append(
+            replace(
+                block,
+                name=name,
+                count=max(1, round(shape.volumes * rate / d.rate)),
+                heads=shape.heads,
+                nodes=min(block.nodes, nodes),
+            )
+        )
+    return replace(
+        day,
+        day=replace(day.day, heads=heads, nodes=nodes, length=length),
+        volumes=tuple(blocks),
+        load=replace(
+            day.load,
+            rate=rate,
+            retries=min(5, d.retries),
+            backoff=round(d.backoff, 6),
+            skew=d.skew,
+            lead_every=round(min(d.lead_every, 1e6), 6),
+        ),
+    )
 
 
 def stream(seed: int, *purpose: str | int) -> np.random.Generator:
@@ -257,9 +281,9 @@
     x = np.empty(seconds)
     last = float(noise[0])
     for k in range(seconds):
-        last = last if not k else w.keeps * last + math.sqrt(1 - w.keeps ** 2) * float(noise[k])
+        last = last if not k else w.keeps * last + math.sqrt(1 - w.keeps**2) * float(noise[k])
         x[k] = last
-    factors: Floats = np.exp(w.sd * x - w.sd ** 2 / 2)
+    factors: Floats = np.exp(w.sd * x - w.sd**2 / 2)
     return factors
 
 
@@ -314,16 +338,29 @@
     for k in range(n):
         cls = names[which[k]]
         c = shape.classes[cls]
-        run = int(_pick(c.runs, run_at[k:k + 1])[0])
+        run = int(_pick(c.runs, run_at[k : k + 1])[0])
         held = f"held/{int(keys.integers(day.load.objects))}"
         for m in range(run):
             units = float(_pick(c.units, parts.random(1))[0])
             size = max(64, int((units - float(parts.random()) * 0.999) * day.units.bytes))
             ident = f"s{seed}{name}g{k}m{m}"
-            out.append(Op(ident, float(times[k]) + 0.004 * m, name, classes.index(cls), c.writes,
-                          f"new/{ident}" if c.writes else held, size, float(keys.random()), None,
-                          f"r{name}{k}" if run > 1 else "", max(0.02, float(_pick(c.patience, patient.random(1))[0])),
-                          order[k], math.inf))
+            out.append(
+                Op(
+                    ident,
+                    float(times[k]) + 0.004 * m,
+                    name,
+                    classes.index(cls),
+                    c.writes,
+                    f"new/{ident}" if c.writes else held,
+                    size,
+                    float(keys.random()),
+                    None,
+                    f"r{name}{k}" if run > 1 else "",
+                    max(0.02, float(_pick(c.patience, patient.random(1))[0])),
+                    order[k],
+                    math.inf,
+                )
+            )
     return out
 
 
@@ -365,8 +402,10 @@
     if not set(names) <= set(known):
         by_name = {b.name: b for b in day.volumes}
         wide = {a.plan: a.heads for a in seen.asked}
-        blocks = tuple(replace(by_name.get(p, day.volumes[0]), name=p, count=n, heads=min(heads, wide[p]))
-                       for p, n in sorted(counts.items()))
+        blocks = tuple(
+            replace(by_name.get(p, day.volumes[0]), name=p, count=n, heads=min(heads, wide[p]))
+            for p, n in sorted(counts.items())
+        )
         day = replace(day, volumes=blocks)
     day = replace(day, day=replace(day.day, heads=heads, length=max(1.0, math.ceil(seen.length + 0.001))))
     rng = stream(1, "replay")
@@ -376,6 +415,21 @@
         size = max(64, int((a.units - 0.5) * day.units.bytes))
         held = f"held/{int(rng.integers(day.load.objects))}"
         others = tuple(h for h in using[a.volume] if h != a.head)
-        out.append(Op(f"p{k}", a.t, volume, classes.index(a.cls), a.writes, f"new/p{k}" if a.writes else held, size,
-                      float(rng.random()), None, f"r{a.run}" if a.run else "", a.patience, (a.head, *others), math.inf))
+        out.append(
+            Op(
+                f"p{k}",
+                a.t,
+                volume,
+                classes.index(a.cls),
+                a.writes,
+                f"new/p{k}" if a.writes else held,
+                size,
+                float(rng.random()),
+                None,
+                f"r{a.run}" if a.run else "",
+                a.patience,
+                (a.head, *others),
+                math.inf,
+            )
+        )
     return day, out
--- a/fawnspool/model/versions.py
+++ b/fawnspool/model/versions.py
@@ -3,6 +3,7 @@
 A version is named by a path to a checkout, to a `control.py` or to a wheel; "" is this program's own. Constants of
 its module may be set to other values (`BOUND_ALL=16`), in that copy alone.
 """
+
 from __future__ import annotations
 
 import dataclasses
@@ -102,6 +103,7 @@
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         kind = getattr(terms, type(value).__name__)
         names = {f.name for f in dataclasses.fields(kind)}
-        return kind(**{f.name: _as(getattr(value, f.name), terms) for f in dataclasses.fields(value)
-                       if f.name in names})
+        return kind(
+            **{f.name: _as(getattr(value, f.name), terms) for f in dataclasses.fields(value) if f.name in names}
+        )
     return value
--- a/fawnspool/model/world.py
+++ b/fawnspool/model/world.py
@@ -4,6 +4,7 @@
 forms, so that the same judge and the same count of worth read them. What the running head does on sockets is said
 again here in simulated time: that is the model, and `docs/fleet-model.md` says where the two differ.
 """
+
 from __future__ import annotations
 
 import math
@@ -36,8 +37,8 @@
 from fawnspool.model.params import Params
 
 Policy = Callable[[i.Settings, int], Any]
-_START = 1000.0          # the clock at the day's begin: starts of "long ago" lie well before it
-BEGIN = _START + 1.0     # when the first second of the day's script begins
+_START = 1000.0  # the clock at the day's begin: starts of "long ago" lie well before it
+BEGIN = _START + 1.0  # when the first second of the day's script begins
 FRESH_MOST = 400
 
 
@@ -62,7 +63,7 @@
     node: _Node
     sent: float
     deadline: float
-    life: int                       # of the node's process when it was sent
+    life: int  # of the node's process when it was sent
     work: int = -1
     written: bool = False
     ended: bool = False
@@ -94,10 +95,18 @@
         w, f = self.world, self.world.day.fleet
         n = w.day.nodes
         unit = f.unit_time * w.params.unit_scale * (w.params.slow_times if self.cell in w.slow else 1)
-        traits = NodeTraits(cores=f.cores, unit_time=unit, room=f.room,
-                            cold_from=min(1.0, f.cold_from * w.params.cold_scale), warm_after=f.warm_after,
-                            seek_saved=f.seek_saved, deferred=f.deferred, fall_multiple=n.cold_multiple,
-                            fall=n.cold_fall, fall_slack=float(w.day.units.largest))
+        traits = NodeTraits(
+            cores=f.cores,
+            unit_time=unit,
+            room=f.room,
+            cold_from=min(1.0, f.cold_from * w.params.cold_scale),
+            warm_after=f.warm_after,
+            seek_saved=f.seek_saved,
+            deferred=f.deferred,
+            fall_multiple=n.cold_multiple,
+            fall=n.cold_fall,
+            fall_slack=float(w.day.units.largest),
+        )
         self.behaviour = NodeBehaviour(traits, self.random, w.engine.now if cold else -math.inf)
         self.waiting: dict[int, Callable[[bool], None]] = {}
         self.works, self.due = 0, math.inf
@@ -105,8 +114,14 @@
         self.told: dict[tuple[int, int], float] = {}
         self.up, self.life = True, self.life + 1
         self.set({k: v for k, v in self.faults.items() if v != CALM[k]})
-        w.note("up", node=self.number, cold=cold, power=f.cores / max(unit, 1e-9), cold_from=f.cold_from,
-               warm_after=f.warm_after)
+        w.note(
+            "up",
+            node=self.number,
+            cold=cold,
+            power=f.cores / max(unit, 1e-9),
+            cold_from=f.cold_from,
+            warm_after=f.warm_after,
+        )
 
     def set(self, given: dict[str, Any]) -> None:
         self.faults |= given
@@ -218,7 +233,7 @@
             return
         if not cost and self.busy <= w.engine.now:
             if self.up:
-                call(*args)         # the core is idle and this takes none of it: no turn to wait for
+                call(*args)  # the core is idle and this takes none of it: no turn to wait for
             return
         self.busy = max(self.busy, w.engine.now) + cost
         w.engine.at(self.busy, self._done, self.life, call, args)
@@ -278,8 +293,16 @@
         node = self.world.nodes.get(number)
         if life == self.life and self.up:
             well = node is not None and node.up and not node.faults["refuse"]
-            self.do(0.0, self.tell, i.Probed(number, i.Result.SERVED if well else i.Result.UNREACHED,
-                                             4 * self.world.params.node_net, node.load() if well and node else None))
+            self.do(
+                0.0,
+                self.tell,
+                i.Probed(
+                    number,
+                    i.Result.SERVED if well else i.Result.UNREACHED,
+                    4 * self.world.params.node_net,
+                    node.load() if well and node else None,
+                ),
+            )
 
     # ------------------------------------------------------------ the list
 
@@ -351,8 +374,19 @@
         size = asked.size if op.part is None else max(1, int(op.part[1] * asked.size))
         units = float(max(1, min(w.day.units.largest, -(-size // w.day.units.bytes))))
         name = b"run:" + op.run.encode() if op.run else f"{op.volume}/{asked.key}".encode()
-        req = i.Request(self.ids, op.cls, self.plans[volume.plan], xxhash.xxh3_64_intdigest(name) or 1, deadline - now,
-                        number, units, cell, volume.heads, asked.n > 0, op.writes)
+        req = i.Request(
+            self.ids,
+            op.cls,
+            self.plans[volume.plan],
+            xxhash.xxh3_64_intdigest(name) or 1,
+            deadline - now,
+            number,
+            units,
+            cell,
+            volume.heads,
+            asked.n > 0,
+            op.writes,
+        )
         pending = self.pending[req.id] = _Pending(req, asked, deadline)
         w.engine.at(deadline + w.day.clients.answer_margin / 2, self._overdue, self.life, pending)
         self.tell(req)
@@ -382,8 +416,9 @@
     def _reply(self, pending: _Pending, how: str, advice: float, status: int) -> None:
         w = self.world
         size = 0 if pending.asked.op.writes or how != "served" else pending.asked.size
-        w.engine.after(w.hop(w.params.client_net) + size * w.params.byte_cost, w.answer, pending.asked, how, advice,
-                       status)
+        w.engine.after(
+            w.hop(w.params.client_net) + size * w.params.byte_cost, w.answer, pending.asked, how, advice, status
+        )
 
     def _forget(self, pending: _Pending) -> None:
         if pending.settled and not pending.open:
@@ -436,15 +471,31 @@
             self.world.call_off(attempt)
             self._ended(pending, attempt, i.Result.CANCELLED if attempt.written else i.Result.MOOT)
 
-    def _ended(self, pending: _Pending, attempt: _Attempt, result: i.Result, others: int = 0,
-               use: float | None = None, load: tuple[float, ...] | None = None, status: int = 200) -> None:
+    def _ended(
+        self,
+        pending: _Pending,
+        attempt: _Attempt,
+        result: i.Result,
+        others: int = 0,
+        use: float | None = None,
+        load: tuple[float, ...] | None = None,
+        status: int = 200,
+    ) -> None:
         if attempt.ended:
             return
         attempt.ended = True
         self.do(self.world.params.head_cost / 2, self._outcome, pending, attempt, result, others, use, load, status)
 
-    def _outcome(self, pending: _Pending, attempt: _Attempt, result: i.Result, others: int, use: float | None,
-                 load: tuple[float, ...] | None, status: int) -> None:
+    def _outcome(
+        self,
+        pending: _Pending,
+        attempt: _Attempt,
+        result: i.Result,
+        others: int,
+        use: float | None,
+        load: tuple[float, ...] | None,
+        status: int,
+    ) -> None:
         if result is i.Result.SERVED and not pending.settled:
             pending.settled = True
             if pending.asked.op.writes:
@@ -453,8 +504,17 @@
         pending.open -= 1
         rate = self.settings.plans[pending.req.plan].rate
         self._forget(pending)
-        event = i.Outcome(pending.req.id, attempt.number, attempt.node.number, self.world.engine.now - attempt.sent,
-                          result, pending.settled, others, use / rate if use is not None and rate else None, load)
+        event = i.Outcome(
+            pending.req.id,
+            attempt.number,
+            attempt.node.number,
+            self.world.engine.now - attempt.sent,
+            result,
+            pending.settled,
+            others,
+            use / rate if use is not None and rate else None,
+            load,
+        )
         self.tell(event)
         if self.sharing is not None:
             self.sharing.outcome(event, pending.req)
@@ -463,8 +523,15 @@
 class World:
     """One day, once. `run` gives the records and what came of each operation."""
 
-    def __init__(self, day: Day, seed: int, policy: Policy, params: Params | None = None,
-                 ops: list[Op] | None = None, luck: int = 0) -> None:
+    def __init__(
+        self,
+        day: Day,
+        seed: int,
+        policy: Policy,
+        params: Params | None = None,
+        ops: list[Op] | None = None,
+        luck: int = 0,
+    ) -> None:
         self.day, self.seed, self.params = day, seed, params or Params()
         self.engine = Engine(_START)
         scales = dict(self.params.class_scale)
@@ -498,7 +565,7 @@
         self.meter_sums: dict[int, float] = {}
         self.meter_last: dict[int, float] = {}
         self.between = Between(self)
-        self.policies: list[Policy] = [policy] * day.day.heads     # of each head, from its next start on
+        self.policies: list[Policy] = [policy] * day.day.heads  # of each head, from its next start on
         self.heads = [_Head(self, k) for k in range(day.day.heads)]
         self.fresh: dict[str, deque[tuple[str, int]]] = {}
         self.ops = make(day, seed) if ops is None else ops
@@ -515,11 +582,19 @@
         peers = tuple(PeerBlock(str(n), "127.0.0.1:1") for n in range(d.day.heads)) if d.day.peers else ()
         return HeadConfig(
             head=HeadBlock(number=k, heads=d.day.heads, zone=self.zones[k % len(self.zones)], seed=self.seed * 100 + k),
-            class_=d.class_, plan=d.plan,
-            volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()), peer=peers,
-            list=ListBlock(address="127.0.0.1:1", mode=d.day.list_mode), catalogue=CatalogueBlock("127.0.0.1:1"),
-            nodes=replace(d.nodes, cells=d.day.nodes, zones=self.zones), units=d.units, attempts=d.attempts,
-            clients=d.clients, service=d.service, shared=d.shared)
+            class_=d.class_,
+            plan=d.plan,
+            volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()),
+            peer=peers,
+            list=ListBlock(address="127.0.0.1:1", mode=d.day.list_mode),
+            catalogue=CatalogueBlock("127.0.0.1:1"),
+            nodes=replace(d.nodes, cells=d.day.nodes, zones=self.zones),
+            units=d.units,
+            attempts=d.attempts,
+            clients=d.clients,
+            service=d.service,
+            shared=d.shared,
+        )
 
     # ------------------------------------------------------------ run
 
@@ -566,8 +641,18 @@
         now, cls, head = self.engine.now, self.day.class_[op.cls], heads[0]
         patience = min(op.patience, cls.deadline - (now - began))
         units = max(1, min(self.day.units.largest, -(-size // self.day.units.bytes)))
-        self.note("ask", op=op.name, n=n, head=head, vol=op.volume, cls=op.cls, units=units, pat=patience,
-                  e=cls.effect, w=op.writes)
+        self.note(
+            "ask",
+            op=op.name,
+            n=n,
+            head=head,
+            vol=op.volume,
+            cls=op.cls,
+            units=units,
+            pat=patience,
+            e=cls.effect,
+            w=op.writes,
+        )
 
         def done(how: str, advice: float) -> None:
             elapsed = self.engine.now - began
@@ -627,10 +712,24 @@
             return self._back(head, life, pending, attempt, i.Result.BROKEN)
         op = pending.asked.op
         effect = self.day.class_[req.cls].effect
-        about: dict[str, Any] = {"node": node.number, "head": head.number, "id": req.id, "n": attempt.number,
-                                 "op": op.name}
-        self.note("in", cls=req.cls, units=req.units, vol=op.volume, x=req.extent, e=effect, w=req.writes,
-                  m="PUT" if req.writes else "GET", **about)
+        about: dict[str, Any] = {
+            "node": node.number,
+            "head": head.number,
+            "id": req.id,
+            "n": attempt.number,
+            "op": op.name,
+        }
+        self.note(
+            "in",
+            cls=req.cls,
+            units=req.units,
+            vol=op.volume,
+            x=req.extent,
+            e=effect,
+            w=req.writes,
+            m="PUT" if req.writes else "GET",
+            **about,
+        )
         node.works += 1
         attempt.work = node.works
         units = req.units * self.scale[req.cls]
@@ -654,8 +753,9 @@
         node.waiting[work.ident] = done
         node.move()
 
-    def _finish(self, head: _Head, life: int, pending: _Pending, attempt: _Attempt, node_life: int,
-                about: dict[str, Any]) -> None:
+    def _finish(
+        self, head: _Head, life: int, pending: _Pending, attempt: _Attempt, node_life: int, about: dict[str, Any]
+    ) -> None:
         node, req = attempt.node, pending.req
         if not node.up or node.life != node_life:
             return self._back(head, life, pending, attempt, i.Result.BROKEN)
@@ -682,11 +782,28 @@
         if lost:
             return self._back(head, life, pending, attempt, i.Result.BROKEN)
         size = 0 if req.writes else pending.asked.size
-        self.engine.after(self.hop(self.params.node_net) + size * self.params.byte_cost, self._arrived, head, life,
-                          pending, attempt, others, use, node.load())
-
-    def _arrived(self, head: _Head, life: int, pending: _Pending, attempt: _Attempt, others: int, use: float | None,
-                 load: tuple[float, ...]) -> None:
+        self.engine.after(
+            self.hop(self.params.node_net) + size * self.params.byte_cost,
+            self._arrived,
+            head,
+            life,
+            pending,
+            attempt,
+            others,
+            use,
+            node.load(),
+        )
+
+    def _arrived(
+        self,
+        head: _Head,
+        life: int,
+        pending: _Pending,
+        attempt: _Attempt,
+        others: int,
+        use: float | None,
+        load: tuple[float, ...],
+    ) -> None:
         if head.up and head.life == life:
             head._ended(pending, attempt, i.Result.SERVED, others, use, load)
 
@@ -703,8 +820,12 @@
 
     def _called_off(self, attempt: _Attempt) -> None:
         node = attempt.node
-        if node.up and node.life == attempt.life and attempt.work in node.waiting and \
-                node.behaviour.cancel(self.engine.now, attempt.work):
+        if (
+            node.up
+            and node.life == attempt.life
+            and attempt.work in node.waiting
+            and node.behaviour.cancel(self.engine.now, attempt.work)
+        ):
             node.waiting.pop(attempt.work, None)
             node.move()
 
@@ -713,8 +834,9 @@
     def entry(self, node: _Node, phase: i.Phase | None = None) -> i.ListEntry:
         zone = node.cell % len(self.zones)
         started = node.started if node.started >= 0 else 0.0
-        return i.ListEntry(node.number, zone, 0, node.cell, phase or i.Phase(node.phase), float(self.day.fleet.cores),
-                           started)
+        return i.ListEntry(
+            node.number, zone, 0, node.cell, phase or i.Phase(node.phase), float(self.day.fleet.cores), started
+        )
 
     def note_told(self, head: int, entry: i.ListEntry) -> None:
         age = self.engine.now - entry.started if entry.started > 0 else -1.0
@@ -772,8 +894,13 @@
             for head in self.heads:
                 if head.up and head.watching:
                     head.watching = False
-                    after(self.params.list_net, head._heard, head.life,
-                          i.NodeList(i.ListKind.FAILED, self.version, ()), False)
+                    after(
+                        self.params.list_net,
+                        head._heard,
+                        head.life,
+                        i.NodeList(i.ListKind.FAILED, self.version, ()),
+                        False,
+                    )
             after(x.length, self._list_back)
         elif x.kind == "list_late":
             self.list_late = x.size
--- a/fawnspool/net/client.py
+++ b/fawnspool/net/client.py
@@ -1,4 +1,5 @@
 """Connections to a server, kept alive and pooled: connect, send, read, each within a deadline."""
+
 from __future__ import annotations
 
 import errno
@@ -43,7 +44,7 @@
     def __init__(self, wire: Wire, lenient: bool = False) -> None:
         self.wire, self.fresh, self.used = wire, True, time.monotonic()
         self.lenient, self.surplus = lenient, False
-        self.until_close = False    # the close of the connection ends the present answer
+        self.until_close = False  # the close of the connection ends the present answer
         self.parser = ResponseParser(_LIMITS)
 
     def send(self, data: bytes, deadline: float) -> None:
@@ -75,7 +76,7 @@
             except OSError as bad:
                 raise Broken(f"while reading: {bad}") from None
             if not data and self.until_close and not self.parser.in_head:
-                self.parser.done = self.surplus = True      # whole, and the connection's last
+                self.parser.done = self.surplus = True  # whole, and the connection's last
                 return END
             if not data:
                 raise Broken("closed before the answer was whole")
@@ -115,8 +116,16 @@
     """Links to one address: at most `most` open at once, idle ones kept for `idle_close` seconds. cooldown: seconds for
     which a link rests between two requests, so that what comes late of the one is not taken for the other's."""
 
-    def __init__(self, address: tuple[str, int], most: int, connect_timeout: float, idle_close: float,
-                 on_open: Callable[[], None] | None = None, lenient: bool = False, cooldown: float = 0.0) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        most: int,
+        connect_timeout: float,
+        idle_close: float,
+        on_open: Callable[[], None] | None = None,
+        lenient: bool = False,
+        cooldown: float = 0.0,
+    ) -> None:
         self.address, self.most, self.lenient, self.cooldown = address, most, lenient, cooldown
         self.connect_timeout, self.idle_close = connect_timeout, idle_close
         self.idle: deque[Link] = deque()
@@ -125,8 +134,9 @@
 
     def at(self, address: tuple[str, int]) -> Pool:
         """An empty pool of the same bounds for another address."""
-        return Pool(address, self.most, self.connect_timeout, self.idle_close, self.on_open, self.lenient,
-                    self.cooldown)
+        return Pool(
+            address, self.most, self.connect_timeout, self.idle_close, self.on_open, self.lenient, self.cooldown
+        )
 
     def take(self, deadline: float) -> Link:
         """An idle link that is still whole, or a new one. Raises NotReached (also where all are in use)."""
@@ -191,8 +201,14 @@
             self.drop(self.idle.pop())
 
 
-def call(pool: Pool, method: bytes, target: bytes, deadline: float, body: bytes = b"",
-         headers: list[tuple[bytes, bytes]] | None = None) -> tuple[Status, bytes]:
+def call(
+    pool: Pool,
+    method: bytes,
+    target: bytes,
+    deadline: float,
+    body: bytes = b"",
+    headers: list[tuple[bytes, bytes]] | None = None,
+) -> tuple[Status, bytes]:
     """One request and its whole answer. Raises NotReached, Broken, BadMessage, TimeoutError.
 
     A kept connection that broke is replaced once by a new one: for calls that are safe to repeat only."""
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -3,6 +3,7 @@
 Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `BadMessage`; the connection it came
 on must then be closed, as nobody can tell where the next one begins.
 """
+
 from __future__ import annotations
 
 from collections import deque
@@ -11,17 +12,37 @@
 import httptools
 
 REASONS = {
-    100: b"Continue", 200: b"OK", 201: b"Created", 204: b"No Content", 206: b"Partial Content",
-    304: b"Not Modified", 400: b"Bad Request", 403: b"Forbidden", 404: b"Not Found",
-    405: b"Method Not Allowed", 408: b"Request Timeout", 409: b"Conflict", 411: b"Length Required",
-    412: b"Precondition Failed", 413: b"Content Too Large", 414: b"URI Too Long",
-    416: b"Range Not Satisfiable", 417: b"Expectation Failed",
-    421: b"Misdirected Request", 425: b"Too Early", 431: b"Request Header Fields Too Large",
-    500: b"Internal Server Error", 501: b"Not Implemented", 502: b"Bad Gateway",
-    503: b"Service Unavailable", 504: b"Gateway Timeout", 505: b"HTTP Version Not Supported"}
+    100: b"Continue",
+    200: b"OK",
+    201: b"Created",
+    204: b"No Content",
+    206: b"Partial Content",
+    304: b"Not Modified",
+    400: b"Bad Request",
+    403: b"Forbidden",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    411: b"Length Required",
+    412: b"Precondition Failed",
+    413: b"Content Too Large",
+    414: b"URI Too Long",
+    416: b"Range Not Satisfiable",
+    417: b"Expectation Failed",
+    421: b"Misdirected Request",
+    425: b"Too Early",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+    505: b"HTTP Version Not Supported",
+}
 STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
 _BEHIND = "bytes behind the answer's end"
-_OWS = b" \t"           # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
+_OWS = b" \t"  # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
 _ONCE = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
 
 
@@ -49,8 +70,8 @@
     target: bytes
     headers: dict[bytes, bytes]
     keep_alive: bool
-    length: int | None          # of the body, bytes; None: chunked
-    expects: bool               # the client waits for 100 (Continue)
+    length: int | None  # of the body, bytes; None: chunked
+    expects: bool  # the client waits for 100 (Continue)
 
 
 @dataclass(slots=True)
@@ -63,7 +84,7 @@
     length: int | None
 
 
-END = object()      # a message is whole
+END = object()  # a message is whole
 Event = Head | Status | bytes | object
 
 
@@ -86,13 +107,13 @@
         self._grow(len(part), 414)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        name, value = name.lower(), value.strip(_OWS)       # llhttp drops what stands before a value alone
+        name, value = name.lower(), value.strip(_OWS)  # llhttp drops what stands before a value alone
         self.count += 1
         self._grow(len(name) + len(value), 431)
         if self.count > self.limits.headers:
             raise self._no(431, f"more than {self.limits.headers} header fields")
         if not self.in_head:
-            return          # trailers are read and dropped
+            return  # trailers are read and dropped
         if name in self.headers:
             if name in _ONCE:
                 raise self._no(400, f"{name.decode()} stands twice")
@@ -138,8 +159,9 @@
         if expect is not None and expect.lower() != b"100-continue":
             raise self._no(417, "the only expectation met is 100-continue")
         length = None if coding is not None else int(h.get(b"content-length", b"0"))
-        self.events.append(Head(self.parser.get_method(), self.url, h, self.parser.should_keep_alive(),
-                                length, expect is not None))
+        self.events.append(
+            Head(self.parser.get_method(), self.url, h, self.parser.should_keep_alive(), length, expect is not None)
+        )
 
     def feed(self, data: bytes) -> None:
         """Take bytes; what they make stands in `events`. Raises BadMessage."""
@@ -176,8 +198,9 @@
         code, length = self.parser.get_status_code(), self.headers.get(b"content-length")
         if 100 <= code < 200:
             return
-        self.events.append(Status(code, self.headers, self.parser.should_keep_alive(),
-                                  None if length is None else int(length)))
+        self.events.append(
+            Status(code, self.headers, self.parser.should_keep_alive(), None if length is None else int(length))
+        )
 
     def on_message_complete(self) -> None:
         if self.parser.get_status_code() >= 200:
@@ -206,8 +229,9 @@
     return b"".join(out)
 
 
-def request_bytes(method: bytes, target: bytes, host: bytes, headers: list[tuple[bytes, bytes]],
-                  length: int | None = 0) -> bytes:
+def request_bytes(
+    method: bytes, target: bytes, host: bytes, headers: list[tuple[bytes, bytes]], length: int | None = 0
+) -> bytes:
     """A request's head. length 0: no body; None: chunked."""
     out = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
     out += [b"%s: %s\r\n" % row for row in headers]
--- a/fawnspool/net/nodewire.py
+++ b/fawnspool/net/nodewire.py
@@ -1,4 +1,5 @@
 """The headers between heads and nodes; docs/node-wire.md describes them. Reads and writes, decides nothing."""
+
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -21,12 +22,14 @@
     group: str
     window: float
     left: float
-    op: str              # the client's name for the operation
-    key: str             # idempotency key; "": none
+    op: str  # the client's name for the operation
+    key: str  # idempotency key; "": none
 
     def pack(self) -> bytes:
-        return (f"{self.head};{self.ident};{self.attempt};{self.cls};{self.units:g};{self.extent:x};{self.effect};"
-                f"{self.group};{self.window * 1000:.0f};{self.left * 1000:.0f};{self.op};{self.key}").encode()
+        return (
+            f"{self.head};{self.ident};{self.attempt};{self.cls};{self.units:g};{self.extent:x};{self.effect};"
+            f"{self.group};{self.window * 1000:.0f};{self.left * 1000:.0f};{self.op};{self.key}"
+        ).encode()
 
 
 def read_call(raw: bytes) -> Call:
@@ -34,8 +37,20 @@
     part = raw.decode("ascii").split(";")
     if len(part) != 12:
         raise ValueError(f"fawn-call has {len(part)} parts, expected 12")
-    return Call(int(part[0]), int(part[1]), int(part[2]), int(part[3]), float(part[4]), int(part[5], 16), part[6],
-                part[7], float(part[8]) / 1000, float(part[9]) / 1000, part[10], part[11])
+    return Call(
+        int(part[0]),
+        int(part[1]),
+        int(part[2]),
+        int(part[3]),
+        float(part[4]),
+        int(part[5], 16),
+        part[6],
+        part[7],
+        float(part[8]) / 1000,
+        float(part[9]) / 1000,
+        part[10],
+        part[11],
+    )
 
 
 @dataclass(slots=True)
@@ -57,8 +72,9 @@
     if raw is None:
         return Told()
     others, use, load, full = raw.decode("ascii").split(";")
-    return Told(int(others), float(use) if use else None,
-                tuple(float(x) for x in load.split(",")) if load else (), full == "1")
+    return Told(
+        int(others), float(use) if use else None, tuple(float(x) for x in load.split(",")) if load else (), full == "1"
+    )
 
 
 def read_moved(raw: bytes | None) -> tuple[int, int] | None:
--- a/fawnspool/net/ranges.py
+++ b/fawnspool/net/ranges.py
@@ -1,4 +1,5 @@
 """Byte ranges and entity tags of RFC 9110, read from header fields. No I/O."""
+
 from __future__ import annotations
 
 import re
--- a/fawnspool/records/behind.py
+++ b/fawnspool/records/behind.py
@@ -4,13 +4,14 @@
 `write` for a tenth of a second. So a head hands its recording, its saved list and its spans to this thread.
 What waits is bounded: a disk that never comes back must not fill the memory.
 """
+
 from __future__ import annotations
 
 import threading
 from collections import deque
 from collections.abc import Callable
 
-MOST = 64 << 20         # bytes that may wait
+MOST = 64 << 20  # bytes that may wait
 
 
 class Behind:
@@ -19,7 +20,7 @@
 
     def __init__(self, most: int = MOST) -> None:
         self.most = most
-        self.waits = 0              # bytes handed over and not yet done
+        self.waits = 0  # bytes handed over and not yet done
         self.error = ""
         self._work: deque[tuple[Callable[[], None], int]] = deque()
         self._ready = threading.Condition()
--- a/fawnspool/records/frames.py
+++ b/fawnspool/records/frames.py
@@ -6,6 +6,7 @@
 A writer appends whole frames with one system call each batch, so a killed process leaves at most one torn frame
 at the end. A reader gives every whole frame and says where and why it stopped.
 """
+
 from __future__ import annotations
 
 import os
@@ -18,7 +19,7 @@
 import msgspec
 
 MAGIC = b"FAWNREC1"
-MOST = 16 << 20          # bytes of one frame
+MOST = 16 << 20  # bytes of one frame
 _HEAD = struct.Struct(">II")
 
 
@@ -69,7 +70,7 @@
         """Write whole frames. Raises OSError; what was written then ends in a torn frame."""
         view = memoryview(data)
         while view:
-            view = view[os.write(self.fd, view):]
+            view = view[os.write(self.fd, view) :]
 
     def flush(self) -> None:
         self.write(self.taken())
--- a/fawnspool/records/module.py
+++ b/fawnspool/records/module.py
@@ -4,6 +4,7 @@
 text. Every further frame is [now, event, [action, ...], error] of one `handle`; events and actions are
 [code, field, ...] in the order of `fawnspool.interface`. A new code goes to the end of its table.
 """
+
 from __future__ import annotations
 
 import dataclasses
@@ -21,13 +22,36 @@
 from fawnspool.records.frames import Reader, RecordingError, Writer
 
 FORM, VERSION = "module", 1
-EVENTS: tuple[type[Any], ...] = (i.NodeList, i.Request, i.Begun, i.Outcome, i.ClientGone, i.Timer, i.Probed,
-                                 i.PeerMessage, i.Takers, i.Hearsay)
-ACTIONS: tuple[type[Any], ...] = (i.Send, i.Refuse, i.Fail, i.Cancel, i.SetTimer, i.Probe, i.CloseIdle, i.Tell,
-                                  i.Log, i.Watch, i.FetchList)
+EVENTS: tuple[type[Any], ...] = (
+    i.NodeList,
+    i.Request,
+    i.Begun,
+    i.Outcome,
+    i.ClientGone,
+    i.Timer,
+    i.Probed,
+    i.PeerMessage,
+    i.Takers,
+    i.Hearsay,
+)
+ACTIONS: tuple[type[Any], ...] = (
+    i.Send,
+    i.Refuse,
+    i.Fail,
+    i.Cancel,
+    i.SetTimer,
+    i.Probe,
+    i.CloseIdle,
+    i.Tell,
+    i.Log,
+    i.Watch,
+    i.FetchList,
+)
 # A field that came later has a default: recordings made before it leave it out.
-_NEEDED = {kind: sum(f.default is dataclasses.MISSING for f in dataclasses.fields(kind))
-           for kind in (*EVENTS, *ACTIONS, i.ListEntry)}
+_NEEDED = {
+    kind: sum(f.default is dataclasses.MISSING for f in dataclasses.fields(kind))
+    for kind in (*EVENTS, *ACTIONS, i.ListEntry)
+}
 _NAMES = {kind: tuple(f.name for f in dataclasses.fields(kind)) for kind in (*EVENTS, *ACTIONS, i.ListEntry)}
 _EVENT_CODE = {kind: k for k, kind in enumerate(EVENTS)}
 _ACTION_CODE = {kind: k for k, kind in enumerate(ACTIONS)}
@@ -93,11 +117,12 @@
 def module_hash(policy: Any) -> str:
     """A short hash of the source that a policy's class stands in."""
     import sys
+
     source = sys.modules[type(policy).__module__].__file__
     return hashlib.sha256(Path(source or "").read_bytes()).hexdigest()[:16] if source else ""
 
 
-KEPT = 16               # earlier lives beside a recording
+KEPT = 16  # earlier lives beside a recording
 
 
 def make_way(path: str | Path, kept: int = KEPT) -> None:
@@ -108,11 +133,11 @@
         return
     lives: dict[int, Path] = {}
     for other in path.parent.glob(f"{path.stem}.*{path.suffix}"):
-        number = other.name[len(path.stem) + 1:len(other.name) - len(path.suffix)]
+        number = other.name[len(path.stem) + 1 : len(other.name) - len(path.suffix)]
         if number.isdigit():
             lives[int(number)] = other
     path.rename(path.with_name(f"{path.stem}.{max(lives, default=0) + 1}{path.suffix}"))
-    for old in sorted(lives)[:max(0, len(lives) + 1 - kept)]:
+    for old in sorted(lives)[: max(0, len(lives) + 1 - kept)]:
         lives[old].unlink()
 
 
@@ -121,13 +146,28 @@
     can't be written on (a full disk, a disk too slow) stops where it is, which `stopped` tells: what it holds up to
     there stays readable, and the program it records goes on."""
 
-    def __init__(self, path: str | Path, policy_name: str, settings: i.Settings, seed: int, module: str,
-                 behind: Behind | None = None) -> None:
+    def __init__(
+        self,
+        path: str | Path,
+        policy_name: str,
+        settings: i.Settings,
+        seed: int,
+        module: str,
+        behind: Behind | None = None,
+    ) -> None:
         make_way(path)
         self.writer, self.behind = Writer(path), behind
         self.stopped = ""
-        self.writer.put({"form": FORM, "version": VERSION, "policy": policy_name, "seed": seed,
-                         "settings": msgspec.to_builtins(settings), "module": module})
+        self.writer.put(
+            {
+                "form": FORM,
+                "version": VERSION,
+                "policy": policy_name,
+                "seed": seed,
+                "settings": msgspec.to_builtins(settings),
+                "module": module,
+            }
+        )
 
     def note(self, now: float, event: Any, actions: list[Any], error: str = "") -> None:
         if self.stopped:
@@ -191,7 +231,7 @@
 
     events: int = 0
     actions: int = 0
-    differs: str = ""            # the first difference, in words; "": none
+    differs: str = ""  # the first difference, in words; "": none
     torn: str = ""
 
 
@@ -206,7 +246,7 @@
         try:
             got = [action_row(a) for a in module.handle(now, told)]
             raised = ""
-        except Exception as bad:    # what it had asked for until then counts, as in the head's loop
+        except Exception as bad:  # what it had asked for until then counts, as in the head's loop
             asked = getattr(module, "acts", None)
             got = [action_row(a) for a in asked] if asked is not None and asked is not before else []
             raised = f"{type(bad).__name__}: {bad}"
--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -1,4 +1,5 @@
 """What the platform tells a head: environment, configuration file, settings. Read, checked, passed on unchanged."""
+
 from __future__ import annotations
 
 import errno
@@ -30,12 +31,12 @@
     discovery: tuple[str, int]
     seed: int
     sockets: int
-    memory: int                 # bytes
+    memory: int  # bytes
     known: Mapping[str, Any]
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    idle_close: float           # a connection idle for this long is closed by the other side, seconds
+    idle_close: float  # a connection idle for this long is closed by the other side, seconds
 
 
 def load(path: str, environ: Mapping[str, str]) -> RelayConfig:
@@ -43,8 +44,11 @@
     try:
         tree = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as bad:
-        raise ConfigError(f"{path}: {bad.strerror}; RELAY_CONFIG names the configuration",
-                          bad.errno in (errno.EMFILE, errno.ENFILE), bad.errno == errno.ENOENT) from None
+        raise ConfigError(
+            f"{path}: {bad.strerror}; RELAY_CONFIG names the configuration",
+            bad.errno in (errno.EMFILE, errno.ENFILE),
+            bad.errno == errno.ENOENT,
+        ) from None
     except (ValueError, RecursionError) as bad:
         raise ConfigError(f"{path}: not JSON: {bad}", not_whole=True) from None
     if not isinstance(tree, dict):
@@ -58,11 +62,15 @@
             name=str(tree.get("name") or environ.get("RELAY_NAME", "")),
             listen=_address(path, "listen", tree.get("listen") or environ.get("RELAY_LISTEN")),
             discovery=_address(path, "discovery", tree.get("discovery") or environ.get("RELAY_DISCOVERY")),
-            seed=_seed(path, tree.get("seed", 0)), sockets=int(limits.get("sockets", 1024)),
+            seed=_seed(path, tree.get("seed", 0)),
+            sockets=int(limits.get("sockets", 1024)),
             memory=int(float(limits.get("memory_mb", 192)) * 2**20),
-            known=known if isinstance(known, dict) else {}, settings=read_tree(settings),
-            zones=_names(settings, "localities"), kinds=_names(settings, "kinds"),
-            idle_close=float((settings.get("limits") or {}).get("idle_close", 15.0)))
+            known=known if isinstance(known, dict) else {},
+            settings=read_tree(settings),
+            zones=_names(settings, "localities"),
+            kinds=_names(settings, "kinds"),
+            idle_close=float((settings.get("limits") or {}).get("idle_close", 15.0)),
+        )
     except SettingsError as bad:
         raise ConfigError(f"{path}: settings: {bad}") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as bad:
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -1,4 +1,5 @@
 """The platform's list of shelfs, as `NodeList` events. Inside, a shelf is a node and its block a cell."""
+
 from __future__ import annotations
 
 import json
@@ -14,7 +15,7 @@
 from fawnspool.head.listlink import ListLink
 
 PLACE = b"/catalog/members"
-HEARTBEAT_S = 2.0            # while nothing changes, a watch says so this often (PROTOCOL, Discovery)
+HEARTBEAT_S = 2.0  # while nothing changes, a watch says so this often (PROTOCOL, Discovery)
 _PHASES = {"active": i.Phase.READY, "leaving": i.Phase.DRAINING, "left": i.Phase.GONE}
 
 
@@ -31,8 +32,15 @@
 class Discovery(ListLink):
     """The list as this head has it. Shelfs are numbered here as they appear; a number is never given again."""
 
-    def __init__(self, address: tuple[str, int], zones: tuple[str, ...], kinds: tuple[str, ...],
-                 tell: Callable[[Any], None], log: Any, free_descriptor: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        tell: Callable[[Any], None],
+        log: Any,
+        free_descriptor: Callable[[], bool] = lambda: False,
+    ) -> None:
         times = watch_times(HEARTBEAT_S)
         super().__init__(address, times.call, times.silence, tell, log, free_descriptor)
         self.zones, self.kinds = zones, kinds
@@ -41,8 +49,8 @@
         self.starts = StartTimes()
         self.starts.look(time.time(), time.monotonic())
         self.last = 0
-        self.older = 0                  # lists older than what is held, in a row
-        self.confirmed = False          # has the service said anything of the list that is held?
+        self.older = 0  # lists older than what is held, in a row
+        self.confirmed = False  # has the service said anything of the list that is held?
 
     def fetch(self) -> None:
         """Where lists are pushed, the push is a watch too: without one nothing would come after the first answer."""
@@ -67,7 +75,7 @@
         self.log.info("discovery moves", to=f"{address[0]}:{address[1]}")
         old, watched = self.pool, self.watching is not None
         self.pool = old.at(address)
-        self.watch(False)               # what the old place still says tells nothing any more
+        self.watch(False)  # what the old place still says tells nothing any more
         old.close_idle()
         if watched:
             self.watch(True)
@@ -88,7 +96,7 @@
         whole, version = bool(told.get("whole", True)), _version(told)
         if version < self.version:
             if not whole:
-                return          # heard before
+                return  # heard before
             self.older += 1
             if not believes_older(self.older):
                 raise ValueError(f"a list of {version}, older than {self.version}")
@@ -128,20 +136,29 @@
         if state not in _PHASES:
             raise ValueError(f"health: expected one of {', '.join(_PHASES)}, found {state!r}")
         host, _, port = str(row["dial"]).rpartition(":")
-        phase, cell, share, born = _PHASES[state], int(row["block"]), float(row.get("share", 1.0)), \
-            float(row.get("born_ms", 0))
+        phase, cell, share, born = (
+            _PHASES[state],
+            int(row["block"]),
+            float(row.get("share", 1.0)),
+            float(row.get("born_ms", 0)),
+        )
         if not math.isfinite(share + born):
             raise ValueError("share and born_ms: expected numbers")
         shelf = Shelf(name, (host, int(port)), phase, cell)
         zone, made = row.get("site"), row.get("class")
         node = self.numbers.get(name)
-        if node is None:            # it reads whole, so a number is not given in vain
+        if node is None:  # it reads whole, so a number is not given in vain
             self.last += 1
             node = self.numbers[name] = self.last
         return i.ListEntry(
-            node, self.zones.index(zone) if zone in self.zones else 0,
-            self.kinds.index(made) if made in self.kinds else 0, cell, phase, share,
-            self.starts.started(name, born / 1000, now)), shelf
+            node,
+            self.zones.index(zone) if zone in self.zones else 0,
+            self.kinds.index(made) if made in self.kinds else 0,
+            cell,
+            phase,
+            share,
+            self.starts.started(name, born / 1000, now),
+        ), shelf
 
 
 def _version(told: Mapping[str, Any]) -> int:
--- a/fawnspool/relay/front.py
+++ b/fawnspool/relay/front.py
@@ -4,6 +4,7 @@
 
 Nothing malformed reaches the module.
 """
+
 from __future__ import annotations
 
 import math
@@ -21,7 +22,7 @@
 
 HEALTH = b"/_health"
 HEAD_BYTES, HEAD_FIELDS = 8192, 40
-TURN = 16               # requests begun in one turn of the loop, at most
+TURN = 16  # requests begun in one turn of the loop, at most
 _TEXT = (b"Content-Type", b"text/plain")
 _IDENT = re.compile(rb"[!-~]{1,128}")
 _OBJECT = re.compile(rb"[0-9a-fA-F]{1,16}")
@@ -35,15 +36,27 @@
     def __init__(self, core: Core, settings: Settings, listen: tuple[str, int], places: Places, memory: int) -> None:
         """memory: bytes that the head may use in all."""
         self.core, self.settings, self.memory = core, settings, memory
-        self.long = dict[Exchange, int]()           # bytes of bodies over the usual size in hand
-        self.held = 0                               # their sum
+        self.long = dict[Exchange, int]()  # bytes of bodies over the usual size in hand
+        self.held = 0  # their sum
         self.classes = {c.name.encode(): k for k, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): k for k, p in enumerate(settings.plans)}
-        self.open: dict[bytes, Pending] = {}        # by the client's id: one that is open is not taken twice
-        self.until = math.inf                       # all answers have left by then (monotonic)
-        self.server = Server(listen, self.handle, limits=Limits(HEAD_BYTES, HEAD_FIELDS), idle_close=KEPT,
-                             silent_close=QUIET, piece_timeout=QUIET, most=places.clients, on_error=self._error,
-                             on_bad=self._bad, turn=TURN, due=self._due, evicts=True, crowd=places.crowd)
+        self.open: dict[bytes, Pending] = {}  # by the client's id: one that is open is not taken twice
+        self.until = math.inf  # all answers have left by then (monotonic)
+        self.server = Server(
+            listen,
+            self.handle,
+            limits=Limits(HEAD_BYTES, HEAD_FIELDS),
+            idle_close=KEPT,
+            silent_close=QUIET,
+            piece_timeout=QUIET,
+            most=places.clients,
+            on_error=self._error,
+            on_bad=self._bad,
+            turn=TURN,
+            due=self._due,
+            evicts=True,
+            crowd=places.crowd,
+        )
         self.server.on_unanswered = self._unanswered
 
     def start(self) -> None:
@@ -65,9 +78,14 @@
         """A request was read and its connection ends without an answer."""
         head = conn.exchange.head if conn.exchange is not None else None
         ident = b"" if head is None else head.headers.get(b"request-id", b"")
-        self.core.log.error("request left unanswered", id=ident.decode("ascii", "replace"), connection=conn.number,
-                            connection_age_s=round(time.monotonic() - conn.opened, 4), state=conn.state.value,
-                            cause=conn.cause.value if conn.cause is not None else "")
+        self.core.log.error(
+            "request left unanswered",
+            id=ident.decode("ascii", "replace"),
+            connection=conn.number,
+            connection_age_s=round(time.monotonic() - conn.opened, 4),
+            state=conn.state.value,
+            cause=conn.cause.value if conn.cause is not None else "",
+        )
 
     def _due(self, head: MessageHead, came: float) -> float:
         """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
@@ -109,8 +127,20 @@
             raise BadMessage(409, "a request of this id is open")
         cls, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
         margin = min(self.settings.answer_slack, patience / 4)
-        pending = Pending(req, head.method, head.target, forward, Body(body, len(body)), exchange, ident.decode(), "",
-                          exchange.came, exchange.came + patience - margin, cls.name, plan.name)
+        pending = Pending(
+            req,
+            head.method,
+            head.target,
+            forward,
+            Body(body, len(body)),
+            exchange,
+            ident.decode(),
+            "",
+            exchange.came,
+            exchange.came + patience - margin,
+            cls.name,
+            plan.name,
+        )
         pending.deadline = min(pending.deadline, self.until)
         self.open[ident] = pending
         try:
@@ -149,8 +179,19 @@
         if spec.effect is Effect.KEYED and b"idempotency-key" not in h:
             raise BadMessage(400, "this class needs an Idempotency-Key")
         patience = min(int(wait) / 1000, spec.deadline)
-        return Request(self.core.next_id(), cls, plan, int(extent, 16), patience, int(io[1], 16), float(units), cell,
-                       heads, h.get(b"client-retry") == b"1", head.method == b"PUT"), patience
+        return Request(
+            self.core.next_id(),
+            cls,
+            plan,
+            int(extent, 16),
+            patience,
+            int(io[1], 16),
+            float(units),
+            cell,
+            heads,
+            h.get(b"client-retry") == b"1",
+            head.method == b"PUT",
+        ), patience
 
     def _body(self, exchange: Exchange) -> bytes:
         parts = []
--- a/fawnspool/relay/shelfs.py
+++ b/fawnspool/relay/shelfs.py
@@ -1,4 +1,5 @@
 """How shelfs are spoken to: one request's head, and what an answer of theirs means. No I/O, no choices."""
+
 from __future__ import annotations
 
 import math
@@ -10,8 +11,8 @@
 from fawnspool.interface import Settings
 from fawnspool.net.http import Status, request_bytes
 
-BODY_USUAL = 65536              # bytes of a body (PROTOCOL)
-BODY_MOST = 1 << 20             # good ones of 112 KB from clients and 400 KB from shelfs were seen all the same
+BODY_USUAL = 65536  # bytes of a body (PROTOCOL)
+BODY_MOST = 1 << 20  # good ones of 112 KB from clients and 400 KB from shelfs were seen all the same
 _NOT_STARTED = b"not-started"
 
 
@@ -26,8 +27,13 @@
 
     def head(self, pending: Pending, attempt: Attempt) -> bytes:
         left = max(1, round((attempt.deadline - time.monotonic()) * 1000))
-        return request_bytes(pending.method, pending.target, b"shelf", [
-            *pending.forward, (b"Request-Timeout-Ms", b"%d" % left)], pending.body.length)
+        return request_bytes(
+            pending.method,
+            pending.target,
+            b"shelf",
+            [*pending.forward, (b"Request-Timeout-Ms", b"%d" % left)],
+            pending.body.length,
+        )
 
     def told(self, pending: Pending, status: Status) -> Heard:
         h = status.headers
@@ -47,7 +53,7 @@
             return Ending.ANSWERED
         if status.code in (503, 504) and status.headers.get(_NOT_STARTED) == b"1":
             return Ending.TURNED_AWAY
-        return Ending.NODE_ERROR        # 500, and whatever else can't be read as "never ran"
+        return Ending.NODE_ERROR  # 500, and whatever else can't be read as "never ran"
 
 
 def _figure(raw: bytes | None) -> float | None:
--- a/fawnspool/rollout/decide.py
+++ b/fawnspool/rollout/decide.py
@@ -8,6 +8,7 @@
 Robbins (1970), in the form of Howard, Ramdas, McAuliffe and Sekhon (2021), eq. 14, with the variance estimated. Calm
 windows and surges have a sequence each, as a version can be worse under a surge alone.
 """
+
 from __future__ import annotations
 
 import math
@@ -17,7 +18,7 @@
 
 from fawnspool.rollout.plan import Batch, Bound, quantile
 
-_PRIOR = 6              # windows that the expected spread counts for
+_PRIOR = 6  # windows that the expected spread counts for
 
 
 class Verdict(Enum):
@@ -78,11 +79,12 @@
             return self.mean, -math.inf, math.inf
         freedom = _PRIOR + self.n - 1
         # The variance is an estimate: it is taken as large as it may well be (a tenth of its distribution).
-        variance = (_PRIOR * usual ** 2 + self.squares) / (freedom * _low_share(freedom))
-        best = max(1, self.least)           # the bounds are tightest at about so many windows
+        variance = (_PRIOR * usual**2 + self.squares) / (freedom * _low_share(freedom))
+        best = max(1, self.least)  # the bounds are tightest at about so many windows
         rho = best / (2 * math.log(1 / self.alpha) + math.log(1 + 2 * math.log(1 / self.alpha)))
-        spread = math.sqrt((self.n + rho) / self.n ** 2 * (math.log((self.n + rho) / rho)
-                                                           - 2 * math.log(self.alpha)) * variance)
+        spread = math.sqrt(
+            (self.n + rho) / self.n**2 * (math.log((self.n + rho) / rho) - 2 * math.log(self.alpha)) * variance
+        )
         return self.mean, self.mean - spread, self.mean + spread
 
 
@@ -95,19 +97,19 @@
     """Drives one roll-out. `begin_batch` gives the heads to restart, `saw` the verdict on a window; a GO_BACK names no
     heads itself: `upgraded` holds them. Nothing in it grows with time."""
 
-    KEEP = 64               # windows over which a head's usual share is averaged
+    KEEP = 64  # windows over which a head's usual share is averaged
 
     def __init__(self, batches: list[Batch], bound: Bound, spread: float) -> None:
         bound.check()
         self.batches, self.bound, self.spread = batches, bound, spread
         self.fleet = frozenset(h for b in batches for h in b.heads)
-        self.at = -1                        # the batch that is being watched
+        self.at = -1  # the batch that is being watched
         self.upgraded: set[int] = set()
-        self.usual: dict[int, tuple[int, float]] = {}       # of each head: windows seen, mean share in calm ones
-        self.base: dict[int, tuple[int, float]] = {}        # the same when the batch restarted
-        self.noise, self.freedom = 0.0, 0   # squares and degrees of heads' windows beside the fleet's
+        self.usual: dict[int, tuple[int, float]] = {}  # of each head: windows seen, mean share in calm ones
+        self.base: dict[int, tuple[int, float]] = {}  # the same when the batch restarted
+        self.noise, self.freedom = 0.0, 0  # squares and degrees of heads' windows beside the fleet's
         self.waited = self.stable = 0
-        self.lost = 0.0                     # head-seconds of worth that the version seems to have cost
+        self.lost = 0.0  # head-seconds of worth that the version seems to have cost
         self.budget = bound.spend * len(self.fleet) * bound.span
         self.surges = 0
         self.ended: Decision | None = None
@@ -165,8 +167,12 @@
         self._learn(window)
         calm, surge = self._known(self.calm), self._known(self.surge)
         if self.lost > self.budget:
-            return Decision(Verdict.GO_BACK, f"{self.lost:.0f} head-seconds of worth seem lost, {self.budget:.0f} are "
-                                             "the bound", calm, surge)
+            return Decision(
+                Verdict.GO_BACK,
+                f"{self.lost:.0f} head-seconds of worth seem lost, {self.budget:.0f} are the bound",
+                calm,
+                surge,
+            )
         for name, known in (("in calm windows", calm), ("under a surge", surge)):
             if known is not None and known[2] < -self.bound.loss:
                 why = f"worse by {-known[0]:.3f} {name}, at least {-known[2]:.3f}"
@@ -183,8 +189,11 @@
     def _learn(self, window: Window) -> None:
         if window.load >= self.bound.surge_at:
             return
-        steps = [(x - self.usual[h][1], self.usual[h][0]) for h, x in window.shares.items()
-                 if h not in window.away and h in self.usual]
+        steps = [
+            (x - self.usual[h][1], self.usual[h][0])
+            for h, x in window.shares.items()
+            if h not in window.away and h in self.usual
+        ]
         if len(steps) > 2 and self.freedom < 4096:
             middle = sum(x for x, _ in steps) / len(steps)
             self.noise += sum((x - middle) ** 2 / (1 + 1 / n) for x, n in steps)
@@ -192,7 +201,7 @@
         for h, share in window.shares.items():
             if h not in window.away:
                 n, mean = self.usual.get(h, (0, 0.0))
-                n = min(n + 1, self.KEEP)       # the more recent past counts
+                n = min(n + 1, self.KEEP)  # the more recent past counts
                 self.usual[h] = n, mean + (share - mean) / n
 
     def _certain(self, window: Window) -> Decision | None:
@@ -206,8 +215,9 @@
         ours = sum(n for h, n in window.raised.items() if h in self.upgraded)
         if ours and not others:
             worst = max((n, h) for h, n in window.raised.items() if h in self.upgraded)
-            return Decision(Verdict.GO_BACK, f"the module raised {ours} times on upgraded heads, {worst[0]} on head "
-                                             f"{worst[1]}")
+            return Decision(
+                Verdict.GO_BACK, f"the module raised {ours} times on upgraded heads, {worst[0]} on head {worst[1]}"
+            )
         silent = sorted(h for h in window.missing if h in self.upgraded and h not in window.away)
         if silent and not any(h not in self.upgraded for h in window.missing):
             return Decision(Verdict.GO_BACK, f"upgraded heads do not report: {', '.join(map(str, silent[:8]))}")
@@ -233,17 +243,27 @@
         unsure = quantile((1 + self.bound.level) / 2) * spread * math.sqrt(past)
         return mean, low - unsure, high + unsure
 
-    def _proven(self, calm: tuple[float, float, float] | None,
-                surge: tuple[float, float, float] | None) -> Decision:
+    def _proven(self, calm: tuple[float, float, float] | None, surge: tuple[float, float, float] | None) -> Decision:
         batch, bound = self.batches[self.at], self.bound
         last = self.at + 1 == len(self.batches)
         well = calm is not None and self.calm.n >= batch.watch and calm[1] > -bound.loss
-        if well and surge is not None and self.surge.n >= 2 and surge[1] <= -bound.loss and \
-                surge[0] < -bound.loss and self.waited < bound.windows[1]:
+        if (
+            well
+            and surge is not None
+            and self.surge.n >= 2
+            and surge[1] <= -bound.loss
+            and surge[0] < -bound.loss
+            and self.waited < bound.windows[1]
+        ):
             return Decision(Verdict.WAIT, "well in calm windows, in doubt under a surge", calm, surge)
         after = len(self.upgraded) + (0 if last else len(self.batches[self.at + 1].heads))
-        if well and not last and self.surges < bound.surge_windows and after > bound.unseen * len(self.fleet) and \
-                self.waited < bound.windows[1]:
+        if (
+            well
+            and not last
+            and self.surges < bound.surge_windows
+            and after > bound.unseen * len(self.fleet)
+            and self.waited < bound.windows[1]
+        ):
             return Decision(Verdict.WAIT, "well so far, but no surge was seen under it", calm, surge)
         if well:
             why = f"not worse by {bound.loss:g}: {calm[0]:+.3f}, at least {calm[1]:+.3f}" if calm else ""
--- a/fawnspool/rollout/plan.py
+++ b/fawnspool/rollout/plan.py
@@ -4,6 +4,7 @@
 lost (`worst`). After each batch that was let through, what may still be lost a head and second is the bound that was
 proven for it, so the next batch may be larger. Sizes thus follow from the bound, not from a fixed ladder.
 """
+
 from __future__ import annotations
 
 import math
@@ -89,7 +90,7 @@
     heads: tuple[int, ...]
     rounds: tuple[tuple[int, ...], ...]
     watch: int
-    risk: float                  # worth lost at the most, in head-seconds, if the version is bad
+    risk: float  # worth lost at the most, in head-seconds, if the version is bad
 
 
 def windows_needed(bound: Bound, spread: float, heads: int) -> int:
@@ -121,7 +122,7 @@
         raise PlanError(f"{len(fleet)} heads: a roll-out needs two or more, or there is nothing to compare with")
     if not 0 < spread < math.inf:
         raise PlanError(f"spread: expected over 0, found {spread!r}")
-    budget = bound.spend * len(fleet) * bound.span      # head-seconds of full worth
+    budget = bound.spend * len(fleet) * bound.span  # head-seconds of full worth
     away = bound.away(len(fleet))
     order = _order(fleet, seed)
     out: list[Batch] = []
@@ -130,16 +131,18 @@
         size = _size(bound, spread, budget, proven, done, len(order))
         if size < 1:
             watch = windows_needed(bound, spread, 1)
-            raise PlanError(f"one head watched for {watch * bound.window:g} s risks {watch * bound.window * proven:g} "
-                            f"head-seconds and only half of {budget:.1f} may be lost on a batch: raise spend or "
-                            "loss, or shorten the window")
-        heads = order[done:done + size]
+            raise PlanError(
+                f"one head watched for {watch * bound.window:g} s risks {watch * bound.window * proven:g} "
+                f"head-seconds and only half of {budget:.1f} may be lost on a batch: raise spend or "
+                "loss, or shorten the window"
+            )
+        heads = order[done : done + size]
         watch = windows_needed(bound, spread, size)
         risk = size * watch * bound.window * proven
         out.append(Batch(tuple(h.number for h in heads), rounds(heads, away), watch, risk))
         budget -= risk if proven == bound.worst else 0.0
         done += size
-        proven = bound.loss         # what the verdict on this batch has shown, or there is no next one
+        proven = bound.loss  # what the verdict on this batch has shown, or there is no next one
     return out
 
 
@@ -152,7 +155,7 @@
     if done < bound.unseen * fleet:
         most = min(most, max(1, int(bound.unseen * fleet) - done))
     if proven < bound.worst:
-        return max(1, min(most, max(2 * done, 1)))      # at most thrice as many in all as have been shown to be well
+        return max(1, min(most, max(2 * done, 1)))  # at most thrice as many in all as have been shown to be well
     # A larger batch is watched for a shorter time, so its risk grows only once the watch is as short as it may be.
     best = 0
     for size in range(1, most + 1):
@@ -174,9 +177,13 @@
         sizes[h.zone] += 1
     out: list[HeadFact] = []
     while left:
-        at = min(range(len(left)), key=lambda k: (
-            zones[left[k].zone] / sizes[left[k].zone],
-            max((volumes[v] / n for v, n in left[k].volumes), default=0.0)))
+        at = min(
+            range(len(left)),
+            key=lambda k: (
+                zones[left[k].zone] / sizes[left[k].zone],
+                max((volumes[v] / n for v, n in left[k].volumes), default=0.0),
+            ),
+        )
         head = left.pop(at)
         zones[head.zone] += 1
         for name, _ in head.volumes:
--- a/fawnspool/rules/duties.py
+++ b/fawnspool/rules/duties.py
@@ -4,6 +4,7 @@
 A head's own records (took, until, lost) are asked for one thing alone, whether two say that they hold; all else is
 the nodes' and the map service's.
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -15,7 +16,7 @@
 from fawnspool.rules.story import Row, Story
 
 Broke = Callable[[float, str], None]
-FLIGHT = 0.06           # seconds that a step may be on its way (judge.MOST), beside the margin of a lease
+FLIGHT = 0.06  # seconds that a step may be on its way (judge.MOST), beside the margin of a lease
 
 
 @dataclass
@@ -28,7 +29,7 @@
     fenced: int = 0
     handed_over: int = 0
     without_cause: int = 0
-    relieved: int = 0               # passed on as the holder had more than its part, or by hand
+    relieved: int = 0  # passed on as the holder had more than its part, or by hand
     moved: int = 0
     left: int = 0
 
@@ -53,8 +54,11 @@
     for row in story.drains:
         out.left += row["left"]
         if row["missing"] or row["twice"]:
-            broke(row["t"], f"at the end {row['missing']} extents were nowhere and {row['twice']} in two places: "
-                  f"{row.get('named', '')}")
+            broke(
+                row["t"],
+                f"at the end {row['missing']} extents were nowhere and {row['twice']} in two places: "
+                f"{row.get('named', '')}",
+            )
         if drained and row["left"]:
             broke(row["t"], f"{row['left']} extents still lie in a drained cell")
     return out
@@ -71,8 +75,9 @@
             broke(row["t"], f"place {place} took {row['what']} of {row['vol']}/{row['key']} without a token")
             continue
         if token < newest.get((place, duty), 0):
-            broke(row["t"], f"place {place} took {row['what']} of {duty} under token {token} after "
-                  f"{newest[place, duty]}")
+            broke(
+                row["t"], f"place {place} took {row['what']} of {duty} under token {token} after {newest[place, duty]}"
+            )
         newest[place, duty] = max(token, newest.get((place, duty), 0))
         life = lives.setdefault((duty, token), (row["who"], row["head"]))
         if life[0] != row["who"]:
@@ -88,11 +93,19 @@
         newer = [t for token, t in first.get(row["duty"], {}).items() if token > row["token"]]
         if not newer or row["t"] <= min(newer) + FLIGHT + lease / 10:
             continue
-        if not any(x["head"] == row["head"] and x["what"] in ("stopped", "held back") and
-                   x["t"] <= row["t"] and x["until"] >= min(newer) - 2 * lease for x in story.faults):
+        if not any(
+            x["head"] == row["head"]
+            and x["what"] in ("stopped", "held back")
+            and x["t"] <= row["t"]
+            and x["until"] >= min(newer) - 2 * lease
+            for x in story.faults
+        ):
             did = "acted" if row["k"] == "effect" else "tried to act"
-            broke(row["t"], f"{row['duty']}: head {row['head']} {did} at {row['node']}, token {row['token']}, "
-                  f"{row['t'] - min(newer):.3f} s after a newer holder had")
+            broke(
+                row["t"],
+                f"{row['duty']}: head {row['head']} {did} at {row['node']}, token {row['token']}, "
+                f"{row['t'] - min(newer):.3f} s after a newer holder had",
+            )
 
 
 def _rising(story: Story, broke: Broke) -> None:
@@ -103,11 +116,17 @@
             used[row["duty"]].append(row)
     for row in story.duties:
         if row["what"] == "took":
-            higher = [e for e in used[row["duty"]] if e["t"] < row["t"] and e["who"] != row["who"]
-                      and e["token"] >= row["token"]]
+            higher = [
+                e
+                for e in used[row["duty"]]
+                if e["t"] < row["t"] and e["who"] != row["who"] and e["token"] >= row["token"]
+            ]
             if higher:
-                broke(row["t"], f"{row['duty']}: head {row['head']} was given token {row['token']}, head "
-                      f"{higher[0]['head']} had borne {higher[0]['token']}")
+                broke(
+                    row["t"],
+                    f"{row['duty']}: head {row['head']} was given token {row['token']}, head "
+                    f"{higher[0]['head']} had borne {higher[0]['token']}",
+                )
 
 
 def _intervals(rows: Iterable[Row], broke: Broke) -> None:
--- a/fawnspool/rules/judge.py
+++ b/fawnspool/rules/judge.py
@@ -4,6 +4,7 @@
 measured of its own timers, `MOST` in all. A run noisier than that is not judged well, and says so: the
 allowance never grows to fit what was seen of the rules themselves.
 """
+
 from __future__ import annotations
 
 from bisect import bisect_left
@@ -14,10 +15,10 @@
 
 from fawnspool.rules.story import Row, Story
 
-BASE = 0.005        # seconds: what two processes on one idle machine take to hear of each other
-MOST = 0.060        # seconds: the most that noise may excuse
-ACCEPT = 0.1        # seconds: from a client's sending until its head has accepted; it may ask for a place first
-CATCH_UP = 0.1      # seconds: what falls due so soon after a head stood still is due then; it finds all at once
+BASE = 0.005  # seconds: what two processes on one idle machine take to hear of each other
+MOST = 0.060  # seconds: the most that noise may excuse
+ACCEPT = 0.1  # seconds: from a client's sending until its head has accepted; it may ask for a place first
+CATCH_UP = 0.1  # seconds: what falls due so soon after a head stood still is due then; it finds all at once
 
 
 @dataclass(frozen=True)
@@ -27,9 +28,9 @@
     drain_grace: float = 1.0
     fall: float = 2.0
     fall_multiple: float = 2.0
-    fall_slack: float = 8.0                  # units: for chance
-    limits: dict[str, tuple[float, float, float]] = field(default_factory=dict)    # volume: rate, depth, slack
-    ordered: frozenset[int] = frozenset()    # classes whose requests of one extent take turns
+    fall_slack: float = 8.0  # units: for chance
+    limits: dict[str, tuple[float, float, float]] = field(default_factory=dict)  # volume: rate, depth, slack
+    ordered: frozenset[int] = frozenset()  # classes whose requests of one extent take turns
     settle: float = 0.0
     extra_free: float | None = None
     extra_ratio: float = 0.0
@@ -39,7 +40,7 @@
 @dataclass(frozen=True)
 class Breach:
     rule: str
-    t: float                                 # since the run's first record
+    t: float  # since the run's first record
     text: str
 
 
@@ -78,8 +79,14 @@
     """All seven rules."""
     allowance = min(MOST, BASE + story.lag)
     rules: dict[str, Callable[[_Judge, Terms, float], None]] = {
-        "answered once": _answered, "no effect twice": _twice, "drains kept": _drains, "cold nodes spared": _cold,
-        "order kept": _order, "attempts in budget": _budget, "limits kept": _limits}
+        "answered once": _answered,
+        "no effect twice": _twice,
+        "drains kept": _drains,
+        "cold nodes spared": _cold,
+        "order kept": _order,
+        "attempts in budget": _budget,
+        "limits kept": _limits,
+    }
     findings = []
     for name, rule in rules.items():
         one = _Judge(name, story)
@@ -104,11 +111,11 @@
         finals = [e for e in ends if e["how"] in ("served", "refused", "failed", "cut")]
         due = story.due(head, t, t + ask["pat"], CATCH_UP) + allowance
         if any(e["how"] in ("unreached", "left") for e in ends):
-            continue                            # the head never took it, or its client went
+            continue  # the head never took it, or its client went
         if story.down(head, t, due):
-            continue                            # what a killed head held stops being its duty
+            continue  # what a killed head held stops being its duty
         if len(finals) < 2 and story.moved(head, t + ask["pat"]) != t + ask["pat"]:
-            continue                            # its client gave up while the head stood still
+            continue  # its client gave up while the head stood still
         j.out.looked_at += 1
         if len(finals) > 1:
             j.broke(finals[1]["t"], f"{op}/{n} at head {head}: {len(finals)} final answers")
@@ -147,14 +154,20 @@
     for op, rows in tries.items():
         for before, after in pairwise(rows):
             if _seen(story.outs.get((before["node"], before["head"], before["id"], before["n"]))):
-                j.broke(after["t"], f"unsafe {op}: sent to node {after['node']} though it may have run at "
-                        f"{before['node']}")
+                j.broke(
+                    after["t"], f"unsafe {op}: sent to node {after['node']} though it may have run at {before['node']}"
+                )
     for ask in story.asks:
         if ask["e"] != "unsafe":
             continue
         for end in story.gots.get((ask["op"], ask["n"]), ()):
-            ran = [r for r in tries.get(ask["op"], ()) if r["head"] == ask["head"] and ask["t"] <= r["t"] <= end["t"]
-                   and _seen(story.outs.get((r["node"], r["head"], r["id"], r["n"])))]
+            ran = [
+                r
+                for r in tries.get(ask["op"], ())
+                if r["head"] == ask["head"]
+                and ask["t"] <= r["t"] <= end["t"]
+                and _seen(story.outs.get((r["node"], r["head"], r["id"], r["n"])))
+            ]
             if end["how"] == "refused" and ran:
                 j.broke(end["t"], f"unsafe {ask['op']}/{ask['n']}: refused though it may have run")
 
@@ -171,7 +184,7 @@
         if not news or all(phase == "ready" for _, phase in news):
             continue
         j.out.looked_at += 1
-        since = None        # since when the head knows that the node takes nothing new
+        since = None  # since when the head knows that the node takes nothing new
         for t, phase in news:
             if t > row["t"]:
                 break
@@ -195,8 +208,12 @@
         end = min([end, *others])
         knew: dict[int, float] = {}
         for row in story.tolds:
-            if row["node"] == node and row["phase"] == "ready" and row["age"] >= 0 and \
-                    abs(row["t"] - row["age"] - start) < 1.0:
+            if (
+                row["node"] == node
+                and row["phase"] == "ready"
+                and row["age"] >= 0
+                and abs(row["t"] - row["age"] - start) < 1.0
+            ):
                 knew.setdefault(row["head"], row["t"])
         window: deque[Row] = deque()
         inside = 0.0
@@ -212,8 +229,11 @@
             if knowing * 3 >= inside * 2:
                 j.out.nearest = max(j.out.nearest, min(0.999, inside / bears))
                 if inside > bears:
-                    j.broke(row["t"], f"node {node}: {inside:.0f} units within {terms.fall:g} s of its cold start "
-                            f"{row['t'] - start:.1f} s before; it bears {bears:.0f}")
+                    j.broke(
+                        row["t"],
+                        f"node {node}: {inside:.0f} units within {terms.fall:g} s of its cold start "
+                        f"{row['t'] - start:.1f} s before; it bears {bears:.0f}",
+                    )
                     break
 
 
@@ -229,13 +249,16 @@
     for ask in story.asks:
         asked[ask["op"], ask["head"]].append(ask["t"])
     for (head, extent), rows in turns.items():
-        free, current = 0.0, None               # from when on another request may go
+        free, current = 0.0, None  # from when on another request may go
         newest, last = 0.0, 0
         for row in rows:
             j.out.looked_at += 1
             if current is not None and row["id"] != current and row["t"] + allowance < free:
-                j.broke(row["t"], f"head {head}, extent {extent:x}: request {row['id']} went out while {current} "
-                        "had an attempt that was not over")
+                j.broke(
+                    row["t"],
+                    f"head {head}, extent {extent:x}: request {row['id']} went out while {current} "
+                    "had an attempt that was not over",
+                )
             # Its client's last try before it: an earlier one that was refused has lost its place.
             times = asked[row["op"], head]
             n = bisect_left(times, row["t"] + allowance)
@@ -244,7 +267,7 @@
                 j.broke(row["t"], f"head {head}, extent {extent:x}: {row['op']} went out behind a later request")
             newest, last = max(newest, came), max(last, row["id"])
             out = story.outs.get((row["node"], row["head"], row["id"], row["n"]))
-            doubt = out is None or out["s"] == 0 or out.get("lost")     # its sender can't be sure of its end
+            doubt = out is None or out["s"] == 0 or out.get("lost")  # its sender can't be sure of its end
             end = row["t"] + terms.settle if out is None or doubt else out["t"]
             free, current = (max(free, end) if row["id"] == current else end), row["id"]
 
@@ -267,7 +290,8 @@
             used = k + 1 - bisect_left(times, start + allowance)
             asks = taken[head]
             may = terms.extra_free + terms.extra_ratio * (
-                bisect_left(asks, t + allowance) - bisect_left(asks, start - allowance))
+                bisect_left(asks, t + allowance) - bisect_left(asks, start - allowance)
+            )
             j.out.nearest = max(j.out.nearest, min(0.999, used / max(may, 1e-9)))
             if used > may:
                 j.broke(t, f"head {head}: {used} further attempts within {terms.extra_span:g} s, {may:.1f} allowed")
@@ -286,7 +310,7 @@
         level, at = levels.get(row["vol"], (depth, row["t"]))
         level = min(depth, level + (row["t"] - at) * rate) - row["units"]
         levels[row["vol"]] = (level, row["t"])
-        bears = slack + rate * allowance        # arrivals may bunch by as much as the noise
+        bears = slack + rate * allowance  # arrivals may bunch by as much as the noise
         j.out.nearest = max(j.out.nearest, min(0.999, (depth - level) / (depth + bears)))
         if level < -bears:
             j.broke(row["t"], f"volume {row['vol']}: {-level:.1f} units beyond its limit, {bears:.1f} allowed")
--- a/fawnspool/rules/shared.py
+++ b/fawnspool/rules/shared.py
@@ -1,6 +1,7 @@
 """Shared limits, judged from sockets: how much was refused that the fleet as a whole might have let through, and how
 near volumes came to their limits. Whether a limit was passed is one of the seven rules (`judge.py`). No I/O, no clock.
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -31,9 +32,9 @@
         return self.within / self.asked if self.asked else 0.0
 
 
-CHANCE = 25.0           # requests that a node would have had in a gap: chance alone leaves one out in e^25
-LEADING = 0xB5          # of bodies about shared budgets (shared/messages.py)
-OVERHEAD = 28           # bytes of IP and UDP headers
+CHANCE = 25.0  # requests that a node would have had in a gap: chance alone leaves one out in e^25
+LEADING = 0xB5  # of bodies about shared budgets (shared/messages.py)
+OVERHEAD = 28  # bytes of IP and UDP headers
 
 
 def judge_shared(story: Story, terms: Terms, heads: int) -> SharedFinding:
@@ -44,8 +45,10 @@
         if ask["vol"] in terms.limits:
             asks[ask["op"], ask["n"]] = ask
             out.asked += 1
-    ends = sorted((end for key in asks for end in story.gots.get(key, ()) if end["how"] == "refused"),
-                  key=lambda row: float(row["t"]))
+    ends = sorted(
+        (end for key in asks for end in story.gots.get(key, ()) if end["how"] == "refused"),
+        key=lambda row: float(row["t"]),
+    )
     # From when on room may be saved: an earlier life may have used all of it until then, so no head may count on more.
     begun = min((row["t"] for rows in story.lives.values() for row in rows), default=story.first)
     levels: dict[str, tuple[float, float]] = {}
@@ -95,5 +98,10 @@
         out.nearest = max(out.nearest, min(0.999, gap * usual / CHANCE))
         if (gap - still) * usual > CHANCE or (not came[node] and asks[-1] - asks[0] > 5.0):
             out.nearest = 1.0
-            out.breaches.append(Breach(out.rule, since - story.first, f"node {node} was well and got nothing for "
-                                       f"{gap:.1f} s, {usual:.1f} requests a second otherwise"))
+            out.breaches.append(
+                Breach(
+                    out.rule,
+                    since - story.first,
+                    f"node {node} was well and got nothing for {gap:.1f} s, {usual:.1f} requests a second otherwise",
+                )
+            )
--- a/fawnspool/rules/story.py
+++ b/fawnspool/rules/story.py
@@ -26,6 +26,7 @@
     drill   dgram   a b what lead body size                  a datagram from head a to b passed, was lost or cut
     any     lag   who s                              how late a timer of this process rang
 """
+
 from __future__ import annotations
 
 from collections import defaultdict
@@ -47,18 +48,18 @@
     ups: list[Row] = field(default_factory=list)
     ins: list[Row] = field(default_factory=list)
     dids: list[Row] = field(default_factory=list)
-    outs: dict[tuple[int, int, int, int], Row] = field(default_factory=dict)     # by node, head, id, attempt
-    effects: list[Row] = field(default_factory=list)        # steps of movers that a place took, with their token
-    fenced: list[Row] = field(default_factory=list)         # steps that a place refused as of an older holder
-    duties: list[Row] = field(default_factory=list)         # heads: took, until, lost
-    faults: list[Row] = field(default_factory=list)         # what the drill did to heads, and to whose links
-    drains: list[Row] = field(default_factory=list)         # what lay where at the end
+    outs: dict[tuple[int, int, int, int], Row] = field(default_factory=dict)  # by node, head, id, attempt
+    effects: list[Row] = field(default_factory=list)  # steps of movers that a place took, with their token
+    fenced: list[Row] = field(default_factory=list)  # steps that a place refused as of an older holder
+    duties: list[Row] = field(default_factory=list)  # heads: took, until, lost
+    faults: list[Row] = field(default_factory=list)  # what the drill did to heads, and to whose links
+    drains: list[Row] = field(default_factory=list)  # what lay where at the end
     fells: list[Row] = field(default_factory=list)
-    flips: list[Row] = field(default_factory=list)          # the map service heard that an extent has moved
-    elsewheres: list[Row] = field(default_factory=list)     # a node did not serve what it was sent
+    flips: list[Row] = field(default_factory=list)  # the map service heard that an extent has moved
+    elsewheres: list[Row] = field(default_factory=list)  # a node did not serve what it was sent
     tolds: list[Row] = field(default_factory=list)
-    ill: set[int] = field(default_factory=set)              # nodes that a trouble hit
-    dgrams: list[Row] = field(default_factory=list)         # datagrams between heads, and what became of them
+    ill: set[int] = field(default_factory=set)  # nodes that a trouble hit
+    dgrams: list[Row] = field(default_factory=list)  # datagrams between heads, and what became of them
     lives: dict[int, list[Row]] = field(default_factory=lambda: defaultdict(list))
     stalls: dict[int, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     lag: float = 0.0
--- a/fawnspool/rules/wrong.py
+++ b/fawnspool/rules/wrong.py
@@ -1,5 +1,6 @@
 """Requests sent to a node that an extent had left, by the time since the map service heard of its move
 until they came whole. What waited at the node while the extent left it was sent rightly."""
+
 from __future__ import annotations
 
 from bisect import bisect_right
@@ -7,7 +8,7 @@
 
 from fawnspool.rules.story import Story
 
-EDGES = (0.005, 0.02, 0.1, 0.5)     # seconds
+EDGES = (0.005, 0.02, 0.1, 0.5)  # seconds
 
 
 @dataclass(frozen=True)
--- a/fawnspool/shared/counts.py
+++ b/fawnspool/shared/counts.py
@@ -5,13 +5,14 @@
 the table does not grow with restarts. What a head did since it was last heard is not known: a count is read as an
 interval.
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-LIVES = 2               # of one head: the one that is there and the one before, whose last words may come after it
-HEADS_MOST = 64         # heads of one count; beyond it those heard longest ago go, and `at_least` says less
+LIVES = 2  # of one head: the one that is there and the one before, whose last words may come after it
+HEADS_MOST = 64  # heads of one count; beyond it those heard longest ago go, and `at_least` says less
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +52,7 @@
             had = mine.get(m.life)
             if had is not None and (had.value, had.at) >= (m.value, m.at):
                 continue
-            mine[m.life] = m            # the larger value; of equal ones the later time
+            mine[m.life] = m  # the larger value; of equal ones the later time
             kept = tuple(sorted(mine.values(), key=lambda x: -x.life)[:LIVES])
             more |= kept != self.marks.get(m.head)
             self.marks[m.head] = kept
--- a/fawnspool/shared/judgements.py
+++ b/fawnspool/shared/judgements.py
@@ -14,6 +14,7 @@
 A node that mends is found out by turns: each that shuns it draws its turn so that the fleet makes a few tries a second
 together, and two good answers of different heads end the shunning everywhere.
 """
+
 from __future__ import annotations
 
 import math
@@ -27,23 +28,28 @@
 from fawnspool.shared.takers import Say
 from fawnspool.shared.terms import Terms
 
-SIGNS_BAD = 3           # in a row with no good answer between, as one head alone asks for; of the others of several one
-                        # less: a head that says much counts as one sign, or it and a single lost answer would turn all
-FRESH_LOOKS = 2         # own good answers so young go before what is heard, even if that is a little younger
-FANOUT = 2              # heads told at a look, drawn: news reaches a fleet of n within about log2(n) looks
-SAID_MOST = 15          # pieces of evidence in a datagram: with FANOUT and Terms.every this bounds what a head sends
-TOLD = 2                # looks at which one piece is passed on: with one, a fifth of a fleet would not hear of it
+SIGNS_BAD = 3  # in a row with no good answer between, as one head alone asks for; of the others of several one
+# less: a head that says much counts as one sign, or it and a single lost answer would turn all
+FRESH_LOOKS = 2  # own good answers so young go before what is heard, even if that is a little younger
+FANOUT = 2  # heads told at a look, drawn: news reaches a fleet of n within about log2(n) looks
+SAID_MOST = 15  # pieces of evidence in a datagram: with FANOUT and Terms.every this bounds what a head sends
+TOLD = 2  # looks at which one piece is passed on: with one, a fifth of a fleet would not hear of it
 NODES_MOST = 1024
-ORIGINS_MOST = 256      # heads whose evidence is kept of one node, the latest: well over any quorum, or none is reached
-MENDED = 2              # heads that found a shunned node well: one answer may be a lie, or chance
-ASKED = 3               # heads that try at once where one found a shunned node well
-TRIES_S = 2.0           # of the whole fleet a second at a node that is shunned
-HEARD_S = 10.0          # seconds for which a head counts as there since it was last heard
+ORIGINS_MOST = 256  # heads whose evidence is kept of one node, the latest: well over any quorum, or none is reached
+MENDED = 2  # heads that found a shunned node well: one answer may be a lie, or chance
+ASKED = 3  # heads that try at once where one found a shunned node well
+TRIES_S = 2.0  # of the whole fleet a second at a node that is shunned
+HEARD_S = 10.0  # seconds for which a head counts as there since it was last heard
 
 
 Out = Say | Hearsay
-_SHOWS = {Result.SERVED: Verdict.WELL, Result.FULL: Verdict.WELL, Result.TIMED_OUT: Verdict.SILENT,
-          Result.UNREACHED: Verdict.SHUT, Result.BROKEN: Verdict.SILENT}
+_SHOWS = {
+    Result.SERVED: Verdict.WELL,
+    Result.FULL: Verdict.WELL,
+    Result.TIMED_OUT: Verdict.SILENT,
+    Result.UNREACHED: Verdict.SHUT,
+    Result.BROKEN: Verdict.SILENT,
+}
 
 
 def shows(event: Outcome) -> Verdict | None:
@@ -56,7 +62,7 @@
 class _Found:
     verdict: Verdict
     signs: int
-    at: float           # on this head's clock
+    at: float  # on this head's clock
 
 
 @dataclass(slots=True)
@@ -65,8 +71,8 @@
 
     signs: int = 0
     well: float = float("-inf")
-    found: dict[int, _Found] = field(default_factory=dict)      # by whose it is
-    shunned: float | None = None        # since when, on hearsay
+    found: dict[int, _Found] = field(default_factory=dict)  # by whose it is
+    shunned: float | None = None  # since when, on hearsay
 
 
 def doubts(module: Any) -> list[tuple[int, int]]:
@@ -81,8 +87,8 @@
         self.terms, self.me, self.random = terms, me, Random(f"{seed}-{me}-judge")
         self.nodes: OrderedDict[int, _Node] = OrderedDict()
         self.listed = 0
-        self.heard: dict[int, float] = {}       # heads, when
-        self.fresh: OrderedDict[tuple[int, int], int] = OrderedDict()       # (node, whose): tellings left; latest last
+        self.heard: dict[int, float] = {}  # heads, when
+        self.fresh: OrderedDict[tuple[int, int], int] = OrderedDict()  # (node, whose): tellings left; latest last
 
     def _node(self, node: int) -> _Node:
         found = self.nodes.get(node)
@@ -102,7 +108,8 @@
         mine = n.found.get(self.me)
         # Others are told only where there is something to set right: that all is well is no news.
         if (mine is not None and mine.verdict is not Verdict.WELL) or (
-                self._bad(now, n) and (mine is None or now - mine.at >= self.terms.every)):
+            self._bad(now, n) and (mine is None or now - mine.at >= self.terms.every)
+        ):
             self._found(now, node, n, self.me, _Found(Verdict.WELL, 1, now))
         return self._end(now, node, n) if n.shunned is not None else []
 
@@ -121,8 +128,9 @@
 
     def _signs(self, now: float, node: int, n: _Node, signs: int, verdict: Verdict) -> None:
         n.signs, mine = signs, n.found.get(self.me)
-        if mine is None or mine.verdict is Verdict.WELL or signs <= SIGNS_BAD or \
-                now - mine.at >= 4 * self.terms.every:      # what all know already need not be said so often
+        if (
+            mine is None or mine.verdict is Verdict.WELL or signs <= SIGNS_BAD or now - mine.at >= 4 * self.terms.every
+        ):  # what all know already need not be said so often
             self._found(now, node, n, self.me, _Found(verdict, signs, now))
 
     def _found(self, now: float, node: int, n: _Node, whose: int, what: _Found) -> None:
@@ -140,13 +148,17 @@
         self.heard[sender] = now
         out = list[Out]()
         for r in m.rows:
-            if not isinstance(r, SaysRow) or r.head == self.me or r.head >= self.terms.heads or \
-                    r.age >= self.terms.fades:
+            if (
+                not isinstance(r, SaysRow)
+                or r.head == self.me
+                or r.head >= self.terms.heads
+                or r.age >= self.terms.fades
+            ):
                 continue
             n = self._node(r.node)
             news = _Found(Verdict(r.verdict), r.signs, now - r.age)
             had = n.found.get(r.head)
-            if had is not None and news.at <= had.at + 0.02:    # heard before, by another way
+            if had is not None and news.at <= had.at + 0.02:  # heard before, by another way
                 continue
             self._found(now, r.node, n, r.head, news)
             if news.verdict is not Verdict.WELL and n.well > news.at - self.terms.every and not n.signs:
@@ -169,8 +181,9 @@
         return [f for f in n.found.values() if f.verdict is not Verdict.WELL and now - f.at < self.terms.fades]
 
     def _good(self, now: float, n: _Node, after: float) -> int:
-        return sum(f.verdict is Verdict.WELL and f.at >= after and now - f.at < self.terms.fades
-                   for f in n.found.values())
+        return sum(
+            f.verdict is Verdict.WELL and f.at >= after and now - f.at < self.terms.fades for f in n.found.values()
+        )
 
     def _weigh(self, now: float, node: int, n: _Node) -> list[Out]:
         if n.shunned is not None:
@@ -183,7 +196,7 @@
         bad = self._bad(now, n)
         needs = max(2, math.ceil(self.terms.quorum * self.terms.heads))
         signs = [f.signs for f in bad]
-        if len(bad) < needs or sum(signs) - max(signs) < SIGNS_BAD - 1:     # without the one that says the most
+        if len(bad) < needs or sum(signs) - max(signs) < SIGNS_BAD - 1:  # without the one that says the most
             return []
         since = min(f.at for f in bad)
         mine = not n.signs and (n.well > since or now - n.well < FRESH_LOOKS * self.terms.every)
@@ -233,7 +246,7 @@
         for node in self.shunned():
             n = self.nodes[node]
             if not self._bad(now, n) and n.shunned is not None and now - n.shunned > self.terms.fades:
-                out += self._end(now, node, n)      # nobody holds anything against it any more: own trials alone
+                out += self._end(now, node, n)  # nobody holds anything against it any more: own trials alone
         return out
 
     def status(self, now: float) -> dict[int, dict[str, object]]:
@@ -241,7 +254,12 @@
         rows = dict[int, dict[str, object]]()
         for node, n in self.nodes.items():
             if n.found or n.shunned is not None:
-                rows[node] = {"shunned": n.shunned is not None, "own_signs": n.signs,
-                              "evidence": [{"head": h, "found": f.verdict.name.lower(), "signs": f.signs,
-                                            "age_s": round(now - f.at, 2)} for h, f in sorted(n.found.items())]}
+                rows[node] = {
+                    "shunned": n.shunned is not None,
+                    "own_signs": n.signs,
+                    "evidence": [
+                        {"head": h, "found": f.verdict.name.lower(), "signs": f.signs, "age_s": round(now - f.at, 2)}
+                        for h, f in sorted(n.found.items())
+                    ],
+                }
         return rows
--- a/fawnspool/shared/messages.py
+++ b/fawnspool/shared/messages.py
@@ -11,6 +11,7 @@
 The leading byte tells them from duties' (0xD0) and the module's own (1, 2). What does not read is counted and harms
 nothing.
 """
+
 from __future__ import annotations
 
 import struct
@@ -22,7 +23,7 @@
 _HEAD = struct.Struct(">BBI")
 _COUNT = struct.Struct(">QHIfH")
 _SAYS = struct.Struct(">IHBBH")
-AGE_STEP = 0.01         # seconds
+AGE_STEP = 0.01  # seconds
 AGE_MOST = 65_535 * AGE_STEP
 
 
@@ -35,8 +36,8 @@
 
 class Verdict(IntEnum):
     WELL = 0
-    SILENT = 1          # gives no answer
-    SHUT = 2            # takes no connection: it may have restarted by the time it does
+    SILENT = 1  # gives no answer
+    SHUT = 2  # takes no connection: it may have restarted by the time it does
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +83,7 @@
 
 def pack(m: Message) -> bytes:
     out = [_HEAD.pack(LEADING, m.kind, m.mark)]
-    for r in m.rows[:rows_of(m.kind)]:
+    for r in m.rows[: rows_of(m.kind)]:
         if isinstance(r, CountRow):
             out.append(_COUNT.pack(r.volume, r.head, r.life, r.value, _steps(r.age)))
         else:
@@ -100,10 +101,11 @@
     form = _SAYS if kind == Kind.SAYS else _COUNT
     if (len(body) - _HEAD.size) % form.size:
         raise Unread(f"{len(body)} bytes of kind {kind}")
-    raw = form.iter_unpack(body[_HEAD.size:])
+    raw = form.iter_unpack(body[_HEAD.size :])
     if kind == Kind.SAYS:
-        rows: tuple[Row, ...] = tuple(SaysRow(node, head, verdict, signs, age * AGE_STEP)
-                                      for node, head, verdict, signs, age in raw)
+        rows: tuple[Row, ...] = tuple(
+            SaysRow(node, head, verdict, signs, age * AGE_STEP) for node, head, verdict, signs, age in raw
+        )
         if any(r.verdict not in Verdict._value2member_map_ for r in rows if isinstance(r, SaysRow)):
             raise Unread("an unknown verdict")
     else:
--- a/fawnspool/shared/sharer.py
+++ b/fawnspool/shared/sharer.py
@@ -3,6 +3,7 @@
 Nothing here is needed for safety. Without any news a head uses its even part of each limit, and its own evidence; what
 it hears only says whom to ask for more (`takers.py`), and which nodes others found bad (`judgements.py`).
 """
+
 from __future__ import annotations
 
 from collections.abc import Iterable
@@ -15,7 +16,7 @@
 from fawnspool.shared.terms import Terms
 
 Out = Say | Takers | Hearsay
-ALONE_LOOKS = 20        # looks without a word from any other head, after one was asked, that make a head say so
+ALONE_LOOKS = 20  # looks without a word from any other head, after one was asked, that make a head say so
 
 
 class Sharer:
@@ -43,8 +44,9 @@
         found = shows(event)
         if found is None:
             return []
-        return [*(self.judge.well(now, event.node) if found is Verdict.WELL else
-                  self.judge.bad(now, event.node, found))]
+        return [
+            *(self.judge.well(now, event.node) if found is Verdict.WELL else self.judge.bad(now, event.node, found))
+        ]
 
     def due(self) -> float:
         return self.next
--- a/fawnspool/shared/takers.py
+++ b/fawnspool/shared/takers.py
@@ -3,6 +3,7 @@
 
 Nothing is granted here. A word that is lost, late, doubled or wrong makes a head ask the wrong ones for a while.
 """
+
 from __future__ import annotations
 
 import math
@@ -15,12 +16,12 @@
 from fawnspool.shared.messages import CountRow, Kind, Message, rows_of
 from fawnspool.shared.terms import ROWS_A_LOOK, Terms
 
-VOLUMES_MOST = 4096     # in each table; those that nothing was heard of for the longest go
-HERE_S = 8.0            # seconds between two words that a head takes part, where they all find room
-FLOW_S = 0.5            # seconds over which a flow is smoothed: a surge is seen within, one request is none
-WANT_S = 2.0            # seconds between two questions to a lacking volume's keepers; an eighth: nobody is known
-LACKS_S = 1.0           # seconds for which a volume counts as lacking since it was last said to
-NAMED = 6               # other heads that a keeper names in one answer
+VOLUMES_MOST = 4096  # in each table; those that nothing was heard of for the longest go
+HERE_S = 8.0  # seconds between two words that a head takes part, where they all find room
+FLOW_S = 0.5  # seconds over which a flow is smoothed: a surge is seen within, one request is none
+WANT_S = 2.0  # seconds between two questions to a lacking volume's keepers; an eighth: nobody is known
+LACKS_S = 1.0  # seconds for which a volume counts as lacking since it was last said to
+NAMED = 6  # other heads that a keeper names in one answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,10 +55,10 @@
 
     def __init__(self, terms: Terms, me: int, life: int, seed: int) -> None:
         self.terms, self.me, self.life, self.random = terms, me, life & 0xFFFFFFFF, Random(f"{seed}-{life}-takers")
-        self.mine: OrderedDict[int, _Volume] = OrderedDict()        # the longest unsaid first
-        self.kept: OrderedDict[int, Count] = OrderedDict()          # as a keeper
+        self.mine: OrderedDict[int, _Volume] = OrderedDict()  # the longest unsaid first
+        self.kept: OrderedDict[int, Count] = OrderedDict()  # as a keeper
         self.lacking: OrderedDict[int, None] = OrderedDict()
-        self.answers = 0                        # given since the last look
+        self.answers = 0  # given since the last look
 
     def asked(self, now: float, volume: int, takers: int, rate: float, burst: float, units: float) -> None:
         """Units of a volume are asked for at this head, one of `takers`; rate, burst: of the volume's limit."""
@@ -79,7 +80,7 @@
             while len(self.mine) >= VOLUMES_MOST:
                 self.lacking.pop(self.mine.popitem(last=False)[0], None)
             v = self.mine[volume] = _Volume(takers, rate, burst)
-            self.mine.move_to_end(volume, last=False)       # the keepers are told at the next look
+            self.mine.move_to_end(volume, last=False)  # the keepers are told at the next look
         v.takers = max(v.takers, takers)
         return v
 
@@ -121,7 +122,7 @@
 
     def _say(self, to: int, kind: Kind, rows: list[CountRow]) -> list[Out]:
         size = rows_of(kind)
-        return [Say(to, Message(kind, self.terms.mark, tuple(rows[k:k + size]))) for k in range(0, len(rows), size)]
+        return [Say(to, Message(kind, self.terms.mark, tuple(rows[k : k + size]))) for k in range(0, len(rows), size)]
 
     # ------------------------------------------------------------ time
 
@@ -135,7 +136,7 @@
         for volume in list(self.lacking):
             v = self.mine[volume]
             if v.count.marks:
-                named[volume] = set(v.count.marks)      # said again: whoever asks them forgets those that had nothing
+                named[volume] = set(v.count.marks)  # said again: whoever asks them forgets those that had nothing
             if room > ROWS_A_LOOK // 2 and now - v.wanted >= (WANT_S if v.count.marks else WANT_S / 8):
                 self.lacking.move_to_end(volume)
                 v.wanted = now
@@ -150,8 +151,14 @@
             out += self._say(to, kind, some)
         return out
 
-    def _about(self, now: float, volume: int, kind: Kind, rows: dict[tuple[int, Kind], list[CountRow]],
-               named: dict[int, set[int]]) -> int:
+    def _about(
+        self,
+        now: float,
+        volume: int,
+        kind: Kind,
+        rows: dict[tuple[int, Kind], list[CountRow]],
+        named: dict[int, set[int]],
+    ) -> int:
         v = self.mine[volume]
         v.said = now
         self.mine.move_to_end(volume)
@@ -173,6 +180,6 @@
         v = self.mine.get(volume)
         if v is None:
             return None
-        whole = Count(dict(v.count.marks))      # marks are never changed, only replaced
+        whole = Count(dict(v.count.marks))  # marks are never changed, only replaced
         whole.merge([Mark(self.me, self.life, v.used, now)])
         return whole.read(now, v.takers, v.rate, v.burst)
--- a/fawnspool/shared/terms.py
+++ b/fawnspool/shared/terms.py
@@ -1,5 +1,6 @@
 """What heads that share agree on. `mark` is a checksum of it that every message carries: a head whose settings differ
 is a stranger, as what it says has another meaning."""
+
 from __future__ import annotations
 
 import zlib
@@ -8,9 +9,9 @@
 
 import xxhash
 
-KEEPERS = 2             # heads that keep who takes part in a volume: one may be down, or cut off
-ROWS_A_LOOK = 4         # volumes that a head speaks of at one look, and answers that it gives as a keeper: bounds its
-                        # bytes whatever it has, as each goes to keepers of its own
+KEEPERS = 2  # heads that keep who takes part in a volume: one may be down, or cut off
+ROWS_A_LOOK = 4  # volumes that a head speaks of at one look, and answers that it gives as a keeper: bounds its
+# bytes whatever it has, as each goes to keepers of its own
 
 
 @dataclass(frozen=True)
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -4,6 +4,7 @@
 past of each shard. A change is one transaction, so a kill leaves the state before it or after it. It is not forced to
 the disk: what a power cut takes is for the scrub, as with a restored backup.
 """
+
 from __future__ import annotations
 
 import tempfile
@@ -32,8 +33,8 @@
 SHARDS = 64
 LIST_MOST = 1000
 BEAT_S = 1.0
-QUEUE_MOST = 4096       # deltas that wait for one watch: one that is further behind starts anew
-ROOM = 8 << 30          # addresses that LMDB may use; the file grows as it is filled
+QUEUE_MOST = 4096  # deltas that wait for one watch: one that is further behind starts anew
+ROOM = 8 << 30  # addresses that LMDB may use; the file grows as it is filled
 WISHES_MOST = 1024
 _END = b"\xff"
 
@@ -49,18 +50,23 @@
 class Catalogue:
     """Places by volume and extent. `path`: its file; without one it is kept beside and goes with this object."""
 
-    def __init__(self, path: str | Path | None = None, shards: int = SHARDS,
-                 clock_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000) -> None:
+    def __init__(
+        self,
+        path: str | Path | None = None,
+        shards: int = SHARDS,
+        clock_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
         self.beside = tempfile.TemporaryDirectory(prefix="fawnspool-map-") if path is None else None
         where = Path(self.beside.name) / "map.lmdb" if self.beside is not None else Path(str(path))
         where.parent.mkdir(parents=True, exist_ok=True)
         old = _older_form(where)
         self.env = lmdb.open(str(where), subdir=False, map_size=ROOM, max_dbs=5, sync=False, metasync=False)
         self.facts, self.log, self.meta, self.fences, self.wish_rows = (
-            self.env.open_db(name) for name in (b"facts", b"log", b"past", b"fences", b"wishes"))
+            self.env.open_db(name) for name in (b"facts", b"log", b"past", b"fences", b"wishes")
+        )
         with self.env.begin(write=True) as txn:
             kept = txn.get(b"shards", db=self.meta)
-            self.shards = int(kept) if kept else shards         # a file keeps the number that it began with
+            self.shards = int(kept) if kept else shards  # a file keeps the number that it began with
             txn.put(b"shards", b"%d" % self.shards, db=self.meta)
             self.past = [self._past(txn, k).begin(clock_ms()) for k in range(self.shards)]
             for k, past in enumerate(self.past):
@@ -150,8 +156,9 @@
         found = self.fact(volume, key)
         return None if found is None else (found.cell, found.size)
 
-    def note(self, volume: str, key: str, cell: int, size: int, new: bool = False,
-             generation: int = -1) -> tuple[Fact, bool]:
+    def note(
+        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
+    ) -> tuple[Fact, bool]:
         """A write left the extent there: (what holds now, was it taken?). With `new` the first place stands.
         generation: that of the place to which the write was sent, -1: it had none. Where a move has overtaken it, the
         move took the write along: only its size is noted."""
@@ -178,15 +185,26 @@
 
     def drop(self, volume: str, key: str) -> Fact | None:
         """The extent is deleted. Its tombstone, or None where there was nothing."""
-        return self._change(volume, key, lambda had, stamp: None if had is None or had.state is State.GONE else Fact(
-            volume, key, -1, stamp, State.GONE))
+        return self._change(
+            volume,
+            key,
+            lambda had, stamp: (
+                None if had is None or had.state is State.GONE else Fact(volume, key, -1, stamp, State.GONE)
+            ),
+        )
 
     def flip(self, volume: str, key: str, cell: int, generation: int) -> Fact | None:
         """A move has reached `generation` at `cell`: what holds then. It holds once, whoever tells it how often; one
         that another move has overtaken changes nothing."""
-        self._change(volume, key, lambda had, stamp: None if had is None or had.state is State.GONE or
-                     had.stamp.generation >= generation else Fact(
-                         volume, key, cell, Stamp(generation, stamp.epoch, stamp.version), State.HELD, had.size))
+        self._change(
+            volume,
+            key,
+            lambda had, stamp: (
+                None
+                if had is None or had.state is State.GONE or had.stamp.generation >= generation
+                else Fact(volume, key, cell, Stamp(generation, stamp.epoch, stamp.version), State.HELD, had.size)
+            ),
+        )
         return self.fact(volume, key)
 
     # ------------------------------------------------------------ duties
@@ -325,8 +343,9 @@
 class CatalogueServer(Service):
     """The map service over HTTP."""
 
-    def __init__(self, address: tuple[str, int], catalogue: Catalogue,
-                 note: Callable[..., None] = lambda kind, **more: None) -> None:
+    def __init__(
+        self, address: tuple[str, int], catalogue: Catalogue, note: Callable[..., None] = lambda kind, **more: None
+    ) -> None:
         """note(kind, ...): told of each step of a duty, done or refused."""
         self.catalogue, self.calls, self.note = catalogue, 0, note
         super().__init__(address)
@@ -354,8 +373,13 @@
         """What bears a token passes the fence first."""
         if path not in ("/flip", "/fence"):
             return self._do(path, a)
-        told = {"what": path[1:], "vol": a.get("volume"), "key": a.get("key"), "gen": a.get("generation", -1),
-                "cell": a.get("cell", -1)}
+        told = {
+            "what": path[1:],
+            "vol": a.get("volume"),
+            "key": a.get("key"),
+            "gen": a.get("generation", -1),
+            "cell": a.get("cell", -1),
+        }
         if "duty" not in a:
             self.note("effect", node=-1, duty="", token=-1, who=0, head=-1, **told)
             return self._do(path, a)
@@ -409,7 +433,7 @@
             for shard in range(c.shards):
                 for delta in c.since(shard, told[shard]):
                     self._line(exchange, msgspec.json.encode(delta))
-                gevent.sleep(0)         # a whole map must not hold up who asks for one place
+                gevent.sleep(0)  # a whole map must not hold up who asks for one place
             while queue.qsize() <= QUEUE_MOST:
                 try:
                     self._line(exchange, msgspec.json.encode(queue.get(timeout=BEAT_S)))
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -4,6 +4,7 @@
 class allows: safe requests after any end but a served one, others only after a refusal or where no head was reached.
 What passes their sockets goes to a recording; see fawnspool/rules/story.py for the forms.
 """
+
 from __future__ import annotations
 
 import math
@@ -49,8 +50,15 @@
 class Clients:
     """Plays a script of operations against heads. `note` gets each record."""
 
-    def __init__(self, day: Day, ops: list[Op], heads: dict[int, tuple[str, int]], note: Callable[..., None],
-                 seed: int, held: dict[tuple[str, str], int]) -> None:
+    def __init__(
+        self,
+        day: Day,
+        ops: list[Op],
+        heads: dict[int, tuple[str, int]],
+        note: Callable[..., None],
+        seed: int,
+        held: dict[tuple[str, str], int],
+    ) -> None:
         self.day, self.ops, self.heads, self.note, self.held = day, ops, heads, note, held
         self.random = Random(f"{seed}-clients")
         self.idle: dict[int, deque[Link]] = defaultdict(deque)
@@ -109,8 +117,11 @@
         cls = self.day.class_[op.cls]
         body = content(op.volume, key, size) if op.writes else b""
         units = max(1, min(self.day.units.largest, -(-size // self.day.units.bytes)))
-        headers = [(b"Fawn-Class", cls.name.encode()), (b"Fawn-Op", op.name.encode()),
-                   (b"Fawn-Patience-Ms", b"%d" % max(1, int(patience * 1000)))]
+        headers = [
+            (b"Fawn-Class", cls.name.encode()),
+            (b"Fawn-Op", op.name.encode()),
+            (b"Fawn-Patience-Ms", b"%d" % max(1, int(patience * 1000))),
+        ]
         if n:
             headers.append((b"Fawn-Repeat", b"1"))
         if op.run:
@@ -120,19 +131,46 @@
             first = int(op.part[0] * size)
             count = max(1, min(size - first, int(op.part[1] * size)))
             headers.append((b"Range", b"bytes=%d-%d" % (first, first + count - 1)))
-        raw = request_bytes(b"PUT" if op.writes else b"GET", f"/v1/volumes/{op.volume}/objects/{key}".encode(), b"head",
-                            headers, len(body))
+        raw = request_bytes(
+            b"PUT" if op.writes else b"GET",
+            f"/v1/volumes/{op.volume}/objects/{key}".encode(),
+            b"head",
+            headers,
+            len(body),
+        )
         began = time.monotonic()
         deadline = began + patience
         try:
             link = self._link(head, deadline)
         except OSError:
-            self.note("ask", t=began, op=op.name, n=n, head=head, vol=op.volume, cls=op.cls, units=units, pat=patience,
-                      e=cls.effect, w=op.writes)
+            self.note(
+                "ask",
+                t=began,
+                op=op.name,
+                n=n,
+                head=head,
+                vol=op.volume,
+                cls=op.cls,
+                units=units,
+                pat=patience,
+                e=cls.effect,
+                w=op.writes,
+            )
             self.note("got", op=op.name, n=n, head=head, how="unreached", s=0)
             return "unreached", 0.0
-        self.note("ask", t=began, op=op.name, n=n, head=head, vol=op.volume, cls=op.cls, units=units, pat=patience,
-                  e=cls.effect, w=op.writes)
+        self.note(
+            "ask",
+            t=began,
+            op=op.name,
+            n=n,
+            head=head,
+            vol=op.volume,
+            cls=op.cls,
+            units=units,
+            pat=patience,
+            e=cls.effect,
+            w=op.writes,
+        )
         watcher = gevent.spawn_later(op.leaves, link.close) if op.leaves < math.inf else None
         how, status, advice, got = "none", 0, 0.0, b""
         # The client itself waits a little beyond its patience, to see whether an answer comes late.
@@ -158,10 +196,10 @@
             if how in ("closed", "cut", "unreached") and time.monotonic() - began >= op.leaves - 0.001:
                 how = "left"
         self.note("got", op=op.name, n=n, head=head, how=how, s=status)
-        if how == "served" and not op.writes and got != content(op.volume, key, size)[first:first + count]:
+        if how == "served" and not op.writes and got != content(op.volume, key, size)[first : first + count]:
             self.note("wrong", op=op.name, n=n, head=head, key=key, size=len(got))
         elif how == "failed" and status == 404:
-            self.note("wrong", op=op.name, n=n, head=head, key=key, size=-1)    # a written object is not found
+            self.note("wrong", op=op.name, n=n, head=head, key=key, size=-1)  # a written object is not found
         return how, advice
 
     def _link(self, head: int, deadline: float) -> Link:
@@ -178,7 +216,7 @@
 
     def _keep(self, op: Op, n: int, head: int, link: Link, keep: bool) -> None:
         if link.stale() and not link.wire.peer_left():
-            self.note("extra", op=op.name, n=n, head=head)      # bytes behind the final answer
+            self.note("extra", op=op.name, n=n, head=head)  # bytes behind the final answer
             link.close()
         elif keep:
             self.idle[head].append(link)
@@ -188,6 +226,7 @@
 
 def lag_meter(note: Callable[..., None], who: str, floor: float = 0.002) -> Any:
     """Notes how late this process's own timers ring, whenever that is a new worst."""
+
     def measure() -> None:
         worst = floor
         while True:
@@ -197,4 +236,5 @@
             if late > worst:
                 worst = late
                 note("lag", who=who, s=late)
+
     return gevent.spawn(measure)
--- a/fawnspool/standins/meter.py
+++ b/fawnspool/standins/meter.py
@@ -3,6 +3,7 @@
 Datagrams of msgpack, both ways: a node sends {volume: units since its last datagram} and gets back
 {volume: units a second in the last finished period}. Lost ones lose a period's part, nothing more.
 """
+
 from __future__ import annotations
 
 import socket as std
@@ -13,7 +14,7 @@
 import msgspec
 from gevent import socket
 
-_MOST = 60_000          # bytes of one datagram
+_MOST = 60_000  # bytes of one datagram
 
 
 class MeterServer:
@@ -74,7 +75,7 @@
             try:
                 self.sock.sendto(msgspec.msgpack.encode(sums), self.address)
             except OSError:
-                continue        # the meter is gone: this part of the sum is lost
+                continue  # the meter is gone: this part of the sum is lost
 
     def _hear(self) -> None:
         while True:
--- a/fawnspool/standins/moving.py
+++ b/fawnspool/standins/moving.py
@@ -7,6 +7,7 @@
 all else, also of what it does not hold (it may have gone elsewhere), the node is unsure and serves nothing of it until
 it is told.
 """
+
 from __future__ import annotations
 
 import os
@@ -19,7 +20,7 @@
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.store import Store
 
-LONG = 1000             # rows beyond twice the extents after which the file is written anew at a start
+LONG = 1000  # rows beyond twice the extents after which the file is written anew at a start
 
 
 class Sides:
@@ -81,8 +82,17 @@
             found.position += 1
             self._row_of(volume, extent, found)
 
-    def step(self, step: str, volume: str, extent: str, generation: int, to: int = -1, fence: int = -1,
-             position: int = 0, mine: bool = False) -> bool:
+    def step(
+        self,
+        step: str,
+        volume: str,
+        extent: str,
+        generation: int,
+        to: int = -1,
+        fence: int = -1,
+        position: int = 0,
+        mine: bool = False,
+    ) -> bool:
         """One step of a move; False: it may not be taken. Raises ValueError for what is no step."""
         s = self.side(volume, extent)
         if not s.step(step, generation, to, fence, position, mine):
@@ -122,8 +132,15 @@
             self.note("effect", duty="", token=-1, who=0, what=what, vol=query.get("volume"), key=query.get("key"))
             return None
         duty, token, who = query["duty"], int(query["token"]), int(query["who"])
-        told = {"duty": duty, "token": token, "who": who, "head": int(query.get("head", -1)), "what": what,
-                "vol": query.get("volume"), "key": query.get("key")}
+        told = {
+            "duty": duty,
+            "token": token,
+            "who": who,
+            "head": int(query.get("head", -1)),
+            "what": what,
+            "vol": query.get("volume"),
+            "key": query.get("key"),
+        }
         try:
             if self.fence.passes(duty, token, who):
                 self.writer.put((duty, token, who))
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -7,6 +7,7 @@
     {"k": "out", ...}      its answer was handed to the kernel (or swallowed by a fault)
     {"k": "fell", ...}     it was pushed over
 """
+
 from __future__ import annotations
 
 import contextlib
@@ -41,28 +42,28 @@
 from fawnspool.standins.moving import Gate, Sides
 from fawnspool.standins.store import Meta, Store
 
-MOVED_MOST = 64 << 20     # bytes of an object that a move takes over: it is held whole on the way
-_SEEN_MOST = 20_000      # keys of repeats remembered in memory, at most
+MOVED_MOST = 64 << 20  # bytes of an object that a move takes over: it is held whole on the way
+_SEEN_MOST = 20_000  # keys of repeats remembered in memory, at most
 
 
 @dataclass
 class Faults:
     """What goes wrong at this node just now; shares are of its answers. Set by POST /-/faults."""
 
-    slow: float = 1.0                # times slower
-    taken: float = 0.0               # share of the machine taken by another program
-    pause_ms: float = 0.0            # it stands still for so long
+    slow: float = 1.0  # times slower
+    taken: float = 0.0  # share of the machine taken by another program
+    pause_ms: float = 0.0  # it stands still for so long
     pause_every_s: float = 1.0
-    lose: float = 0.0                # the work is done, the answer never comes
-    reset: float = 0.0               # the work is done, the connection is reset
-    cut: float = 0.0                 # half the answer, then the connection closes
-    garble: float = 0.0              # an answer that is no HTTP
-    wrong_length: float = 0.0        # a content-length that does not fit
-    wrong_byte: float = 0.0          # one byte of the body is not what was stored
-    hang_up: float = 0.0             # the connection closes on a request, unread and unanswered
-    error: float = 0.0               # 500 after the work
-    refuse: bool = False             # takes no connection; those it has are reset
-    drain: bool = False              # answers `full` to all that is new
+    lose: float = 0.0  # the work is done, the answer never comes
+    reset: float = 0.0  # the work is done, the connection is reset
+    cut: float = 0.0  # half the answer, then the connection closes
+    garble: float = 0.0  # an answer that is no HTTP
+    wrong_length: float = 0.0  # a content-length that does not fit
+    wrong_byte: float = 0.0  # one byte of the body is not what was stored
+    hang_up: float = 0.0  # the connection closes on a request, unread and unanswered
+    error: float = 0.0  # 500 after the work
+    refuse: bool = False  # takes no connection; those it has are reset
+    drain: bool = False  # answers `full` to all that is new
 
 
 class Repeats:
@@ -118,17 +119,31 @@
 class NodeServer:
     """One node. `start` listens; `crash` ends it as a killed process would, for nodes inside another program."""
 
-    def __init__(self, ident: int, address: tuple[str, int], folder: str | Path, traits: NodeTraits, *,
-                 cold: bool = False, seed: int = 1, load_fields: tuple[str, ...] = ("queue",),
-                 record: Writer | None = None, groups: Path | None = None, zone: str = "zone-a",
-                 meter: Callable[[str], float | None] | None = None,
-                 served: Callable[[str, float], None] | None = None) -> None:
+    def __init__(
+        self,
+        ident: int,
+        address: tuple[str, int],
+        folder: str | Path,
+        traits: NodeTraits,
+        *,
+        cold: bool = False,
+        seed: int = 1,
+        load_fields: tuple[str, ...] = ("queue",),
+        record: Writer | None = None,
+        groups: Path | None = None,
+        zone: str = "zone-a",
+        meter: Callable[[str], float | None] | None = None,
+        served: Callable[[str, float], None] | None = None,
+    ) -> None:
         self.ident, self.traits, self.load_fields = ident, traits, load_fields
         self.random = Random(seed * 1000 + ident)
         self.store = Store(Path(folder) / "objects")
         group_root = groups or Path(folder) / "repeats"
-        self.repeats = {"cell": Repeats(group_root / f"cell-{ident}"), "zone": Repeats(group_root / f"zone-{zone}"),
-                        "all": Repeats(group_root / "all")}
+        self.repeats = {
+            "cell": Repeats(group_root / f"cell-{ident}"),
+            "zone": Repeats(group_root / f"zone-{zone}"),
+            "all": Repeats(group_root / "all"),
+        }
         self.sides = Sides(Path(folder), self.store)
         self.gate = Gate(Path(folder), self.note)
         self.record, self.meter, self.served = record, meter, served
@@ -143,12 +158,23 @@
         self.greenlets: list[Any] = []
         self.folder = Path(folder)
         self.server = self._listen(address)
-        self.note("up", cold=cold, power=self.behaviour.traits.cores / max(traits.unit_time, 1e-9),
-                  cold_from=traits.cold_from, warm_after=traits.warm_after)
+        self.note(
+            "up",
+            cold=cold,
+            power=self.behaviour.traits.cores / max(traits.unit_time, 1e-9),
+            cold_from=traits.cold_from,
+            warm_after=traits.warm_after,
+        )
 
     def _listen(self, address: tuple[str, int]) -> Server:
-        return Server(address, self._handle, idle_close=120.0, piece_timeout=30.0, most=20_000,
-                      on_error=lambda bad: traceback.print_exception(bad))
+        return Server(
+            address,
+            self._handle,
+            idle_close=120.0,
+            piece_timeout=30.0,
+            most=20_000,
+            on_error=lambda bad: traceback.print_exception(bad),
+        )
 
     @property
     def address(self) -> tuple[str, int]:
@@ -230,7 +256,7 @@
         work = Work(self.number, call.units, writes, call.extent, call.attempt == 0, now + call.left)
         self.works[work.ident] = waiter = AsyncResult()
         taken = self.behaviour.arrive(now, work)
-        self.wake.set()         # also where it is turned away: something may have ended until now
+        self.wake.set()  # also where it is turned away: something may have ended until now
         if self.behaviour.fallen:
             self.fall()
         if not taken:
@@ -273,11 +299,23 @@
                 for piece in exchange.body():
                     draft.add(piece)
             except BaseException:
-                draft.drop()        # the request never came whole: it never ran
+                draft.drop()  # the request never came whole: it never ran
                 raise
         came = time.monotonic()
-        self.note("in", head=call.head, id=call.ident, n=call.attempt, cls=call.cls, units=call.units, op=call.op,
-                  vol=volume, x=call.extent, e=call.effect, w=writes, m=head.method.decode())
+        self.note(
+            "in",
+            head=call.head,
+            id=call.ident,
+            n=call.attempt,
+            cls=call.cls,
+            units=call.units,
+            op=call.op,
+            vol=volume,
+            x=call.extent,
+            e=call.effect,
+            w=writes,
+            m=head.method.decode(),
+        )
         try:
             if self.faults.drain:
                 return self._answer(exchange, call, volume, 503, [], b"", full=True)
@@ -301,15 +339,15 @@
             if draft is not None:
                 draft.drop()
 
-    def _elsewhere(self, exchange: Exchange, call: Call, volume: str, key: str, where: Allowed,
-                   came: float) -> None:
+    def _elsewhere(self, exchange: Exchange, call: Call, volume: str, key: str, where: Allowed, came: float) -> None:
         """Nothing was done: another node serves the extent (421), or none does yet (425)."""
         side = self.sides.side(volume, key)
         moved = where is Allowed.MOVED and side.to >= 0
         self.note("elsewhere", head=call.head, came=came, vol=volume, key=key, gen=side.generation if moved else -1)
         if moved:
-            return self._answer(exchange, call, volume, 421, [(MOVED, b"%d;%d" % (side.to, side.generation))], b"",
-                                how="elsewhere")
+            return self._answer(
+                exchange, call, volume, 421, [(MOVED, b"%d;%d" % (side.to, side.generation))], b"", how="elsewhere"
+            )
         self._answer(exchange, call, volume, 425, [], b"", how="elsewhere")
 
     def _refused_by_tags(self, exchange: Exchange, etag: str | None) -> bool:
@@ -323,15 +361,15 @@
         had = self.store.find(volume, key)
         group = self.repeats.get(call.group) if call.effect == "keyed" and call.key else None
         left = group.claim(call.key, call.window) if group else None
-        if left == "":              # claimed, then killed before it was done, or still at work elsewhere
+        if left == "":  # claimed, then killed before it was done, or still at work elsewhere
             if had is not None and had.idem == call.key:
                 left = had.etag
             elif call.group == "cell":
-                left = None         # this node alone holds the group: the first one left nothing
+                left = None  # this node alone holds the group: the first one left nothing
             else:
                 draft.drop()
                 return self._answer(exchange, call, volume, 500, [], b"")
-        if left is not None:        # a repeat: its effect is dropped, the answer is the first one's
+        if left is not None:  # a repeat: its effect is dropped, the answer is the first one's
             draft.drop()
             self.note("did", head=call.head, id=call.ident, n=call.attempt, op=call.op, e=call.effect, dropped=True)
             return self._answer(exchange, call, volume, 200, [(b"ETag", f'"{left}"'.encode())], b"")
@@ -341,8 +379,9 @@
                 group.release(call.key)
             return self._answer(exchange, call, volume, 412, [], b"")
         self.sides.writes(volume, key)
-        meta = self.store.commit(draft, volume, key, call.key if group else "",
-                                 generation=self.sides.side(volume, key).generation)
+        meta = self.store.commit(
+            draft, volume, key, call.key if group else "", generation=self.sides.side(volume, key).generation
+        )
         if group:
             group.done(call.key, meta.etag, volume, key)
         self.note("did", head=call.head, id=call.ident, n=call.attempt, op=call.op, e=call.effect, dropped=False)
@@ -375,15 +414,17 @@
             try:
                 wanted = read_range(h[b"range"].decode("latin-1"), meta.size)
             except IndexError:
-                return self._answer(exchange, call, volume, 416,
-                                    [tag, (b"Content-Range", b"bytes */%d" % meta.size)], b"")
+                return self._answer(
+                    exchange, call, volume, 416, [tag, (b"Content-Range", b"bytes */%d" % meta.size)], b""
+                )
             if wanted is not None:
                 start, length = wanted
                 status = 206
                 more.append((b"Content-Range", b"bytes %d-%d/%d" % (start, start + length - 1, meta.size)))
         if length <= 1 << 18:
-            return self._answer(exchange, call, volume, status, more,
-                                b"".join(self.store.read(volume, key, start, length)))
+            return self._answer(
+                exchange, call, volume, status, more, b"".join(self.store.read(volume, key, start, length))
+            )
         pieces = self.store.read(volume, key, start, length)
         exchange.begin(status, [*more, (b"Fawn-Told", self._told(call, volume).pack())], length)
         sent, cut = 0, self._hit(self.faults.cut)
@@ -407,13 +448,25 @@
         use = self.meter(volume) if self.meter is not None else None
         return Told(others, use, tuple(self.behaviour.load(name) for name in self.load_fields))
 
-    def _answer(self, exchange: Exchange, call: Call, volume: str, status: int, headers: list[tuple[bytes, bytes]],
-                body: bytes, full: bool = False, how: str = "") -> None:
+    def _answer(
+        self,
+        exchange: Exchange,
+        call: Call,
+        volume: str,
+        status: int,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes,
+        full: bool = False,
+        how: str = "",
+    ) -> None:
         faults = self.faults
-        told = self._told(call, volume) if status < 500 and status not in (421, 425) else Told(
-            load=tuple(self.behaviour.load(name) for name in self.load_fields), full=full)
+        told = (
+            self._told(call, volume)
+            if status < 500 and status not in (421, 425)
+            else Told(load=tuple(self.behaviour.load(name) for name in self.load_fields), full=full)
+        )
         wire, lost = exchange.conn.wire, ""
-        if full:                    # turned away unseen: the faults are of answers to work done
+        if full:  # turned away unseen: the faults are of answers to work done
             exchange.respond(status, [(b"Fawn-Told", told.pack())])
         elif self._hit(faults.lose):
             lost = "lose"
@@ -432,20 +485,30 @@
         elif self._hit(faults.cut):
             lost = "cut"
             exchange.answered = exchange.conn.closing = True
-            exchange.conn.send(b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, len(body) + 8)
-                               + body[:len(body) // 2])
+            exchange.conn.send(
+                b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, len(body) + 8) + body[: len(body) // 2]
+            )
         elif self._hit(faults.wrong_length):
             lost = "length"
             exchange.answered = exchange.conn.closing = True
-            exchange.conn.send(b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, max(0, len(body) - 1))
-                               + body + b"x")
+            exchange.conn.send(
+                b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, max(0, len(body) - 1)) + body + b"x"
+            )
         else:
             if body and self._hit(faults.wrong_byte):
                 at = self.random.randrange(len(body))
-                body = body[:at] + bytes([body[at] ^ 0x41]) + body[at + 1:]
+                body = body[:at] + bytes([body[at] ^ 0x41]) + body[at + 1 :]
             exchange.respond(status, [*headers, (b"Fawn-Told", told.pack())], body)
-        self.note("out", head=call.head, id=call.ident, n=call.attempt, op=call.op, s=status, lost=lost,
-                  how="full" if full else how)
+        self.note(
+            "out",
+            head=call.head,
+            id=call.ident,
+            n=call.attempt,
+            op=call.op,
+            s=status,
+            lost=lost,
+            how="full" if full else how,
+        )
 
     def _control(self, exchange: Exchange) -> None:
         raw = b"".join(exchange.body())
@@ -490,14 +553,25 @@
         except (KeyError, ValueError, TypeError, msgspec.MsgspecError, struct.error) as bad:
             raise BadMessage(400, f"a mover's call does not read: {bad}") from None
         s = self.sides.side(volume, key)
-        exchange.respond(200 if done else 409, [], msgspec.json.encode(
-            {"role": s.role.value, "generation": s.generation, "position": s.position, "to": s.to, "fence": s.fence,
-             "kept": s.kept}))
+        exchange.respond(
+            200 if done else 409,
+            [],
+            msgspec.json.encode(
+                {
+                    "role": s.role.value,
+                    "generation": s.generation,
+                    "position": s.position,
+                    "to": s.to,
+                    "fence": s.fence,
+                    "kept": s.kept,
+                }
+            ),
+        )
 
     def _step(self, volume: str, key: str, a: Asked) -> bool:
         done = self.sides.step(a.step, volume, key, a.generation, a.to, a.fence, mine=a.mine)
         if done and a.step in ("forget", "cancel"):
-            self.store.delete(volume, key)      # after its row: a kill in between leaves data, and nobody serves them
+            self.store.delete(volume, key)  # after its row: a kill in between leaves data, and nobody serves them
         return done
 
     def _give(self, exchange: Exchange, volume: str, key: str) -> None:
@@ -516,12 +590,12 @@
 
     def _take(self, volume: str, key: str, generation: int, raw: bytes) -> bool:
         (length,) = struct.unpack_from(">I", raw)
-        told, data = msgspec.msgpack.decode(raw[4:4 + length], type=Moved), raw[4 + length:]
+        told, data = msgspec.msgpack.decode(raw[4 : 4 + length], type=Moved), raw[4 + length :]
         side = self.sides.side(volume, key)
         if side.role is not Role.FILLING or side.generation != generation:
             return False
         if told.position < side.position:
-            return True             # a copy that was under way when a newer one came
+            return True  # a copy that was under way when a newer one came
         if told.meta is None:
             self.store.delete(volume, key)
         else:
--- a/fawnspool/standins/nodelist.py
+++ b/fawnspool/standins/nodelist.py
@@ -8,6 +8,7 @@
 
 Ages rather than times, so that no clocks need agree. docs/node-wire.md describes the forms.
 """
+
 from __future__ import annotations
 
 import json
@@ -24,7 +25,7 @@
 from fawnspool.net.server import Exchange
 from fawnspool.standins.service import Service
 
-_KEEP = 1000            # changes kept for a watch that comes back
+_KEEP = 1000  # changes kept for a watch that comes back
 
 
 @dataclass
@@ -42,16 +43,28 @@
 
     def row(self) -> dict[str, Any]:
         age = -1.0 if self.started < 0 else max(0.0, time.monotonic() - self.started)
-        return {"node": self.node, "address": self.address, "zone": self.zone, "cell": self.cell,
-                "phase": self.phase, "kind": self.kind, "size": self.size, "age_s": age}
+        return {
+            "node": self.node,
+            "address": self.address,
+            "zone": self.zone,
+            "cell": self.cell,
+            "phase": self.phase,
+            "kind": self.kind,
+            "size": self.size,
+            "age_s": age,
+        }
 
 
 class NodeListServer(Service):
     """Holds the list; `change` is told at once to whoever watches, after `late` seconds."""
 
-    def __init__(self, address: tuple[str, int], entries: list[Entry],
-                 told: Callable[[int, str, int, float], None] | None = None,
-                 where: Callable[[int, str], str] = lambda head, address: address) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        entries: list[Entry],
+        told: Callable[[int, str, int, float], None] | None = None,
+        where: Callable[[int, str], str] = lambda head, address: address,
+    ) -> None:
         """where(head, address): the address of a node as that head is to use it."""
         self.where_for = where
         self.entries = {e.node: e for e in entries}
@@ -97,8 +110,7 @@
             return exchange.respond(200, [], b"{}")
         if path == "/list":
             rows, began = list(self.entries.values()), time.monotonic()
-            exchange.respond(200, [], json.dumps(
-                {"version": self.version, "entries": self._rows(head, rows)}).encode())
+            exchange.respond(200, [], json.dumps({"version": self.version, "entries": self._rows(head, rows)}).encode())
             return self._tell(head, rows, began)
         if path == "/watch":
             return self._watch(exchange, head, int(asked.get("from", 0)))
@@ -108,8 +120,7 @@
         queue: Queue[Any] = Queue()
         key = object()
         known = [e for v, e in self.changes if v > version]
-        reaches = version and (version >= self.version or (
-            self.changes and self.changes[0][0] <= version + 1))
+        reaches = version and (version >= self.version or (self.changes and self.changes[0][0] <= version + 1))
         first = known if reaches else list(self.entries.values())
         exchange.begin(200, [], None)
         self.watchers[key] = (head, queue)
--- a/fawnspool/standins/platform.py
+++ b/fawnspool/standins/platform.py
@@ -3,6 +3,7 @@
 A shelf answers with the body "ID METHOD TARGET" (so that nobody else's answer passes for it) unless its script says
 otherwise; discovery holds a list and tells whoever watches.
 """
+
 from __future__ import annotations
 
 import json
@@ -35,7 +36,7 @@
         return f"{self.ident} {self.method} {self.target}".encode()
 
 
-Script = Callable[[Asked], bytes | None]     # raw bytes to send, or None for the plain answer
+Script = Callable[[Asked], bytes | None]  # raw bytes to send, or None for the plain answer
 
 
 @dataclass
@@ -46,8 +47,8 @@
     report: list[tuple[bytes, bytes]] = field(default_factory=list)
     script: Script | None = None
     hold: Event = field(default_factory=Event)
-    cuts_kept: bool = False             # resets a connection at its second request
-    ends: bool = False                  # closes the connection behind a script's bytes
+    cuts_kept: bool = False  # resets a connection at its second request
+    ends: bool = False  # closes the connection behind a script's bytes
     asked: list[Asked] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -84,7 +85,7 @@
     def __init__(self) -> None:
         self.rows: dict[str, dict[str, Any]] = {}
         self.seq, self.down = 1, False
-        self.watchers: set[Queue[Any]] = set()          # what is put there as bytes goes out as it is
+        self.watchers: set[Queue[Any]] = set()  # what is put there as bytes goes out as it is
         self.calls: list[str] = []
         self.server = Server(("127.0.0.1", 0), self._answer)
         self.server.start()
@@ -94,8 +95,18 @@
         return "{}:{}".format(*self.server.address)
 
     def put(self, shelf: Shelf, host: str, health: str = "active", born_ms: float = 0) -> None:
-        self.change({"host": host, "dial": shelf.address, "site": "a", "class": "m", "block": shelf.block,
-                     "health": health, "share": 1.0, "born_ms": born_ms})
+        self.change(
+            {
+                "host": host,
+                "dial": shelf.address,
+                "site": "a",
+                "class": "m",
+                "block": shelf.block,
+                "health": health,
+                "share": 1.0,
+                "born_ms": born_ms,
+            }
+        )
 
     def change(self, row: dict[str, Any]) -> None:
         self.seq += 1
--- a/fawnspool/standins/service.py
+++ b/fawnspool/standins/service.py
@@ -1,4 +1,5 @@
 """What the services' stand-ins share: one address, gone and back again at it."""
+
 from __future__ import annotations
 
 from fawnspool.net.server import Exchange, Server
@@ -22,7 +23,7 @@
         """Out of reach: nothing listens, what was open is reset."""
         if self.server is not None:
             self.server.reset_all()
-            self.server.stop()          # also the greenlet that accepts: until it is gone, the address is taken
+            self.server.stop()  # also the greenlet that accepts: until it is gone, the address is taken
             self.server = None
             self._left()
 
--- a/fawnspool/standins/store.py
+++ b/fawnspool/standins/store.py
@@ -1,7 +1,8 @@
 """A node's disk: a file an object, written beside and renamed, so that a kill leaves the old or the new one.
 
-    file = u32 length of the head, head (msgpack: volume, key, etag, size, crc32c), the bytes
+file = u32 length of the head, head (msgpack: volume, key, etag, size, crc32c), the bytes
 """
+
 from __future__ import annotations
 
 import os
@@ -26,8 +27,8 @@
     etag: str
     size: int
     crc: int
-    idem: str = ""       # idempotency key of the write that left it
-    side: tuple[int, int, int] = (-1, -1, -1)   # generation, and to which cell it was fenced at which position; -1: not
+    idem: str = ""  # idempotency key of the write that left it
+    side: tuple[int, int, int] = (-1, -1, -1)  # generation, and to which cell it was fenced at which position; -1: not
 
 
 @dataclass(slots=True)
@@ -44,7 +45,7 @@
         self.crc = crc32c.crc32c(piece, self.crc)
         self.size += len(piece)
         while view:
-            view = view[os.write(self.fd, view):]
+            view = view[os.write(self.fd, view) :]
 
     def drop(self) -> None:
         os.close(self.fd)
@@ -54,7 +55,7 @@
 class Store:
     """Objects of one node below a folder. The index is made anew from the files at each start."""
 
-    HEAD = 512      # bytes kept for the head of a file, so that the body can be written first
+    HEAD = 512  # bytes kept for the head of a file, so that the body can be written first
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
@@ -63,7 +64,7 @@
         self.drafts = 0
         for path in sorted(self.folder.iterdir()):
             if path.name.startswith("draft-"):
-                path.unlink()       # a kill in the middle of a write
+                path.unlink()  # a kill in the middle of a write
                 continue
             meta = self._read_meta(path)
             if meta is not None:
@@ -76,7 +77,7 @@
             return None
         (length,) = _LENGTH.unpack_from(head)
         try:
-            return msgspec.msgpack.decode(head[4:4 + length], type=Meta)
+            return msgspec.msgpack.decode(head[4 : 4 + length], type=Meta)
         except msgspec.DecodeError:
             return None
 
@@ -91,8 +92,7 @@
         os.lseek(fd, self.HEAD, os.SEEK_SET)
         return Draft(fd, path)
 
-    def commit(self, draft: Draft, volume: str, key: str, idem: str = "", etag: str = "",
-               generation: int = -1) -> Meta:
+    def commit(self, draft: Draft, volume: str, key: str, idem: str = "", etag: str = "", generation: int = -1) -> Meta:
         """The draft takes the place of what the key held. etag: of the object that it is a copy of."""
         etag = etag or f"{draft.crc:08x}{draft.size:x}-{time.time_ns():x}"
         meta = Meta(volume, key, etag, draft.size, draft.crc, idem, (generation, -1, -1))
--- a/fawnspool/telemetry/sums.py
+++ b/fawnspool/telemetry/sums.py
@@ -3,6 +3,7 @@
 Labels are bounded: classes, plans and outcomes come from the settings, nodes from the list (those gone longest
 are dropped beyond a bound); there is never a label by volume, key or client.
 """
+
 from __future__ import annotations
 
 from bisect import bisect_left
@@ -30,8 +31,8 @@
     def __init__(self) -> None:
         self.requests: dict[tuple[str, str, str], int] = {}
         self.attempts: dict[tuple[int, str], int] = {}
-        self.endings: dict[str, int] = {}               # attempts by how they ended, in the words of `head.endings`
-        self.reasons: dict[tuple[str, str], int] = {}   # why a request was not served: outcome, reason
+        self.endings: dict[str, int] = {}  # attempts by how they ended, in the words of `head.endings`
+        self.reasons: dict[tuple[str, str], int] = {}  # why a request was not served: outcome, reason
         self.head_wait: dict[str, Histogram] = {}
         self.node_time: dict[int, Histogram] = {}
         self.module_seconds, self.module_events, self.module_errors = 0.0, 0, 0
--- a/fawnspool/telemetry/traces.py
+++ b/fawnspool/telemetry/traces.py
@@ -3,6 +3,7 @@
 Spans go to a file, a JSON object a line. Which requests are traced is drawn by the trace's own sampler; a
 request that is not traced costs one comparison.
 """
+
 from __future__ import annotations
 
 import functools
@@ -44,10 +45,15 @@
 
 def _row(span: ReadableSpan) -> dict[str, Any]:
     context, start, end = span.get_span_context(), span.start_time or 0, span.end_time or 0
-    return {"name": span.name, "trace": f"{context.trace_id:032x}" if context else "",
-            "span": f"{context.span_id:016x}" if context else "",
-            "parent": f"{span.parent.span_id:016x}" if span.parent else "", "start_ns": start,
-            "ms": (end - start) / 1e6, **dict(span.attributes or {})}
+    return {
+        "name": span.name,
+        "trace": f"{context.trace_id:032x}" if context else "",
+        "span": f"{context.span_id:016x}" if context else "",
+        "parent": f"{span.parent.span_id:016x}" if span.parent else "",
+        "start_ns": start,
+        "ms": (end - start) / 1e6,
+        **dict(span.attributes or {}),
+    }
 
 
 class Traces:
@@ -68,8 +74,9 @@
         return span if span.is_recording() else None
 
     def attempt(self, parent: Any, began: float, ended: float, **attributes: Any) -> None:
-        span = self.tracer.start_span("attempt", context=set_span_in_context(parent), start_time=self._ns(began),
-                                      attributes=attributes)
+        span = self.tracer.start_span(
+            "attempt", context=set_span_in_context(parent), start_time=self._ns(began), attributes=attributes
+        )
         span.end(self._ns(ended))
 
     def end(self, span: Any, at: float, **attributes: Any) -> None:
--- a/tests/duties_model.py
+++ b/tests/duties_model.py
@@ -7,6 +7,7 @@
 restart, an effect that is sent and one that comes. `python -m tests.duties_model` prints the states walked;
 `MISTAKES` are those that a walk must find.
 """
+
 from __future__ import annotations
 
 import sys
@@ -33,29 +34,29 @@
     reborn: Callable[..., Any] = vote.reborn
     learned: Callable[..., Any] = vote.learned
     majority: int = 2
-    kept: bool = True               # votes are on disk before they are said
-    quiet: float = LEASE            # a voter without its memory says nothing for so long
+    kept: bool = True  # votes are on disk before they are said
+    quiet: float = LEASE  # a voter without its memory says nothing for so long
     counts_from_answer: bool = False
-    ends: bool = True               # a holder heeds its lease's end
-    fence: bool = True              # a place remembers the newest token
-    frees: bool = True              # a claim that is given up is not taken up again
+    ends: bool = True  # a holder heeds its lease's end
+    fence: bool = True  # a place remembers the newest token
+    frees: bool = True  # a claim that is given up is not taken up again
 
 
 @dataclass(frozen=True)
 class Bounds:
     time: int = 4
     tokens: int = 3
-    campaigns: int = 2              # of all candidates
+    campaigns: int = 2  # of all candidates
     renewals: int = 1
-    restarts: int = 1               # of voters, with their disk
-    losses: int = 1                 # of a voter's disk
-    lives: int = 0                  # restarts of candidates
+    restarts: int = 1  # of voters, with their disk
+    losses: int = 1  # of a voter's disk
+    lives: int = 0  # restarts of candidates
     frees: int = 1
     effects: bool = True
 
 
-Voter = tuple[Seat, float, float, tuple[Any, ...] | None]     # seat, floor, silent until, said (None: it votes)
-State = tuple[Any, ...]             # time, voters, claims, said messages, left, top, fence, newest effect
+Voter = tuple[Seat, float, float, tuple[Any, ...] | None]  # seat, floor, silent until, said (None: it votes)
+State = tuple[Any, ...]  # time, voters, claims, said messages, left, top, fence, newest effect
 
 
 def start() -> State:
@@ -79,12 +80,20 @@
     campaigns, renewals, restarts, losses, lives, frees = used
 
     def to(**x: Any) -> State:
-        old = {"now": now, "voters": voters, "cands": cands, "said": said, "used": used, "top": top, "fence": fence,
-               "newest": newest}
+        old = {
+            "now": now,
+            "voters": voters,
+            "cands": cands,
+            "said": said,
+            "used": used,
+            "top": top,
+            "fence": fence,
+            "newest": newest,
+        }
         return tuple((old | x).values())
 
     def put(rows: tuple[Any, ...], k: int, row: Any) -> tuple[Any, ...]:
-        return (*rows[:k], row, *rows[k + 1:])
+        return (*rows[:k], row, *rows[k + 1 :])
 
     if now < b.time:
         yield to(now=now + 1)
@@ -92,7 +101,7 @@
         if campaigns < b.campaigns:
             for token in range(1 if claim is None else claim[0] + 1, b.tokens + 1):
                 if any(m[0] == "ask" and m[2:4] == (token, who) for m in said) or (claim is not None and claim[2]):
-                    continue                                            # a token is used once by a life
+                    continue  # a token is used once by a life
                 asks = {("ask", v, token, who, now) for v in range(3)}
                 # One that holds goes on under its old token until the higher one has a majority.
                 row = (token, (), 0, ()) if not holds(rules, now, claim) else (*claim[:2], token, ())
@@ -103,9 +112,11 @@
             if renewals < b.renewals and holds(rules, now, claim) and not asks <= said:
                 yield to(said=said | asks, used=(campaigns, renewals + 1, *used[2:]))
             if frees < b.frees:
-                yield to(cands=put(cands, c, (who, claim if not rules.frees else None)),
-                         said=said | {("free", v, t, who) for v in range(3) for t in {claim[0], token}},
-                         used=(*used[:5], frees + 1))
+                yield to(
+                    cands=put(cands, c, (who, claim if not rules.frees else None)),
+                    said=said | {("free", v, t, who) for v in range(3) for t in {claim[0], token}},
+                    used=(*used[:5], frees + 1),
+                )
             if lives < b.lives:
                 yield to(cands=put(cands, c, (who + 10, None)), used=(*used[:4], lives + 1, frees))
             effect = ("effect", claim[0], who)
@@ -118,8 +129,7 @@
                 row = (Seat(), 0, now + rules.quiet, ())
             yield to(voters=put(voters, v, row), used=(campaigns, renewals, restarts + 1, *used[3:]))
         if losses < b.losses:
-            yield to(voters=put(voters, v, (Seat(), 0, now + rules.quiet, ())),
-                     used=(*used[:3], losses + 1, *used[4:]))
+            yield to(voters=put(voters, v, (Seat(), 0, now + rules.quiet, ())), used=(*used[:3], losses + 1, *used[4:]))
         if learning is not None and now >= silent:
             for w, (other, its_floor, _, its) in enumerate(voters):
                 told = ("known", v, w, silent, its is None, max(other.token, its_floor))
@@ -160,8 +170,9 @@
                 continue
             heard = tuple(sorted({r[0]: r for r in (*learning, row)}.values()))
             height = rules.learned({r[0]: (r[1], r[2]) for r in heard}, 3)
-            yield to(voters=put(voters, v, (seat, floor, silent, heard) if height is None else
-                                (seat, height, silent, None)))
+            yield to(
+                voters=put(voters, v, (seat, floor, silent, heard) if height is None else (seat, height, silent, None))
+            )
         elif m[0] == "effect" and m[1] >= (fence if rules.fence else 0) and (m[1] > newest or m[1] < newest):
             yield to(fence=m[1], newest=m[1] if m[1] > newest else -1)
 
@@ -190,12 +201,33 @@
     best: Any = None
     for order in ORDERS:
         to = {old: new for new, old in enumerate(order)}
-        rows = tuple((seat, floor, silent, None if said is None else tuple(sorted((to[w], h, t) for w, h, t in said)))
-                     for seat, floor, silent, said in (voters[v] for v in order))
-        moved = tuple(sorted((*m[:1], to[m[1]], to[m[2]], *m[3:]) if m[0] == "known" else
-                             m if m[0] == "effect" else (m[0], to[m[1]], *m[2:]) for m in live))
-        has = tuple((who, claim and (claim[0], tuple(sorted((to[v], t) for v, t in claim[1])), claim[2],
-                                     tuple(sorted((to[v], t) for v, t in claim[3])))) for who, claim in cands)
+        rows = tuple(
+            (seat, floor, silent, None if said is None else tuple(sorted((to[w], h, t) for w, h, t in said)))
+            for seat, floor, silent, said in (voters[v] for v in order)
+        )
+        moved = tuple(
+            sorted(
+                (*m[:1], to[m[1]], to[m[2]], *m[3:])
+                if m[0] == "known"
+                else m
+                if m[0] == "effect"
+                else (m[0], to[m[1]], *m[2:])
+                for m in live
+            )
+        )
+        has = tuple(
+            (
+                who,
+                claim
+                and (
+                    claim[0],
+                    tuple(sorted((to[v], t) for v, t in claim[1])),
+                    claim[2],
+                    tuple(sorted((to[v], t) for v, t in claim[3])),
+                ),
+            )
+            for who, claim in cands
+        )
         seats = tuple((r[0].token, r[0].who, r[0].until, r[0].freed, *r[1:3], r[3] or ()) for r in rows)
         key = (seats, moved, str(has))
         if best is None or key < best[0]:
@@ -257,10 +289,16 @@
 
 BASE = Bounds(time=3, tokens=2, renewals=0, restarts=0, losses=0, frees=0, effects=False)
 SMALL = {"as it is": replace(BASE, time=2)}
-LARGE = {"voters restart": replace(BASE, time=2, restarts=1), "a voter loses its disk": replace(BASE, losses=1),
-         "given back": replace(BASE, time=2, frees=1), "effects": replace(BASE, time=2, effects=True),
-         "renewed": replace(BASE, time=2, renewals=1), "three campaigns": replace(BASE, time=2, campaigns=3, tokens=3),
-         "a candidate's life more": replace(BASE, time=2, lives=1), "longer": BASE}
+LARGE = {
+    "voters restart": replace(BASE, time=2, restarts=1),
+    "a voter loses its disk": replace(BASE, losses=1),
+    "given back": replace(BASE, time=2, frees=1),
+    "effects": replace(BASE, time=2, effects=True),
+    "renewed": replace(BASE, time=2, renewals=1),
+    "three campaigns": replace(BASE, time=2, campaigns=3, tokens=3),
+    "a candidate's life more": replace(BASE, time=2, lives=1),
+    "longer": BASE,
+}
 NOW = replace(BASE, time=0)
 MISTAKES: dict[str, tuple[Rules, Bounds]] = {
     "a vote is given while another stands": (Rules(ask=_any_time), NOW),
@@ -272,8 +310,10 @@
     "the lease counts from the answer": (Rules(counts_from_answer=True), replace(BASE, time=2)),
     "one vote is enough": (Rules(majority=1), NOW),
     "the holder does not heed the end": (Rules(ends=False), replace(BASE, time=2)),
-    "a late word frees a newer vote": (Rules(free=lambda seat, token, who: replace(seat, freed=True)),
-                                       replace(NOW, frees=1, campaigns=3, tokens=3)),
+    "a late word frees a newer vote": (
+        Rules(free=lambda seat, token, who: replace(seat, freed=True)),
+        replace(NOW, frees=1, campaigns=3, tokens=3),
+    ),
     "the holder goes on after it gave back": (Rules(frees=False), replace(NOW, frees=1)),
     "the fence forgets": (Rules(fence=False), replace(NOW, effects=True, frees=1)),
 }
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -1,5 +1,6 @@
 """The program, doctored: `python -m tests.e2e.doctored HOW serve ...`. Each HOW breaks one thing that duties rest on;
 the judge must find it."""
+
 from __future__ import annotations
 
 import errno
@@ -25,7 +26,7 @@
 from fawnspool.standins import moving
 
 
-class Stubborn(gevent.Greenlet):    # type: ignore[misc]
+class Stubborn(gevent.Greenlet):  # type: ignore[misc]
     def kill(self, *args: Any, **more: Any) -> None:
         """It goes on."""
 
@@ -34,23 +35,25 @@
     """A holder whose work heeds neither clock nor loss."""
     names = {n: getattr(gevent, n) for n in dir(gevent)}
     duties.gevent = SimpleNamespace(**names | {"spawn": Stubborn.spawn})  # type: ignore[attr-defined]
-    duties.Hold.left = lambda self: 5.0                     # type: ignore[method-assign]
+    duties.Hold.left = lambda self: 5.0  # type: ignore[method-assign]
     real, last = works.Works._wishes, dict[str, str]()
 
     def wishes(self: Any, hold: Any) -> dict[str, str]:
         last.update(real(self, hold) or {})
         return last
-    works.Works._wishes = wishes                            # type: ignore[method-assign]
+
+    works.Works._wishes = wishes  # type: ignore[method-assign]
     move = works._Drain._move
 
     def moves(self: Any, *args: Any) -> None:
         with suppress(Fenced):
             move(self, *args)
-    works._Drain._move = moves                              # type: ignore[method-assign]
+
+    works._Drain._move = moves  # type: ignore[method-assign]
 
 
 def no_token() -> None:
-    duties.Hold.stamp = lambda self: {}                     # type: ignore[method-assign]
+    duties.Hold.stamp = lambda self: {}  # type: ignore[method-assign]
 
 
 def forgets_votes() -> None:
@@ -60,7 +63,8 @@
     def init(self: Any, *args: Any) -> None:
         real(self, *args)
         self.memory = Memory({}, 0)
-    votefile.VoteFile.__init__ = init                       # type: ignore[method-assign]
+
+    votefile.VoteFile.__init__ = init  # type: ignore[method-assign]
 
 
 def votes_twice() -> None:
@@ -69,8 +73,9 @@
 
     def ask(seat: Seat, now: float, token: int, *rest: Any) -> Any:
         return real(replace(seat, until=0.0), now, token, *rest)
+
     vote.ask = ask
-    Seat.vacant = lambda self, now: True                    # type: ignore[method-assign]
+    Seat.vacant = lambda self, now: True  # type: ignore[method-assign]
 
 
 def forgets_fence() -> None:
@@ -80,7 +85,8 @@
     def passes(self: Any, query: dict[str, str], what: str) -> int | None:
         self.fence.seen.clear()
         return real(self, query, what)
-    moving.Gate.passes = passes                             # type: ignore[method-assign]
+
+    moving.Gate.passes = passes  # type: ignore[method-assign]
 
 
 def full_disk() -> None:
@@ -91,7 +97,8 @@
         if time.monotonic() - began > 4.0:
             raise OSError(errno.ENOSPC, "No space left on device")
         real(self, what)
-    votefile.VoteFile.keep = keep                           # type: ignore[method-assign]
+
+    votefile.VoteFile.keep = keep  # type: ignore[method-assign]
 
 
 def wrong_place() -> None:
@@ -102,7 +109,8 @@
         wanted = real(self, hold)
         kept = int(time.monotonic()) % 6
         return {f"drain/{k}": "" for k in range(6) if k != kept} if wanted else wanted
-    works.Works._wishes = wishes                            # type: ignore[method-assign]
+
+    works.Works._wishes = wishes  # type: ignore[method-assign]
 
 
 def keeps_lent() -> None:
@@ -116,32 +124,48 @@
             if self.volumes[k].lent and self.volumes[k].level < level:
                 self.volumes[k].level = level
                 self.volumes[k].lent.clear()
-    Controller._on_peer = lends                             # type: ignore[method-assign]
+
+    Controller._on_peer = lends  # type: ignore[method-assign]
 
 
 def late_units() -> None:
     """A head that counts units however late they come, and fills up at once what it lent."""
-    control.ON_TIME = 1e9                                   # type: ignore[misc]
+    control.ON_TIME = 1e9  # type: ignore[misc]
     real = Controller._fill
 
     def fills(self: Any, volume: Any) -> None:
         volume.lent.clear()
         real(self, volume)
-    Controller._fill = fills                                # type: ignore[method-assign]
+
+    Controller._fill = fills  # type: ignore[method-assign]
 
 
 def hearsay_alone() -> None:
     """A head that believes whatever it hears of a node, before its own answers, and does not try it."""
+
     def weigh(self: Any, now: float, node: int, n: Any) -> list[Any]:
         bad = [f for f in n.found.values() if f.verdict]
         return [judgements.Hearsay(node, False, 60.0)] if bad else []
-    judgements.Judge._weigh = weigh                         # type: ignore[method-assign]
-    judgements.Judge.well = lambda self, now, node: []      # type: ignore[method-assign]
-
 
-HOW: dict[str, Callable[[], None]] = {f.__name__: f for f in (
-    ignores_end, no_token, forgets_votes, votes_twice, forgets_fence, wrong_place, full_disk, keeps_lent, late_units,
-    hearsay_alone)}
+    judgements.Judge._weigh = weigh  # type: ignore[method-assign]
+    judgements.Judge.well = lambda self, now, node: []  # type: ignore[method-assign]
+
+
+HOW: dict[str, Callable[[], None]] = {
+    f.__name__: f
+    for f in (
+        ignores_end,
+        no_token,
+        forgets_votes,
+        votes_twice,
+        forgets_fence,
+        wrong_place,
+        full_disk,
+        keeps_lent,
+        late_units,
+        hearsay_alone,
+    )
+}
 
 if __name__ == "__main__":
     HOW[sys.argv.pop(1)]()
--- a/tests/e2e/relayrig.py
+++ b/tests/e2e/relayrig.py
@@ -1,4 +1,5 @@
 """A live head with stand-in shelfs and discovery in one process on loopback."""
+
 from __future__ import annotations
 
 import contextlib
@@ -19,24 +20,80 @@
 
 logs.set_up("none")
 SETTINGS: dict[str, Any] = {
-    "siblings": 1, "me": 0, "zone": 0, "discovery": "ask", "tick": 0.002,
-    "localities": ["a", "b"], "kinds": ["m"],
+    "siblings": 1,
+    "me": 0,
+    "zone": 0,
+    "discovery": "ask",
+    "tick": 0.002,
+    "localities": ["a", "b"],
+    "kinds": ["m"],
     "classes": [
         {"name": "read", "aim": 0.4, "deadline": 2.0, "repeat": "free", "value": 2.0, "group": "all"},
-        {"name": "note", "aim": 0.6, "deadline": 2.0, "repeat": "guarded", "value": 3.0, "group": "cell",
-         "window": 6.0}],
-    "family_info": {"writes": [False, True], "young_limit": 16.0, "usual_units": 2.0, "largest": 8, "slots_total": 2,
-                    "fair_worth": 0.3, "spare_worth": 0.05, "meter": 0.5, "says_others": True},
+        {
+            "name": "note",
+            "aim": 0.6,
+            "deadline": 2.0,
+            "repeat": "guarded",
+            "value": 3.0,
+            "group": "cell",
+            "window": 6.0,
+        },
+    ],
+    "family_info": {
+        "writes": [False, True],
+        "young_limit": 16.0,
+        "usual_units": 2.0,
+        "largest": 8,
+        "slots_total": 2,
+        "fair_worth": 0.3,
+        "spare_worth": 0.05,
+        "meter": 0.5,
+        "says_others": True,
+    },
     "grades": [
-        {"name": "basic", "rate": 100.0, "floor_rate": 0.0, "cap": 0.0, "cap_depth": 0.0, "shares": 1.0,
-         "value_factor": 0.8, "tolerance": 0.0},
-        {"name": "tight", "rate": 1.0, "floor_rate": 0.0, "cap": 0.01, "cap_depth": 8.0, "shares": 1.0,
-         "value_factor": 0.8, "tolerance": 1.0}],
-    "guarantees": {"drain_grace": 0.25, "answer_slack": 0.008, "fall": 2.0, "tip_multiple": 2.0, "start_capacity": 0.25,
-                   "warm_after": 2.0, "must_ask_in": 8.0},
-    "limits": {"try_limit": 4, "second_copies": True, "cancelling": True, "retry_after": True, "max_retry_after": 0.5,
-               "connect_timeout": 0.25, "idle_close": 15.0, "peers": False, "may_probe": False},
-    "load_report": {"via": "answers", "fields": ["rif", "lat_ms"]}}
+        {
+            "name": "basic",
+            "rate": 100.0,
+            "floor_rate": 0.0,
+            "cap": 0.0,
+            "cap_depth": 0.0,
+            "shares": 1.0,
+            "value_factor": 0.8,
+            "tolerance": 0.0,
+        },
+        {
+            "name": "tight",
+            "rate": 1.0,
+            "floor_rate": 0.0,
+            "cap": 0.01,
+            "cap_depth": 8.0,
+            "shares": 1.0,
+            "value_factor": 0.8,
+            "tolerance": 1.0,
+        },
+    ],
+    "guarantees": {
+        "drain_grace": 0.25,
+        "answer_slack": 0.008,
+        "fall": 2.0,
+        "tip_multiple": 2.0,
+        "start_capacity": 0.25,
+        "warm_after": 2.0,
+        "must_ask_in": 8.0,
+    },
+    "limits": {
+        "try_limit": 4,
+        "second_copies": True,
+        "cancelling": True,
+        "retry_after": True,
+        "max_retry_after": 0.5,
+        "connect_timeout": 0.25,
+        "idle_close": 15.0,
+        "peers": False,
+        "may_probe": False,
+    },
+    "load_report": {"via": "answers", "fields": ["rif", "lat_ms"]},
+}
 
 
 class RelayRig:
@@ -60,10 +117,19 @@
         wait_for(lambda: self.discovery.watchers and self.program.discovery.version == self.discovery.seq)
 
     def write(self, discovery: DiscoveryServer) -> None:
-        self.path.write_text(json.dumps({
-            "name": "n0", "listen": "{}:{}".format(*self.listen), "discovery": discovery.address,
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": discovery.whole() | {"seq": 0}, "settings": self.settings}))
+        self.path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": "{}:{}".format(*self.listen),
+                    "discovery": discovery.address,
+                    "seed": "8c1f30d27a5be964",
+                    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+                    "known": discovery.whole() | {"seq": 0},
+                    "settings": self.settings,
+                }
+            )
+        )
 
     def client(self) -> Client:
         return Client(self.listen)
@@ -86,10 +152,22 @@
         self.discovery.server.stop()
 
 
-def headers(ident: str, plan: str = "basic", shard: int = 0, units: int = 2, wait: str = "1500", obj: str = "7f",
-            volume: str = "00000003b4d60021") -> dict[str, str]:
-    return {"Request-Id": ident, "X-Plan": plan, "X-Object": obj, "Request-Timeout-Ms": wait,
-            "X-IO": f"volume={volume},units={units},shard={shard},hosts=1"}
+def headers(
+    ident: str,
+    plan: str = "basic",
+    shard: int = 0,
+    units: int = 2,
+    wait: str = "1500",
+    obj: str = "7f",
+    volume: str = "00000003b4d60021",
+) -> dict[str, str]:
+    return {
+        "Request-Id": ident,
+        "X-Plan": plan,
+        "X-Object": obj,
+        "Request-Timeout-Ms": wait,
+        "X-IO": f"volume={volume},units={units},shard={shard},hosts=1",
+    }
 
 
 def text(target: str, rows: dict[str, str], method: str = "GET", body: bytes = b"") -> bytes:
@@ -122,9 +200,9 @@
                 return
             said += part
         self.asked.append(said.split(b" ")[1].decode())
-        with contextlib.suppress(OSError):      # the head went on to another connection
+        with contextlib.suppress(OSError):  # the head went on to another connection
             self.script(len(self.asked) - 1, sock, self.asked[-1])
-            sock.recv(1)                        # stays open until the head closes it
+            sock.recv(1)  # stays open until the head closes it
 
     def stop(self) -> None:
         self.server.stop()
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -1,4 +1,5 @@
 """A head, its nodes and services in one process on loopback, for tests over real sockets."""
+
 from __future__ import annotations
 
 import http.client
@@ -96,7 +97,7 @@
         return got
 
     def close(self) -> None:
-        self.file.file.close()      # the socket itself closes with its last reader
+        self.file.file.close()  # the socket itself closes with its last reader
         self.sock.close()
 
 
@@ -119,18 +120,23 @@
 class Rig:
     """`nodes` stand-in nodes, a list, a catalogue, one head with its API."""
 
-    def __init__(self, tmp: Path, nodes: int = 2, traits: NodeTraits | None = None, policy: str = "module",
-                 **blocks: str) -> None:
+    def __init__(
+        self, tmp: Path, nodes: int = 2, traits: NodeTraits | None = None, policy: str = "module", **blocks: str
+    ) -> None:
         self.tmp, self.traits = tmp, traits or NodeTraits(unit_time=0.0)
         self.records = [Writer(tmp / f"node-{k}.rec") for k in range(nodes)]
         self.nodes = [self.make_node(k) for k in range(nodes)]
         self.told: list[tuple[float, int, str, int]] = []
-        self.list = NodeListServer(("127.0.0.1", 0), [self.entry(k) for k in range(nodes)],
-                                   lambda h, phase, node, _: self.told.append((time.monotonic(), h, phase, node)))
+        self.list = NodeListServer(
+            ("127.0.0.1", 0),
+            [self.entry(k) for k in range(nodes)],
+            lambda h, phase, node, _: self.told.append((time.monotonic(), h, phase, node)),
+        )
         self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue())
         parts = {"head": "", "catalogue": "", "nodes": "", "clients": "", "attempts": ""} | blocks
-        text = CONFIG.format(data=tmp / "head", list=self.list.where[1], where=self.catalogue.address[1],
-                             cells=nodes, **parts)
+        text = CONFIG.format(
+            data=tmp / "head", list=self.list.where[1], where=self.catalogue.address[1], cells=nodes, **parts
+        )
         config = parse(text, "rig.hcl", HeadConfig, check)
         self.config = replace(config, head=replace(config.head, policy=policy))
         self.head = Head(self.config)
@@ -141,8 +147,15 @@
         wait_for(lambda: not self.head.loop.inbox)
 
     def make_node(self, k: int, cold: bool = False, port: int = 0) -> NodeServer:
-        node = NodeServer(k + 1, ("127.0.0.1", port), self.tmp / f"n{k}", self.traits, cold=cold,
-                          record=self.records[k], load_fields=("queue",))
+        node = NodeServer(
+            k + 1,
+            ("127.0.0.1", port),
+            self.tmp / f"n{k}",
+            self.traits,
+            cold=cold,
+            record=self.records[k],
+            load_fields=("queue",),
+        )
         node.start()
         return node
 
