--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -4,6 +4,7 @@
 the test (`LateConnect`), by a peer that says what the test chooses, or by ending what would hide the fault (the sweep
 for clients that left). None is waited for.
 """
+
 from __future__ import annotations
 
 import contextlib
@@ -69,25 +70,26 @@
 
 def keyed_window(seconds: float) -> list[dict[str, Any]]:
     """The keyed class with so short a window and times so long that nothing else ends its attempts."""
-    return [c | ({"window": seconds, "aim": 8.0, "deadline": 9.0} if c["name"] == "note" else {})
-            for c in SETTINGS["classes"]]
+    return [
+        c | ({"window": seconds, "aim": 8.0, "deadline": 9.0} if c["name"] == "note" else {})
+        for c in SETTINGS["classes"]
+    ]
 
 
 # ------------------------------------------------------------------ repeats
 
 
-def test_a_repeat_whose_connection_comes_up_behind_the_window_is_not_written(
-        tmp_path: Path, late: LateConnect) -> None:
+def test_a_repeat_whose_connection_comes_up_behind_the_window_is_not_written(tmp_path: Path, late: LateConnect) -> None:
     """Brink seed 10, zone: a keyed request sent again within its window reached its shelf after it."""
     rig = RelayRig(tmp_path, classes=keyed_window(1.0))
     try:
         seen, shelf = outcomes(rig), rig.shelfs[0]
         shelf.ends = True
-        shelf.script = lambda asked: b""            # a reset-like end behind a request that may have run
-        late.asked, late.at_once = 0, 1             # the first has its connection: the second waits
+        shelf.script = lambda asked: b""  # a reset-like end behind a request that may have run
+        late.asked, late.at_once = 0, 1  # the first has its connection: the second waits
         sock = rig.raw(text("/note", headers("w1", wait="8000") | {"Idempotency-Key": "k"}, "PUT", b"x"))
         wait_for(lambda: rig.asked() == ["w1"] and late.asked == 2)
-        gevent.sleep(1.05)                          # the window is over, its time is not
+        gevent.sleep(1.05)  # the window is over, its time is not
         late.go.set()
         assert sock.recv(4096).startswith(b"HTTP/1.1 50")
         assert rig.asked() == ["w1"] and [o.result for o in seen] == [i.Result.BROKEN, i.Result.MOOT]
@@ -117,8 +119,9 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_nothing_is_sent_for_a_client_that_left_while_the_connection_came_up(
-        rig: RelayRig, late: LateConnect, how: str) -> None:
-    rig.core.sweeper.kill()                         # the sweep sees it too, a little later
+    rig: RelayRig, late: LateConnect, how: str
+) -> None:
+    rig.core.sweeper.kill()  # the sweep sees it too, a little later
     late.asked, late.at_once = 0, 0
     sock = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: late.asked == 1)
@@ -141,7 +144,7 @@
     sock = rig.raw(b"")
 
     def script(asked: Any) -> bytes:
-        sock.close()                                # it is gone before its first attempt has ended
+        sock.close()  # it is gone before its first attempt has ended
         return b""
 
     shelf.script = script
@@ -175,7 +178,7 @@
     monkeypatch.setattr(Wire, "peek", lambda wire: looks.append(1) or real(wire))
     sock.sendall(text("/read", headers("r2", shard=1)) + text("/read", headers("r3", shard=1))[:50])
     before = len(looks)
-    wait_for(lambda: len(looks) >= before + 3)      # the sweep has looked behind the first
+    wait_for(lambda: len(looks) >= before + 3)  # the sweep has looked behind the first
     assert rig.program.front.server.states() == {"in hand": 1}
     shelf.hold.set()
     sock.sendall(text("/read", headers("r3", shard=1))[50:])
@@ -183,7 +186,8 @@
     while got.count(b"HTTP/1.1 200") < 3 or not got.endswith(b"r3 GET /read"):
         got += sock.recv(4096)
     assert [got.index(b"%s GET /read" % r) for r in (b"r1", b"r2", b"r3")] == sorted(
-        got.index(b"%s GET /read" % r) for r in (b"r1", b"r2", b"r3"))
+        got.index(b"%s GET /read" % r) for r in (b"r1", b"r2", b"r3")
+    )
 
 
 def test_two_hundred_that_leave_at_once_are_not_sent_on(tmp_path: Path) -> None:
@@ -195,9 +199,11 @@
         first = rig.raw(text("/read", headers("first", volume="1", obj="1")))
         wait_for(lambda: rig.asked() == ["first"])
         rig.core.loop.module.lanes[0].bound = 1.0
-        rig.core.loop.module._shed = lambda lane: None      # held, however long it takes
-        socks = [plain_sock(rig.listen, text("/read", headers(f"r{k}", volume=f"{k + 2:x}", obj=f"{k + 2:x}")))
-                 for k in range(200)]
+        rig.core.loop.module._shed = lambda lane: None  # held, however long it takes
+        socks = [
+            plain_sock(rig.listen, text("/read", headers(f"r{k}", volume=f"{k + 2:x}", obj=f"{k + 2:x}")))
+            for k in range(200)
+        ]
         wait_for(lambda: rig.core.loop.module.lanes[0].held == 200)
         for sock in socks:
             sock.close()
@@ -209,8 +215,7 @@
         rig.stop()
 
 
-def test_nothing_is_sent_to_a_node_that_drained_while_the_connection_came_up(
-        rig: RelayRig, late: LateConnect) -> None:
+def test_nothing_is_sent_to_a_node_that_drained_while_the_connection_came_up(rig: RelayRig, late: LateConnect) -> None:
     late.asked, late.at_once = 0, 0
     sock = rig.raw(text("/read", headers("r1", wait="600")))
     wait_for(lambda: late.asked == 1)
@@ -262,7 +267,7 @@
         rests_still = plain_sock(rig.listen)
         wait_for(lambda: len(server.silent) == 2)
     asks.sendall(text("/read", headers("r2")))
-    assert server.evict_idle()                       # no turn of the loop between these two lines
+    assert server.evict_idle()  # no turn of the loop between these two lines
     assert answer(rests_still) == b""
     server.leaving = True
     assert answer(asks).startswith(b"HTTP/1.1 200") and rig.asked()[-1] == "r2"
@@ -278,7 +283,8 @@
 
 
 def test_a_request_between_the_choice_to_close_and_the_close_may_be_sent_again(
-        rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: RelayRig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The head has looked and seen nothing; then the bytes come; then it closes. Never sent on, and no answer begun."""
     server = rig.program.front.server
     sock, real = rests(rig, "r0"), Wire.unread
@@ -361,14 +367,15 @@
         server, shelf = rig.program.front.server, rig.shelfs[0]
         shelf.hold.clear()
         rig.core.loop.module._shed = lambda lane: None
-        busy = [plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
-                for k in range(server.most)]
+        busy = [
+            plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}"))) for k in range(server.most)
+        ]
         wait_for(lambda: len(rig.program.front.open) == server.most)
         late_one = plain_sock(rig.listen, text("/read", headers("late", shard=1)))
         gevent.sleep(0.05)
         assert "late" not in rig.asked()
         late_one.setblocking(False)
-        with pytest.raises(BlockingIOError):        # neither closed nor reset
+        with pytest.raises(BlockingIOError):  # neither closed nor reset
             late_one.recv(1)
         busy[0].close()
         assert answer(late_one).startswith(b"HTTP/1.1 200")
@@ -391,12 +398,13 @@
             return getattr(real, name)
 
     server.sock = Odd()
-    assert rig.client().ask("GET", "/read", **headers("r1")).status == 200      # ends the accept that stood
+    assert rig.client().ask("GET", "/read", **headers("r1")).status == 200  # ends the accept that stood
     assert rig.client().ask("GET", "/read", **headers("r2")).status == 200 and failed
 
 
 def test_a_connection_that_fails_as_it_is_set_up_is_not_the_last(
-        rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: RelayRig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     failed = list[int]()
 
     def odd(sock: std.socket) -> Wire:
@@ -430,7 +438,7 @@
     sock = rig.raw(text("/read", headers("r2")))
     wait_for(lambda: rig.asked() == ["r1", "r2"])
     sock.close()
-    gone(rig)                                       # seen by the sweep alone
+    gone(rig)  # seen by the sweep alone
 
 
 # ------------------------------------------------------------------ the end
@@ -460,8 +468,8 @@
     silent = rig.raw(b"")
     wait_for(lambda: len(server.silent) == 1)
     ending = gevent.spawn(rig.program.drain)
-    again = gevent.spawn(rig.program.drain)         # a second signal
-    rig.program.reload()                            # and a new configuration
+    again = gevent.spawn(rig.program.drain)  # a second signal
+    rig.program.reload()  # and a new configuration
     wait_for(lambda: rig.program.front.until < float("inf"))
     socks["half"].sendall(whole[60:])
     ending.join(timeout=10)
@@ -493,15 +501,17 @@
     rig = RelayRig(tmp_path)
     other = DiscoveryServer()
     other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
-    start = ("import os, runpy, signal, sys, fawnspool.relay.config as c\n"
-             "real = c.load\n"
-             "def load(path, environ):\n"
-             "    got = real(path, environ)\n"
-             "    if not hit:\n"
-             "        hit.append(1); os.replace(path + '.next', path); os.kill(os.getpid(), signal.SIGHUP)\n"
-             "    return got\n"
-             "hit = []; c.load = load\n"
-             "runpy.run_module('fawnspool.relay', run_name='__main__')\n")
+    start = (
+        "import os, runpy, signal, sys, fawnspool.relay.config as c\n"
+        "real = c.load\n"
+        "def load(path, environ):\n"
+        "    got = real(path, environ)\n"
+        "    if not hit:\n"
+        "        hit.append(1); os.replace(path + '.next', path); os.kill(os.getpid(), signal.SIGHUP)\n"
+        "    return got\n"
+        "hit = []; c.load = load\n"
+        "runpy.run_module('fawnspool.relay', run_name='__main__')\n"
+    )
     old = rig.path.read_bytes()
     rig.write(other)
     rig.path.rename(str(rig.path) + ".next")
@@ -523,8 +533,9 @@
 
 
 @contextlib.contextmanager
-def raw_discovery(rig: RelayRig, script: Callable[[int, Any, str], None], silence: float = 0.3
-                  ) -> Iterator[RawDiscovery]:
+def raw_discovery(
+    rig: RelayRig, script: Callable[[int, Any, str], None], silence: float = 0.3
+) -> Iterator[RawDiscovery]:
     """The head follows discovery to one that plays `script`, and takes a shorter silence for the end of a watch."""
     raw = RawDiscovery(script)
     rig.program.discovery.silence = rig.program.discovery.timeout = silence
@@ -545,7 +556,8 @@
     "after its head": [WATCH],
     "after a line": [WATCH, chunk(b"\n")],
     "in a line": [WATCH, chunk(b"\n"), chunk(b'{"seq": 99, "who')],
-    "in an indented object": [WATCH, chunk(b'{\n "seq": 99,\n')]}
+    "in an indented object": [WATCH, chunk(b'{\n "seq": 99,\n')],
+}
 
 
 @pytest.mark.parametrize("case", SILENT)
@@ -555,7 +567,7 @@
 
     def script(number: int, sock: Any, target: str) -> None:
         when.append(time.monotonic())
-        if number < 2:                              # twice
+        if number < 2:  # twice
             for part in SILENT[case]:
                 sock.sendall(part)
             return
@@ -573,11 +585,11 @@
     def script(number: int, sock: Any, target: str) -> None:
         when.append(time.monotonic())
         if number in (0, 3):
-            return sock.sendall(WATCH + chunk(b"\n"))                       # then silent
+            return sock.sendall(WATCH + chunk(b"\n"))  # then silent
         if number == 1:
             sock.sendall(WATCH)
             sock.setsockopt(std.SOL_SOCKET, std.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-            return sock.close()                                             # a reset behind the head
+            return sock.close()  # a reset behind the head
         if number == 2:
             return sock.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         sock.sendall(WATCH + line(seq + 1, row(rig, "leaving")))
@@ -626,7 +638,7 @@
     want = [b"", b'{"a": [1,\n 2]}', b"", b'{"b": "}\\""}', b"[\n\n]", b"x"]
     for size in (1, 2, 3, 7, 100):
         made = ObjectSplitter(1000)
-        assert [w for k in range(0, len(text_of), size) for w in made.feed(text_of[k:k + size])] == want
+        assert [w for k in range(0, len(text_of), size) for w in made.feed(text_of[k : k + size])] == want
     with pytest.raises(ValueError, match="over 1000 bytes"):
         for _ in range(300):
             list(made.feed(b"[1,2\n"))
@@ -728,12 +740,13 @@
     host, port = rig.discovery.address.split(":")
     rig.program.discovery.move((host, int(port)))
     wait_for(lambda: rig.discovery.watchers and len(failed) == 2)
-    assert [answer(s) for s in spare[:2]] == [b"", b""]         # the two that had rested longest
+    assert [answer(s) for s in spare[:2]] == [b"", b""]  # the two that had rested longest
     assert i.ListKind.FAILED not in [event.kind for event in lists]
 
 
 def test_a_new_configuration_that_finds_no_descriptor_has_one_freed(
-        rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig: RelayRig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     other = DiscoveryServer()
     other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
     rig.write(other)
@@ -750,7 +763,8 @@
 
 @pytest.mark.parametrize("step", [5.0, -5.0, 3600.0, -3600.0])
 def test_a_wall_clock_that_is_set_costs_no_request_its_time(
-        rig: RelayRig, monkeypatch: pytest.MonkeyPatch, step: float) -> None:
+    rig: RelayRig, monkeypatch: pytest.MonkeyPatch, step: float
+) -> None:
     """Set between a request's arrival and its reading: it is as old as it is, and its shelf is told what is left."""
     sock, real = rests(rig, "r0"), time.time
     sock.sendall(text("/read", headers("r1", wait="1500")))
@@ -771,7 +785,7 @@
     def twice(asked: Any) -> bytes:
         raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(asked.made()) + asked.made()
         conn = next(c for c in shelf.server.open if c not in shelf.server.idle)
-        gevent.sleep(0.03)                          # longer than the second answer of the one before is late
+        gevent.sleep(0.03)  # longer than the second answer of the one before is late
         gevent.spawn_later(0.008, conn.send, raw)
         return raw
 
@@ -806,13 +820,16 @@
 
     def end(conn: Any, asked: Any) -> None:
         for k in range(pieces):
-            conn.send(body[k * 10_240:(k + 1) * 10_240])
+            conn.send(body[k * 10_240 : (k + 1) * 10_240])
             gevent.sleep(0.005)
 
     without_length(rig, end)
     c = rig.client()
-    got: Any = c.ask("GET", "/read", **headers("r1")) if method == "GET" else \
-        c.ask("PUT", "/note", b"x", **headers("r1"), **KEYED)
+    got: Any = (
+        c.ask("GET", "/read", **headers("r1"))
+        if method == "GET"
+        else c.ask("PUT", "/note", b"x", **headers("r1"), **KEYED)
+    )
     assert (got.status, got.data) == (200, body) and rig.asked() == ["r1"]
     assert [o.result for o in seen] == [i.Result.SERVED]
 
@@ -836,9 +853,15 @@
     assert [o.result for o in seen] == [i.Result.BROKEN, i.Result.SERVED]
 
 
-@pytest.mark.parametrize("said", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nw1 PUT", b"HTTP/1.1 200 OK\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nw1 PUT\r\n"], ids=["length", "head", "chunked"])
+@pytest.mark.parametrize(
+    "said",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nw1 PUT",
+        b"HTTP/1.1 200 OK\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nw1 PUT\r\n",
+    ],
+    ids=["length", "head", "chunked"],
+)
 def test_a_close_ends_no_answer_that_says_where_it_ends(rig: RelayRig, said: bytes) -> None:
     shelf, seen = rig.shelfs[0], outcomes(rig)
     shelf.ends = True
@@ -872,7 +895,8 @@
 
 @pytest.mark.parametrize("effect", ["free", "guarded", "single_shot"])
 def test_a_connection_that_comes_up_as_it_is_given_up_carries_nothing(
-        tmp_path: Path, late: LateConnect, effect: str) -> None:
+    tmp_path: Path, late: LateConnect, effect: str
+) -> None:
     """Late for its request's time: it is closed unused. Nothing has run, so a refusal is allowed for each effect."""
     rig = RelayRig(tmp_path, classes=[c | {"repeat": effect} for c in SETTINGS["classes"]])
     try:
@@ -895,17 +919,25 @@
     "an aim of 0": ({"classes": [SETTINGS["classes"][0] | {"aim": 0}]}, r"classes\.0\.aim: expected a number above 0"),
     "no weight": ({"grades": [SETTINGS["grades"][0] | {"shares": 0}]}, r"grades\.0\.shares"),
     "an odd effect": ({"classes": [SETTINGS["classes"][0] | {"repeat": "often"}]}, "repeat is unknown: 'often'"),
-    "nobody": ({"siblings": 0}, "siblings: expected a number above 0")}
+    "nobody": ({"siblings": 0}, "siblings: expected a number above 0"),
+}
 
 
 @pytest.mark.parametrize("case", BAD)
 def test_a_bad_configuration_ends_the_start_in_words(tmp_path: Path, case: str) -> None:
     change, said = BAD[case]
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1",
-                                "settings": SETTINGS | change}))
-    done = subprocess.run([sys.executable, "-m", "fawnspool.relay"], cwd=Path(__file__).parents[2], timeout=30,
-                          env={"RELAY_CONFIG": str(path), "PATH": "/usr/bin:/bin"}, capture_output=True, text=True)
+    path.write_text(
+        json.dumps({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS | change})
+    )
+    done = subprocess.run(
+        [sys.executable, "-m", "fawnspool.relay"],
+        cwd=Path(__file__).parents[2],
+        timeout=30,
+        env={"RELAY_CONFIG": str(path), "PATH": "/usr/bin:/bin"},
+        capture_output=True,
+        text=True,
+    )
     assert done.returncode == 2 and re.search(said, done.stderr) and "config.json" in done.stderr
     assert "Traceback" not in done.stderr
 
@@ -918,11 +950,11 @@
     rig.write(other)
     whole = rig.path.read_text()
     if there == "half":
-        rig.path.write_text(whole[:len(whole) // 2])
+        rig.path.write_text(whole[: len(whole) // 2])
     else:
         rig.path.unlink()
     reader = gevent.spawn(rig.program.reload)
-    gevent.sleep(0)                                 # it has read once
+    gevent.sleep(0)  # it has read once
     assert not reader.dead and rig.discovery.watchers
     rig.path.write_text(whole)
     wait_for(lambda: other.watchers and not rig.discovery.watchers)
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -2,6 +2,7 @@
 
 The same script through the real module keeps every rule, so the checker does not simply cry.
 """
+
 from __future__ import annotations
 
 import math
@@ -92,8 +93,16 @@
         rig = Rig(tmp_path / str(len(made)), traits=SLOW, **more)
         if policy is not Controller:
             rig.head.loop.module = policy(rig.head.settings, 1)
-            rig.head.loop.tell(i.NodeList(i.ListKind.WHOLE, 9, tuple(
-                i.ListEntry(n, 0, 0, known.cell, known.phase, 1.0, 0.0) for n, known in rig.head.list.nodes.items())))
+            rig.head.loop.tell(
+                i.NodeList(
+                    i.ListKind.WHOLE,
+                    9,
+                    tuple(
+                        i.ListEntry(n, 0, 0, known.cell, known.phase, 1.0, 0.0)
+                        for n, known in rig.head.list.nodes.items()
+                    ),
+                )
+            )
         made.append(rig)
         return rig
 
@@ -122,13 +131,29 @@
     def note(self, kind: str, t: float | None = None, **more: Any) -> None:
         self.record.put({"k": kind, "t": time.monotonic() if t is None else t, **more})
 
-    def ask(self, at: float, cls: int = SAFE, volume: str = "v", size: int = 1000, run: str = "", patience: float = 2.0
-            ) -> None:
+    def ask(
+        self, at: float, cls: int = SAFE, volume: str = "v", size: int = 1000, run: str = "", patience: float = 2.0
+    ) -> None:
         self.count += 1
         writes = cls in (KEYED, UNSAFE)
         name = f"o{self.count}"
-        self.ops.append(Op(name, at, volume, cls, writes, f"new/{name}" if writes else "a", size, 0.0, None, run,
-                           patience, (0,), math.inf))
+        self.ops.append(
+            Op(
+                name,
+                at,
+                volume,
+                cls,
+                writes,
+                f"new/{name}" if writes else "a",
+                size,
+                0.0,
+                None,
+                run,
+                patience,
+                (0,),
+                math.inf,
+            )
+        )
 
     def play(self, during: Callable[[], None] | None = None) -> Verdict:
         day = parse(DAY, "doctored.hcl", Day)
@@ -141,12 +166,26 @@
         gevent.sleep(0.05)
         lag.kill()
         rows = [dict(r) for path in self.rig.tmp.glob("*.rec") for r in Reader(path) if isinstance(r, dict)]
-        rows += [{"k": "told", "t": t, "head": h, "node": n, "phase": phase, "age": self.ages.get(n, -1.0)}
-                 for t, h, phase, n in self.rig.told]
+        rows += [
+            {"k": "told", "t": t, "head": h, "node": n, "phase": phase, "age": self.ages.get(n, -1.0)}
+            for t, h, phase, n in self.rig.told
+        ]
         plans = {"w": (10.0, 16.0, 8.0)}
-        return judge(read(rows), Terms(drain_grace=0.1, fall=0.5, fall_multiple=2.0, fall_slack=8.0, limits=plans,
-                                       ordered=frozenset((ORDERED,)), settle=0.3, extra_free=2.0, extra_ratio=0.1,
-                                       extra_span=10.0))
+        return judge(
+            read(rows),
+            Terms(
+                drain_grace=0.1,
+                fall=0.5,
+                fall_multiple=2.0,
+                fall_slack=8.0,
+                limits=plans,
+                ordered=frozenset((ORDERED,)),
+                settle=0.3,
+                extra_free=2.0,
+                extra_ratio=0.1,
+                extra_span=10.0,
+            ),
+        )
 
     ages: dict[int, float] = {}  # noqa: RUF012  # none told by default
 
@@ -165,7 +204,7 @@
 
 
 def test_the_module_keeps_every_rule_on_the_same_script(rigs: Callable[..., Rig]) -> None:
-    run = Run(rigs(nodes=2, attempts="extra_free = 2\n extra_ratio = 0.1\n settle_after_doubt = \"300ms\""))
+    run = Run(rigs(nodes=2, attempts='extra_free = 2\n extra_ratio = 0.1\n settle_after_doubt = "300ms"'))
     script(run)
 
     def trouble() -> None:
@@ -179,13 +218,17 @@
     assert next(f.looked_at for f in verdict.findings if f.rule == "answered once") == 48
 
 
-@pytest.mark.parametrize(("policy", "fault", "cls", "rule"), [
-    (Repeats, {"reset": 1.0}, UNSAFE, "no effect twice"),
-    (Refuses, {"reset": 1.0}, UNSAFE, "no effect twice"),
-    (Insists, {"error": 1.0}, SAFE, "attempts in budget"),
-])
-def test_a_head_that_breaks_a_rule_under_a_fault(rigs: Callable[..., Rig], policy: type[Any], fault: dict[str, float],
-                                                 cls: int, rule: str) -> None:
+@pytest.mark.parametrize(
+    ("policy", "fault", "cls", "rule"),
+    [
+        (Repeats, {"reset": 1.0}, UNSAFE, "no effect twice"),
+        (Refuses, {"reset": 1.0}, UNSAFE, "no effect twice"),
+        (Insists, {"error": 1.0}, SAFE, "attempts in budget"),
+    ],
+)
+def test_a_head_that_breaks_a_rule_under_a_fault(
+    rigs: Callable[..., Rig], policy: type[Any], fault: dict[str, float], cls: int, rule: str
+) -> None:
     run = Run(rigs(policy, nodes=1))
     run.rig.nodes[0].set_faults(fault)
     for k in range(2 if cls == UNSAFE else 4):
@@ -205,8 +248,9 @@
     run = Run(rigs(nodes=1))
     respond = Exchange.respond
 
-    def twice(self: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"",
-              close: bool = False) -> None:
+    def twice(
+        self: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"", close: bool = False
+    ) -> None:
         respond(self, status, headers, body, close)
         if self.conn.server is run.rig.api.server:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -263,7 +307,7 @@
     port = run.rig.nodes[0].address[1]
     run.rig.nodes[0].server.reset_all()
     run.rig.nodes[0].stop()
-    run.rig.traits = replace(SLOW, unit_time=0.2)       # so weak that a busy machine brings enough to push it over
+    run.rig.traits = replace(SLOW, unit_time=0.2)  # so weak that a busy machine brings enough to push it over
     run.rig.nodes[0] = run.rig.make_node(0, cold=True, port=port)
     run.ages = {1: 0.0}
     entry = run.rig.entry(0)
--- a/tests/e2e/test_duties.py
+++ b/tests/e2e/test_duties.py
@@ -1,4 +1,5 @@
 """Duties between real processes: faults between them, late steps, and doctored ones that the judge must find."""
+
 from __future__ import annotations
 
 import json
@@ -55,15 +56,21 @@
         super()._hit(head, what, until)
 
     def _do_duty_stall(self, x: TroubleBlock, cells: Any, heads: Any) -> None:
-        wait_for(lambda: self.killed and not any(
-            self.killed.get(r.duty) == r.who for r in self.catalogue.catalogue.holders()), 20.0)
+        wait_for(
+            lambda: (
+                self.killed and not any(self.killed.get(r.duty) == r.who for r in self.catalogue.catalogue.holders())
+            ),
+            20.0,
+        )
         super()._do_duty_stall(x, cells, heads)
 
     def _await_clients(self) -> None:
         """How fast what is left of the drain moves is the machine's matter; that it comes to its end is not."""
         super()._await_clients()
-        wait_for(lambda: not [f for f in self._facts() if f.cell in self.drained
-                              and (f.volume, f.extent) in self.to_leave], 60.0)
+        wait_for(
+            lambda: not [f for f in self._facts() if f.cell in self.drained and (f.volume, f.extent) in self.to_leave],
+            60.0,
+        )
 
     def _busiest(self, random: Random) -> int:
         """The head with most duties that it works on just now."""
@@ -72,8 +79,12 @@
 
 
 def test_a_drain_outlives_holders_that_are_killed_and_stopped(tmp_path: Path) -> None:
-    result = play(tmp_path, trouble("duty_kill", every=9.0, down=1.0),
-                  trouble("duty_stall", at=4.5, every=9.0, size=2.5), kind=_StopsASuccessor)
+    result = play(
+        tmp_path,
+        trouble("duty_kill", every=9.0, down=1.0),
+        trouble("duty_stall", at=4.5, every=9.0, size=2.5),
+        kind=_StopsASuccessor,
+    )
     d = result.duties
     assert d is not None and not broken(result), broken(result)
     assert d.moved > 100 and d.left == 0 and {"killed", "stopped"} <= set(d.gaps), dict(d.gaps)
@@ -98,7 +109,7 @@
     for k in range(3):
         result = play(tmp_path / str(k), trouble("duty_nodes", length=3.0, every=1.2, size=1.8), kind=_LateSteps)
         refused = read(rows_of(tmp_path / str(k))).fenced
-        found = [t for t in broken(result) if "still lie" not in t]     # it need not be complete after so many cuts
+        found = [t for t in broken(result) if "still lie" not in t]  # it need not be complete after so many cuts
         assert not found and all(r["token"] < r["newest"] for r in refused), found
         if refused:
             return
@@ -126,6 +137,7 @@
 def test_a_clock_far_outside_the_bound_breaks_leases_and_no_fence(tmp_path: Path) -> None:
     """Heads whose clocks run at half speed hold on when they are cut off. Which head is cut is drawn, so three plays at
     most."""
+
     class Slow(_Clocks):
         rates = {3: 0.5, 4: 0.5}  # noqa: RUF012
 
@@ -140,12 +152,19 @@
 
 def test_full_disks_under_all_voters_rest_duties_and_nothing_else(tmp_path: Path) -> None:
     """Votes that can't be kept are not given; what is held goes on being renewed; requests go on."""
-    result = play(tmp_path, trouble("duty_kill", at=5.0, length=2.0, every=9.0, down=0.5),
-                  head_command=("full_disk", "serve"), head_module="tests.e2e.doctored")
+    result = play(
+        tmp_path,
+        trouble("duty_kill", at=5.0, length=2.0, every=9.0, down=0.5),
+        head_command=("full_disk", "serve"),
+        head_module="tests.e2e.doctored",
+    )
     story = read(rows_of(tmp_path))
     fresh = {r["duty"]: r["who"] for r in story.duties if r["what"] == "took" and r["t"] < story.first + 8.0}
-    late = [r for r in story.duties if r["what"] == "took" and r["t"] > story.first + 8.0
-            and fresh.get(r["duty"]) != r["who"]]       # the same life under a higher token is no new holder
+    late = [
+        r
+        for r in story.duties
+        if r["what"] == "took" and r["t"] > story.first + 8.0 and fresh.get(r["duty"]) != r["who"]
+    ]  # the same life under a higher token is no new holder
     assert not late and [r for r in story.duties if r["what"] == "until" and r["t"] > story.first + 9.0]
     assert not [t for t in broken(result) if "still lie" not in t], broken(result)
     assert "votes can't be kept" in "".join(p.read_text() for p in tmp_path.glob("head-*.log"))
@@ -164,26 +183,38 @@
         super()._do_duty_voters(x, cells, heads, lost)
 
 
-@pytest.mark.parametrize("head, node, troubles, text", [
-    ("ignores_end", "", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after a newer holder had"),
-    ("no_token", "", (), "without a token"),
-    ("forgets_votes", "", (trouble("duty_voters", down=0.3),), "was given token"),
-    ("votes_twice", "", (), "hold it for"),
-    ("ignores_end", "forgets_fence", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after"),
-    ("wrong_place", "", (), "times"),
-])
-def test_each_doctored_process_is_found(tmp_path: Path, head: str, node: str, troubles: tuple[TroubleBlock, ...],
-                                        text: str) -> None:
-    result = play(tmp_path, *troubles, head_command=(head, "serve"), head_module="tests.e2e.doctored",
-                  node_command=(node,) if node else (), node_module="tests.e2e.doctored" if node else "fawnspool.cli",
-                  kind=_OnceHeld)
+@pytest.mark.parametrize(
+    "head, node, troubles, text",
+    [
+        ("ignores_end", "", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after a newer holder had"),
+        ("no_token", "", (), "without a token"),
+        ("forgets_votes", "", (trouble("duty_voters", down=0.3),), "was given token"),
+        ("votes_twice", "", (), "hold it for"),
+        ("ignores_end", "forgets_fence", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after"),
+        ("wrong_place", "", (), "times"),
+    ],
+)
+def test_each_doctored_process_is_found(
+    tmp_path: Path, head: str, node: str, troubles: tuple[TroubleBlock, ...], text: str
+) -> None:
+    result = play(
+        tmp_path,
+        *troubles,
+        head_command=(head, "serve"),
+        head_module="tests.e2e.doctored",
+        node_command=(node,) if node else (),
+        node_module="tests.e2e.doctored" if node else "fawnspool.cli",
+        kind=_OnceHeld,
+    )
     assert any(text in t for t in broken(result)), broken(result)
     assert not result.verdict.kept
 
 
 def test_run_starts_and_imports_none_of_it() -> None:
-    code = ("import sys, json, fawnspool.relay.program; "
-            "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))")
+    code = (
+        "import sys, json, fawnspool.relay.program; "
+        "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))"
+    )
     loaded = json.loads(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout)
     assert "fawnspool.relay.program" in loaded and "fawnspool.head.core" in loaded
     assert not [m for m in loaded if "dut" in m or m.endswith((".works", ".peers", ".votefile", ".lives", ".extents"))]
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -1,4 +1,5 @@
 """Hard cases, really caused over loopback sockets: each request still gets its one answer, and no rule gives way."""
+
 from __future__ import annotations
 
 import time
@@ -48,11 +49,20 @@
     rig.head._ended = ended  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize(("fault", "ending"), [
-    ({"reset": 1.0}, Ending.RESET), ({"cut": 1.0}, Ending.HALF_ANSWER), ({"garble": 1.0}, Ending.MALFORMED),
-    ({"wrong_length": 1.0}, Ending.WRONG_LENGTH), ({"hang_up": 1.0}, Ending.CLOSED), ({"lose": 1.0}, Ending.NO_ANSWER),
-    ({"error": 1.0}, Ending.NODE_ERROR), ({"drain": True}, Ending.TURNED_AWAY), ({"refuse": True}, Ending.REFUSED),
-])
+@pytest.mark.parametrize(
+    ("fault", "ending"),
+    [
+        ({"reset": 1.0}, Ending.RESET),
+        ({"cut": 1.0}, Ending.HALF_ANSWER),
+        ({"garble": 1.0}, Ending.MALFORMED),
+        ({"wrong_length": 1.0}, Ending.WRONG_LENGTH),
+        ({"hang_up": 1.0}, Ending.CLOSED),
+        ({"lose": 1.0}, Ending.NO_ANSWER),
+        ({"error": 1.0}, Ending.NODE_ERROR),
+        ({"drain": True}, Ending.TURNED_AWAY),
+        ({"refuse": True}, Ending.REFUSED),
+    ],
+)
 def test_each_way_a_socket_ends_is_one_result(rigs: Callable[..., Rig], fault: dict[str, Any], ending: Ending) -> None:
     rig = rigs(nodes=1)
     c = rig.client()
@@ -62,7 +72,7 @@
     rig.nodes[0].set_faults(fault)
     began = time.monotonic()
     got = c.ask("PUT", KEY, b"y" * 100, Fawn_Class="unsafe", Fawn_Patience_Ms="1500")
-    if ending is Ending.CLOSED:     # a kept connection, or a fresh one after it: either may be what is reset
+    if ending is Ending.CLOSED:  # a kept connection, or a fresh one after it: either may be what is reset
         assert endings(rig) and set(endings(rig)) <= {Ending.CLOSED, Ending.RESET}
     else:
         assert ending in endings(rig)
@@ -71,17 +81,30 @@
     assert got.status == (503 if never else 504 if ending is Ending.NO_ANSWER else 502)
     assert (b'"may_have_run": false' in got.data) == never
     if not never:
-        assert len(endings(rig)) == 1       # an unsafe request that may have run is not tried again
-    rig.nodes[0].set_faults({name: 0.0 for name in fault if name not in ("drain", "refuse")} | {
-        name: False for name in fault if name in ("drain", "refuse")})
+        assert len(endings(rig)) == 1  # an unsafe request that may have run is not tried again
+    rig.nodes[0].set_faults(
+        {name: 0.0 for name in fault if name not in ("drain", "refuse")}
+        | {name: False for name in fault if name in ("drain", "refuse")}
+    )
     assert rig.nodes[0].address == port
 
 
 def test_every_ending_has_a_result_and_never_ran_is_certain() -> None:
     assert set(RESULTS) == set(Ending)
-    doubt = {Ending.RESET, Ending.CLOSED, Ending.HALF_ANSWER, Ending.MALFORMED, Ending.WRONG_LENGTH, Ending.NO_ANSWER,
-             Ending.CUT_WITHOUT_LENGTH, Ending.ANSWERED_TO_CLOSE,
-             Ending.NODE_ERROR, Ending.CALLED_OFF, Ending.ANSWERED, Ending.CLIENT_LEFT}
+    doubt = {
+        Ending.RESET,
+        Ending.CLOSED,
+        Ending.HALF_ANSWER,
+        Ending.MALFORMED,
+        Ending.WRONG_LENGTH,
+        Ending.NO_ANSWER,
+        Ending.CUT_WITHOUT_LENGTH,
+        Ending.ANSWERED_TO_CLOSE,
+        Ending.NODE_ERROR,
+        Ending.CALLED_OFF,
+        Ending.ANSWERED,
+        Ending.CLIENT_LEFT,
+    }
     assert set(Ending) - doubt == NEVER_RAN
 
 
@@ -90,8 +113,9 @@
     watch_endings(rig)
     c = rig.client()
     size = 64 << 20
-    c.sock.sendall(b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (
-        KEY.encode(), size))
+    c.sock.sendall(
+        b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (KEY.encode(), size)
+    )
     sent = 0
 
     def feed() -> None:
@@ -135,7 +159,7 @@
     pool = next(iter(rig.head.pools.values()))
     take, told = pool.take, []
 
-    def late(deadline: float) -> Any:       # the notice comes while the connection is being made
+    def late(deadline: float) -> Any:  # the notice comes while the connection is being made
         rig.list.change(rig.entry(0, "draining"))
         wait_for(lambda: rig.head.list.nodes[1].phase is i.Phase.DRAINING)
         told.append(time.monotonic())
@@ -167,7 +191,7 @@
     gevent.joinall(jobs, raise_error=True)
     told = next(t for t, _, phase, node in rig.told if phase == "draining" and node == 1)
     after = [r["t"] - told for r in rig.seen(0, "in") if r["t"] > told]
-    assert max(after, default=0.0) < 0.1 + 0.05       # the grace of these settings, and the loopback's time
+    assert max(after, default=0.0) < 0.1 + 0.05  # the grace of these settings, and the loopback's time
     assert rig.seen(1, "in")[-1]["t"] > told + 0.3 and statuses.count(201) > 20
 
 
@@ -186,7 +210,7 @@
             total += len(piece)
     except ConnectionError:
         pass
-    assert total < len(data)        # cut short and closed: the client can tell
+    assert total < len(data)  # cut short and closed: the client can tell
     wait_for(lambda: not rig.head.pending)
     assert rig.head.metrics.requests["bulk", "basic", "failed"] == 1
     assert rig.client().ask("GET", "/-/health").status == 200
@@ -203,8 +227,10 @@
         c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\n\r\n" % KEY.encode())
         wait_for(lambda: rig.head.pending)
     elif when == "up":
-        c.sock.sendall(b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (
-            KEY.encode(), 4 << 20) + bytes(1 << 20))
+        c.sock.sendall(
+            b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (KEY.encode(), 4 << 20)
+            + bytes(1 << 20)
+        )
         wait_for(lambda: rig.head.pending)
     else:
         c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\n\r\n" % KEY.encode())
@@ -213,7 +239,7 @@
     wait_for(lambda: not rig.head.pending)
     rig.nodes[0].set_faults({"slow": 1.0})
     if when == "up":
-        assert len(rig.seen(0, "did")) == before        # half a body is no write
+        assert len(rig.seen(0, "did")) == before  # half a body is no write
     assert len(rig.client().ask("GET", KEY, Fawn_Class="bulk").data) == 4 << 20
     wait_for(lambda: not rig.api.server.open or len(rig.api.server.open) <= 1)
 
@@ -226,7 +252,7 @@
     where = {k: rig.catalogue.catalogue.find("v", str(k))[0] for k in range(8)}  # type: ignore[index]
     rig.list.gone()
     wait_for(lambda: not rig.head.list.reachable)
-    rig.nodes[0].stop()                                  # dies, and another takes its cell at another port
+    rig.nodes[0].stop()  # dies, and another takes its cell at another port
     for k in range(8):
         got = c.ask("GET", f"/v1/volumes/v/objects/{k}", Fawn_Patience_Ms="300")
         assert got.status == (200 if where[k] == 1 else 503), got.data
@@ -250,7 +276,7 @@
     rig.nodes[0].server.reset_all()
     rig.nodes[0].stop()
     for _ in range(4):
-        c.ask("GET", KEY, Fawn_Patience_Ms="300")        # refused connects: the head sees that it is away
+        c.ask("GET", KEY, Fawn_Patience_Ms="300")  # refused connects: the head sees that it is away
     rig.nodes[0] = rig.make_node(0, cold=True, port=port)
     statuses = []
 
@@ -329,9 +355,9 @@
     c = rig.client()
     c.ask("PUT", KEY, b"x")
     c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Patience-Ms: 300\r\n\r\n" % KEY.encode())
-    time.sleep(0.4)         # this whole process stands still, as a stopped one does
+    time.sleep(0.4)  # this whole process stands still, as a stopped one does
     got = c.answer()
-    assert got.status in (502, 503, 504)        # its client has given up: no attempt is worth it now
+    assert got.status in (502, 503, 504)  # its client has given up: no attempt is worth it now
     assert len(rig.seen(0, "in")) == 1
 
 
@@ -350,14 +376,20 @@
 
 def test_traces_hold_each_attempt_and_the_reason_for_its_end(rigs: Callable[..., Rig], tmp_path: Path) -> None:
     import json
+
     path = tmp_path / "trace.jsonl"
     rig = rigs(nodes=1, head=f'trace = "{path}"\n trace_share = 1')
     c = rig.client()
     c.ask("PUT", KEY, b"x")
     rig.nodes[0].set_faults({"reset": 1.0})
     c.ask("GET", KEY, Fawn_Patience_Ms="300")
-    spans = wait_for(lambda: [s for s in map(json.loads, path.read_text().splitlines())
-                              if s["name"] == "request" and s.get("outcome") in ("failed", "refused")])
+    spans = wait_for(
+        lambda: [
+            s
+            for s in map(json.loads, path.read_text().splitlines())
+            if s["name"] == "request" and s.get("outcome") in ("failed", "refused")
+        ]
+    )
     attempts = [s for s in map(json.loads, path.read_text().splitlines()) if s["parent"] == spans[0]["span"]]
     assert attempts and attempts[0]["ending"] == Ending.RESET.value and attempts[0]["result"] == "broken"
     assert spans[0]["attempts"] == len(attempts) and "reset" in spans[0]["reason"]
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -1,4 +1,5 @@
 """The extent map over sockets and on disk: watched, cut off, restored, restarted, damaged."""
+
 from __future__ import annotations
 
 import subprocess
@@ -38,8 +39,16 @@
     def head(self, name: str = "", heads: int = 1, **terms: float) -> Places:
         behind = Behind()
         at = self.service.address
-        made = Places(MapClient(at, 0.3), Terms(heads=heads, beat=terms.pop("beat", 1.0), **terms), len(self.made),
-                      logs.get(), address=at, timeout=0.3, folder=self.tmp / name if name else None, behind=behind)
+        made = Places(
+            MapClient(at, 0.3),
+            Terms(heads=heads, beat=terms.pop("beat", 1.0), **terms),
+            len(self.made),
+            logs.get(),
+            address=at,
+            timeout=0.3,
+            folder=self.tmp / name if name else None,
+            behind=behind,
+        )
         made.start()
         self.made.append(made)
         return made
@@ -107,7 +116,7 @@
     assert a.find("v", "k", soon()) == (1, 1) and a.status()["reachable"] is False
     with pytest.raises(PlacesError):
         a.find("v", "other", soon())
-    heads.catalogue.flip("v", "k", 2, 1)        # moved while nobody was told
+    heads.catalogue.flip("v", "k", 2, 1)  # moved while nobody was told
     heads.service.start()
     wait_for(lambda: cell(a, "k") == 2)
     wait_for(lambda: a.behind_by() == 0)
@@ -134,7 +143,7 @@
         heads.replace(Catalogue(tmp_path / "hour-ago"))
         heads.catalogue.put("v", "after", 5, 1)
         wait_for(lambda: cell(a, "after") == 5)
-        assert (cell(a, "k"), cell(a, "young")) == (2, 3)       # the move holds: data decide
+        assert (cell(a, "k"), cell(a, "young")) == (2, 3)  # the move holds: data decide
     finally:
         heads.close()
 
@@ -148,12 +157,21 @@
     heads.replace(other)
     wait_for(lambda: cell(a, "z") == 2)
     assert cell(a, "k") is None and len(a.map.shards) == 7
-    wait_for(lambda: len(read(heads.tmp / "disk").map.shards) == 7)     # type: ignore[union-attr]
-
-
-@pytest.mark.parametrize("line", [b"{}", b"[" * 5000, b'{"shards": 0}', b'{"shards": 1e9}', b'{"shards": "4"}',
-                                  b'{"shards": 4}\n{"shard": 9, "epoch": 1, "after": 0, "upto": 1, "facts": []}',
-                                  b'{"shards": 4}\n{"shard": 0, "epoch": 0, "after": 2, "upto": 1, "facts": []}'])
+    wait_for(lambda: len(read(heads.tmp / "disk").map.shards) == 7)  # type: ignore[union-attr]
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"{}",
+        b"[" * 5000,
+        b'{"shards": 0}',
+        b'{"shards": 1e9}',
+        b'{"shards": "4"}',
+        b'{"shards": 4}\n{"shard": 9, "epoch": 1, "after": 0, "upto": 1, "facts": []}',
+        b'{"shards": 4}\n{"shard": 0, "epoch": 0, "after": 2, "upto": 1, "facts": []}',
+    ],
+)
 def test_a_watch_that_says_what_can_t_be_ends_and_changes_nothing(heads: Heads, line: bytes) -> None:
     a = heads.head()
     heads.catalogue.put("v", "k", 1, 1)
@@ -170,7 +188,7 @@
         told.append(sock.recv(4096))
         body = line + b"\n"
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(body), body))
-        assert sock.recv(10) == b""             # the head hangs up
+        assert sock.recv(10) == b""  # the head hangs up
         sock.close()
     finally:
         liar.close()
@@ -199,7 +217,7 @@
     a.stop()
     assert a.file is not None and a.file.behind.close()
     heads.service.gone()
-    b = heads.head("disk")                          # the service is away as it starts
+    b = heads.head("disk")  # the service is away as it starts
     assert [b.find("v", f"x{k}", soon()) for k in range(30)] == [(k % 4, 1) for k in range(30)]
     assert 0 <= b.age() < 30 and b.status()["age_s"] is not None
     heads.catalogue.flip("v", "x1", 9, 1)
@@ -235,8 +253,12 @@
 def same(a: ExtentMap | None, b: ExtentMap) -> bool:
     def table(m: ExtentMap) -> dict[tuple[str, str], Any]:
         return {(f.volume, f.extent): f for f in m.facts()}
-    return a is not None and table(a) == table(b) \
+
+    return (
+        a is not None
+        and table(a) == table(b)
         and [(s.told, s.ahead, s.floor) for s in a.shards] == [(s.told, s.ahead, s.floor) for s in b.shards]
+    )
 
 
 def test_a_file_gives_back_what_was_saved(tmp_path: Path) -> None:
@@ -268,14 +290,21 @@
         writer.put([0, 99, 4, 0.0])
         writer.close()
     else:
-        path.write_bytes({"end": data[:-9], "byte": data[:5000] + bytes([data[5000] ^ 1]) + data[5001:],
-                          "magic": b"FAWNREC9" + data[8:], "empty": b""}[damage])
+        path.write_bytes(
+            {
+                "end": data[:-9],
+                "byte": data[:5000] + bytes([data[5000] ^ 1]) + data[5001:],
+                "magic": b"FAWNREC9" + data[8:],
+                "empty": b"",
+            }[damage]
+        )
     found = read(tmp_path / "d")
     assert found.map is None and "map.rec" in found.why
 
 
 def test_a_disk_that_takes_nothing_costs_the_file_and_is_tried_again(
-        heads: Heads, monkeypatch: pytest.MonkeyPatch) -> None:
+    heads: Heads, monkeypatch: pytest.MonkeyPatch
+) -> None:
     a = heads.head("disk")
     problems: list[str] = []
     assert a.file is not None
@@ -285,6 +314,7 @@
 
     def full(path: Path, m: Any, at: float) -> None:
         raise OSError(28, "No space left on device")
+
     monkeypatch.setattr(mapfile, "write", full)
     a.file.keep.anew()
     heads.catalogue.put("v", "a", 1, 1)
@@ -313,7 +343,7 @@
 def test_what_a_call_told_is_saved_too(heads: Heads) -> None:
     a = heads.head("disk")
     wait_for(a.reachable)
-    heads.catalogue.watchers.clear()            # the watch says nothing more
+    heads.catalogue.watchers.clear()  # the watch says nothing more
     assert a.note("v", "k", 2, 5, False, soon()) and a.note("v", "l", 3, 5, False, soon())
     wait_for(lambda: same(read(heads.tmp / "disk").map, a.map))
     assert len(a.map) == 2
@@ -321,16 +351,31 @@
 
 def test_a_service_that_is_killed_has_every_change_that_it_answered(tmp_path: Path) -> None:
     """The real process, killed in the middle of changes; its successor is another life, and a head follows."""
+
     def start(port: int) -> tuple[subprocess.Popen[str], int]:
         made = subprocess.Popen(
-            [sys.executable, "-m", "fawnspool.cli", "standin", "catalogue", "--listen", f"127.0.0.1:{port}", "--data",
-             str(tmp_path / "map.lmdb")], cwd=Path(__file__).parents[2], stdout=subprocess.PIPE, text=True)
+            [
+                sys.executable,
+                "-m",
+                "fawnspool.cli",
+                "standin",
+                "catalogue",
+                "--listen",
+                f"127.0.0.1:{port}",
+                "--data",
+                str(tmp_path / "map.lmdb"),
+            ],
+            cwd=Path(__file__).parents[2],
+            stdout=subprocess.PIPE,
+            text=True,
+        )
         assert made.stdout is not None
         return made, int(made.stdout.readline().rpartition(":")[2])
 
     process, port = start(0)
-    places = Places(MapClient(("127.0.0.1", port), 2.0), Terms(), 1, logs.get(), address=("127.0.0.1", port),
-                    timeout=2.0)
+    places = Places(
+        MapClient(("127.0.0.1", port), 2.0), Terms(), 1, logs.get(), address=("127.0.0.1", port), timeout=2.0
+    )
     try:
         places.start()
         wait_for(places.reachable)
@@ -370,7 +415,7 @@
         place = rig.catalogue.catalogue.find("v", "k")
         assert place is not None
         here, there = place[0], 1 - place[0]
-        store = rig.nodes[there].store              # its bytes lie at the other node; the watch is cut off
+        store = rig.nodes[there].store  # its bytes lie at the other node; the watch is cut off
         draft = store.draft()
         draft.add(b"bytes")
         store.commit(draft, "v", "k")
@@ -379,7 +424,7 @@
         rig.catalogue.catalogue.flip("v", "k", there, 1)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
         assert (got.status, got.data) == (200, b"bytes") and rig.head.places.wrong == 1
-        got = c.ask("GET", "/v1/volumes/v/objects/k")       # once it was told, no send goes wrong
+        got = c.ask("GET", "/v1/volumes/v/objects/k")  # once it was told, no send goes wrong
         assert got.data == b"bytes" and rig.head.places.wrong == 1
         rig.catalogue.gone()
         wait_for(lambda: rig.head.places.behind_by() > 0, 10)
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -1,4 +1,5 @@
 """Moves between real nodes, under reads and writes: movers that die, two for one extent, nodes that forget."""
+
 from __future__ import annotations
 
 import json
@@ -40,9 +41,11 @@
 
 def mover(rig: Rig, until: Step | None = None) -> Mover:
     """One that is killed just before a step."""
+
     def taken(step: Step) -> None:
         if step is until:
             raise Killed
+
     return Mover(lambda cell: rig.nodes[cell].address, MapClient(rig.catalogue.address, 1.0), 1.0, taken)
 
 
@@ -70,25 +73,25 @@
 
 def test_an_extent_moves_with_its_bytes_and_its_tag_and_back(rig: Rig) -> None:
     at = put(rig, body=b"x" * 5000)
-    tag = rig.nodes[at].store.find("v", "k").etag           # type: ignore[union-attr]
+    tag = rig.nodes[at].store.find("v", "k").etag  # type: ignore[union-attr]
     for to in ((at + 1) % 3, (at + 2) % 3, at):
         assert mover(rig).move("v", "k", to, soon()) is Step.DONE
         assert owners(rig) == [to] and read(rig) == b"x" * 5000
-        assert rig.nodes[to].store.find("v", "k").etag == tag       # type: ignore[union-attr]
-    assert mover(rig).move("v", "k", at, soon()) is Step.DONE       # it lies there
+        assert rig.nodes[to].store.find("v", "k").etag == tag  # type: ignore[union-attr]
+    assert mover(rig).move("v", "k", at, soon()) is Step.DONE  # it lies there
     assert mover(rig).move("v", "none", 1, soon()) is Step.LOST
     assert [n.store.find("v", "k") is not None for n in rig.nodes] == [k == at for k in range(3)]
 
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()                # this head hears of no flip
+    rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
     assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
     assert read(rig) == b"first" and rig.head.places.wrong == 1
-    assert read(rig) == b"first" and rig.head.places.wrong == 1     # once told, it knows
+    assert read(rig) == b"first" and rig.head.places.wrong == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
     assert got.status == 200 and read(rig) == b"second" and owners(rig) == [(at + 1) % 3]
-    assert rig.catalogue.catalogue.fact("v", "k").stamp.generation == 1     # type: ignore[union-attr]
+    assert rig.catalogue.catalogue.fact("v", "k").stamp.generation == 1  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("until", [Step.FILL, Step.COPY, Step.FENCE, Step.CATCH_UP, Step.OPEN, Step.FLIP, Step.FORGET])
@@ -100,10 +103,11 @@
     stop = dies.taken
 
     def write_late(step: Step) -> None:
-        if step is Step.FENCE and Step.FENCE not in seen:       # a write between the copy and the fence: to catch up
+        if step is Step.FENCE and Step.FENCE not in seen:  # a write between the copy and the fence: to catch up
             assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
         seen.append(step)
         stop(step)
+
     dies.taken = write_late
     with pytest.raises(Killed):
         dies.move("v", "k", to, soon())
@@ -118,11 +122,13 @@
     to = (at + 1) % 3
     dies = mover(rig, until)
     if until is Step.CATCH_UP:
+
         def late(step: Step) -> None:
             if step is Step.FENCE:
                 assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
             if step is until:
                 raise Killed
+
         dies.taken = late
     with pytest.raises(Killed):
         dies.move("v", "k", to, soon())
@@ -174,7 +180,7 @@
     done = True
     gevent.joinall(jobs, timeout=10, raise_error=True)
     assert set(answers) <= {200, 503} and answers.count(200) > 200 and answers.count(503) < len(answers) / 20
-    assert all(value >= before for before, value in read_back)      # no read from before a write that was acknowledged
+    assert all(value >= before for before, value in read_back)  # no read from before a write that was acknowledged
     assert int(read(rig)) >= last and owners(rig) == [(at + 30) % 3]
 
 
@@ -192,14 +198,14 @@
 
 def test_a_repeat_that_lands_after_the_flip_is_done_once(rig: Rig) -> None:
     rig.client().ask("PUT", PLACE + "k", b"first")
-    at = rig.catalogue.catalogue.find("v", "k")[0]      # type: ignore[index]
+    at = rig.catalogue.catalogue.find("v", "k")[0]  # type: ignore[index]
     key = {"Fawn-Class": "keyed", "Idempotency-Key": "once"}
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
     assert got.status == 200
     assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
     assert rig.client().ask("PUT", PLACE + "k", b"third").status == 200
-    got = rig.client().ask("PUT", PLACE + "k", b"second", **key)        # its client never saw the first answer
+    got = rig.client().ask("PUT", PLACE + "k", b"second", **key)  # its client never saw the first answer
     assert got.status == 200 and got.getheader("ETag") == tag and read(rig) == b"third"
 
 
@@ -207,7 +213,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, Step.OPEN).move("v", "k", to, soon())        # fenced, and its data are still there
+        mover(rig, Step.OPEN).move("v", "k", to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     assert rig.nodes[at].sides.side("v", "k").role is Role.FENCED
@@ -215,7 +221,7 @@
     (rig.tmp / f"n{at}" / "moves.rec").unlink()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     got: Any = rig.client().ask("GET", PLACE + "k", **{"Fawn-Patience-Ms": "300"})
-    assert got.status == 503 and json.loads(got.data)["error"] == "moving"      # it does not know whether it serves
+    assert got.status == 503 and json.loads(got.data)["error"] == "moving"  # it does not know whether it serves
     assert mover(rig).move("v", "k", to, soon()) is Step.DONE
     assert owners(rig) == [to] and read(rig) == b"first"
 
@@ -230,12 +236,13 @@
 @pytest.mark.parametrize("noted", [False, True])
 @pytest.mark.parametrize("who", ["source", "dest", "both"])
 def test_nodes_that_forget_while_the_new_one_serves_lose_no_write_and_never_both_serve(
-        rig: Rig, who: str, noted: bool) -> None:
+    rig: Rig, who: str, noted: bool
+) -> None:
     """noted: the write's head could tell the map service of it."""
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, Step.FLIP).move("v", "k", to, soon())        # open, and the map does not know yet
+        mover(rig, Step.FLIP).move("v", "k", to, soon())  # open, and the map does not know yet
     if noted:
         assert rig.client().ask("PUT", PLACE + "k", b"at the new one").status == 200
     else:
@@ -252,7 +259,7 @@
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
     assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
-    forgets(rig, at)                            # its data are gone, and the fence is forgotten
+    forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
     assert rig.nodes[at].sides.side("v", "k").role is Role.UNSURE
@@ -275,7 +282,7 @@
     keys = [f"t{n}" for n in range(60)]
     for key in keys:
         put(rig, key, key.encode())
-    cells = {key: rig.catalogue.catalogue.find("v", key)[0] for key in keys}     # type: ignore[index]
+    cells = {key: rig.catalogue.catalogue.find("v", key)[0] for key in keys}  # type: ignore[index]
     drained = max(range(3), key=list(cells.values()).count)
     mine = [key for key in keys if cells[key] == drained]
     m = mover(rig)
@@ -303,14 +310,20 @@
         rig.stop()
 
 
-@pytest.mark.parametrize(("method", "place", "body"), [
-    ("GET", "/-/extent", b""), ("GET", "/-/extent?volume=v", b""), ("POST", "/-/extent?volume=v&key=k", b"{}"),
-    ("POST", "/-/extent?volume=v&key=k", b'{"step":"jump","generation":1}'),
-    ("POST", "/-/extent?volume=v&key=k", b'{"step":"fill","generation":"1"}'),
-    ("POST", "/-/extent?volume=v&key=k", b'{"step":"fill","generation":1,"more":1}'),
-    ("PUT", "/-/extent/data?volume=v&key=k&generation=1", b"\0\0"),
-    ("PUT", "/-/extent/data?volume=v&key=k&generation=1", b"\0\0\0\x05hello"),
-    ("PUT", "/-/extent/data?volume=v&key=k&generation=x", b"\0\0\0\0")])
+@pytest.mark.parametrize(
+    ("method", "place", "body"),
+    [
+        ("GET", "/-/extent", b""),
+        ("GET", "/-/extent?volume=v", b""),
+        ("POST", "/-/extent?volume=v&key=k", b"{}"),
+        ("POST", "/-/extent?volume=v&key=k", b'{"step":"jump","generation":1}'),
+        ("POST", "/-/extent?volume=v&key=k", b'{"step":"fill","generation":"1"}'),
+        ("POST", "/-/extent?volume=v&key=k", b'{"step":"fill","generation":1,"more":1}'),
+        ("PUT", "/-/extent/data?volume=v&key=k&generation=1", b"\0\0"),
+        ("PUT", "/-/extent/data?volume=v&key=k&generation=1", b"\0\0\0\x05hello"),
+        ("PUT", "/-/extent/data?volume=v&key=k&generation=x", b"\0\0\0\0"),
+    ],
+)
 def test_a_movers_call_that_does_not_read_changes_nothing(rig: Rig, method: str, place: str, body: bytes) -> None:
     at = put(rig)
     assert Client(rig.nodes[at].address).ask(method, place, body).status == 400
@@ -318,8 +331,8 @@
 
 
 def test_a_read_that_is_running_and_a_write_that_comes_slowly_outlive_a_move(rig: Rig) -> None:
-    rig.api.server.piece_timeout = 60.0         # the writer rests while 46 MB move: as long as a busy machine needs
-    body = bytes(range(256)) * 180_000          # 46 MB: more than the sockets between hold
+    rig.api.server.piece_timeout = 60.0  # the writer rests while 46 MB move: as long as a busy machine needs
+    body = bytes(range(256)) * 180_000  # 46 MB: more than the sockets between hold
     at = put(rig, body=body)
     reader = Client(rig.address)
     reader.sock.sendall(f"GET {PLACE}k HTTP/1.1\r\nHost: t\r\nRange: bytes=100-\r\n\r\n".encode())
@@ -328,8 +341,9 @@
     writer.sock.sendall(f"PUT {PLACE}k HTTP/1.1\r\nHost: t\r\nContent-Length: 6\r\n\r\nsec".encode())
     gevent.sleep(0.05)
     assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
-    assert rig.nodes[at].store.find("v", "k") is None \
-        and "answering" in rig.nodes[at].server.states()        # still being read
+    assert (
+        rig.nodes[at].store.find("v", "k") is None and "answering" in rig.nodes[at].server.states()
+    )  # still being read
     got: Any = reader.answer()
     assert got.status == 206 and got.data == body[100:]
     writer.sock.sendall(b"ond")
@@ -360,11 +374,23 @@
 
 def test_wrong_sends_are_counted_from_their_own_flip() -> None:
     def row(kind: str, t: float, gen: int, **more: Any) -> dict[str, Any]:
-        late = 0.3 * (kind == "elsewhere")      # it waited at the node
+        late = 0.3 * (kind == "elsewhere")  # it waited at the node
         return {"k": kind, "t": t + late, "came": t, "vol": "v", "key": "k", "gen": gen, "head": 0, **more}
-    found = wrong_sends(read_story([
-        row("elsewhere", 0.9, 1), row("flip", 1.0, 1), row("elsewhere", 1.003, 1), row("elsewhere", 1.05, 1),
-        row("elsewhere", 4.9, 2), row("flip", 5.0, 2), row("elsewhere", 5.7, 2), row("elsewhere", 6.0, -1)]))
+
+    found = wrong_sends(
+        read_story(
+            [
+                row("elsewhere", 0.9, 1),
+                row("flip", 1.0, 1),
+                row("elsewhere", 1.003, 1),
+                row("elsewhere", 1.05, 1),
+                row("elsewhere", 4.9, 2),
+                row("flip", 5.0, 2),
+                row("elsewhere", 5.7, 2),
+                row("elsewhere", 6.0, -1),
+            ]
+        )
+    )
     assert (found.moves, found.counts, found.not_yet) == (2, (2, 1, 0, 1, 0, 1), 1)
     assert found.worst == pytest.approx(0.7)
 
@@ -396,8 +422,7 @@
     code, out = run("show", "v", "k", "--json")
     told = json.loads(out)
     assert code == 0 and (told["cell"], told["generation"], told["size"]) == (to, 1, 5)
-    assert {row["cell"]: row["role"] for row in told["nodes"]} == {
-        at: "fenced", to: "owner", (at + 2) % 3: "absent"}
+    assert {row["cell"]: row["role"] for row in told["nodes"]} == {at: "fenced", to: "owner", (at + 2) % 3: "absent"}
     assert "fenced" in run("show", "v", "k")[1]
     code, out = run("move", "v", "k", "--to", "9")
     assert code == 2 and "cells with one: 0, 1, 2" in out
--- a/tests/e2e/test_processes.py
+++ b/tests/e2e/test_processes.py
@@ -1,4 +1,5 @@
 """The program as a user runs it: real processes, killed and stopped for real. A few seconds each."""
+
 from __future__ import annotations
 
 import json
@@ -29,8 +30,14 @@
 
     def __init__(self, folder: Path, *arguments: str) -> None:
         env = os.environ | {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
-        self.proc = subprocess.Popen([*CLI, "serve", *arguments, "--listen", "127.0.0.1:0"], cwd=folder, env=env,
-                                     stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+        self.proc = subprocess.Popen(
+            [*CLI, "serve", *arguments, "--listen", "127.0.0.1:0"],
+            cwd=folder,
+            env=env,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         assert self.proc.stdout is not None
         line = self.proc.stdout.readline()
         found = re.search(r"http://(127\.0\.0\.1:\d+)", line)
@@ -61,18 +68,21 @@
     served.append(Served(tmp_path, "--embedded"))
     assert served[1].ask("GET", place, Range="bytes=2-4") == (206, b"234")
     assert json.loads(served[1].ask("GET", "/v1/volumes/demo/objects")[1])["objects"] == [
-        {"key": "maps/one", "size": 10}]
+        {"key": "maps/one", "size": 10}
+    ]
     served[1].proc.send_signal(signal.SIGTERM)
     assert served[1].proc.wait(timeout=10) == 0
 
 
 def test_status_of_a_running_head(tmp_path: Path, served: list[Served]) -> None:
     served.append(Served(tmp_path, "--embedded"))
-    got = subprocess.run([*CLI, "status", served[0].where, "--json"], capture_output=True, text=True, timeout=30,
-                         check=True, cwd=ROOT)
+    got = subprocess.run(
+        [*CLI, "status", served[0].where, "--json"], capture_output=True, text=True, timeout=30, check=True, cwd=ROOT
+    )
     assert [n["state"] for n in json.loads(got.stdout)["nodes"]] == ["sound"] * 3
-    table = subprocess.run([*CLI, "status", served[0].where], capture_output=True, text=True, timeout=30, check=True,
-                           cwd=ROOT)
+    table = subprocess.run(
+        [*CLI, "status", served[0].where], capture_output=True, text=True, timeout=30, check=True, cwd=ROOT
+    )
     assert "node list: version 1, reachable" in table.stdout
 
 
@@ -81,8 +91,24 @@
     kept = load(ROOT / f"days/{day}.hcl", Day, check)
     text = render(replace(kept, day=replace(kept.day, length=float(length)), trouble=()))
     (tmp_path / "short.hcl").write_text(text + troubles)
-    got = subprocess.run([*CLI, "drill", "run", str(tmp_path / "short.hcl"), "--no-plain", "--json", "--quiet", "--out",
-                          str(tmp_path / "out")], capture_output=True, text=True, timeout=120, cwd=ROOT, check=False)
+    got = subprocess.run(
+        [
+            *CLI,
+            "drill",
+            "run",
+            str(tmp_path / "short.hcl"),
+            "--no-plain",
+            "--json",
+            "--quiet",
+            "--out",
+            str(tmp_path / "out"),
+        ],
+        capture_output=True,
+        text=True,
+        timeout=120,
+        cwd=ROOT,
+        check=False,
+    )
     assert got.stdout, got.stderr
     said: dict[str, Any] = json.loads(got.stdout)
     assert (got.returncode == 0) == said["kept"]
@@ -90,7 +116,10 @@
 
 
 def test_a_head_killed_with_writes_out_and_one_that_stands_still(tmp_path: Path) -> None:
-    said = drill(tmp_path, "head-kill", """
+    said = drill(
+        tmp_path,
+        "head-kill",
+        """
 trouble "killed" {
   kind = "head_kill"
   at   = "1s"
@@ -106,7 +135,8 @@
   size   = 1.2
   every  = "3s"
 }
-""")
+""",
+    )
     rules = {r["rule"]: r for r in said["rules"]}
     assert rules["answered once"]["looked_at"] > 60 and rules["no effect twice"]["looked_at"] > 5
     assert not said["wrong_bytes"]
@@ -119,13 +149,25 @@
     assert any("head" in text and "killed" in text for _, text in said["events"])
 
     records = tmp_path / "out/module"
-    again = subprocess.run([*CLI, "rules", "check", str(records), "--day", str(tmp_path / "short.hcl"), "--json"],
-                           capture_output=True, text=True, timeout=60, cwd=ROOT, check=False)
+    again = subprocess.run(
+        [*CLI, "rules", "check", str(records), "--day", str(tmp_path / "short.hcl"), "--json"],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        cwd=ROOT,
+        check=False,
+    )
     assert json.loads(again.stdout)["kept"] == said["kept"]
     events = 0
-    for recording in sorted(records.glob("*.mrec")):        # a killed head's ends in a tear, or not
-        replayed = subprocess.run([*CLI, "replay", str(recording), "--json"], capture_output=True, text=True,
-                                  timeout=60, cwd=ROOT, check=False)
+    for recording in sorted(records.glob("*.mrec")):  # a killed head's ends in a tear, or not
+        replayed = subprocess.run(
+            [*CLI, "replay", str(recording), "--json"],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            cwd=ROOT,
+            check=False,
+        )
         came = json.loads(replayed.stdout)
         assert came["equal"] and came["events"] > 0, came
         events += came["events"]
@@ -134,7 +176,14 @@
 
 def test_the_address_in_use_is_told(tmp_path: Path, served: list[Served]) -> None:
     served.append(Served(tmp_path, "--embedded"))
-    got = subprocess.run([*CLI, "serve", "--embedded", "--listen", served[0].where], capture_output=True, text=True,
-                         timeout=30, cwd=tmp_path, env=os.environ | {"PYTHONPATH": str(ROOT)}, check=False)
+    got = subprocess.run(
+        [*CLI, "serve", "--embedded", "--listen", served[0].where],
+        capture_output=True,
+        text=True,
+        timeout=30,
+        cwd=tmp_path,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+        check=False,
+    )
     assert got.returncode == 3 and "choose another head.listen" in got.stderr
     time.sleep(0)
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -1,4 +1,5 @@
 """A live head on loopback: what reaches shelfs, what reaches clients, and what spoilt peers may not do."""
+
 from __future__ import annotations
 
 import contextlib
@@ -56,8 +57,11 @@
 
 def test_a_read_and_a_write_pass_unchanged(rig: RelayRig) -> None:
     seen = outcomes(rig)
-    rig.shelfs[1].report = [(b"Server-Load", b"rif=7,queue=2,lat_ms=61.5"), (b"X-Volume-Use", b"140"),
-                            (b"X-Served-Elsewhere", b"12")]
+    rig.shelfs[1].report = [
+        (b"Server-Load", b"rif=7,queue=2,lat_ms=61.5"),
+        (b"X-Volume-Use", b"140"),
+        (b"X-Served-Elsewhere", b"12"),
+    ]
     c = rig.client()
     assert c.ask("GET", "/_health").status == 200
     got: Any = c.ask("GET", "/read/a?b=c", **headers("r1", shard=1))
@@ -76,12 +80,19 @@
 
 
 BAD = {
-    "no id": ("/read", {"Request-Id": ""}), "class": ("/nothing", {}), "plan": ("/read", {"X-Plan": "gold"}),
-    "object": ("/read", {"X-Object": "zz"}), "patience": ("/read", {"Request-Timeout-Ms": "-3"}),
-    "no number": ("/read", {"Request-Timeout-Ms": "soon"}), "io": ("/read", {"X-IO": "volume=1,units=2"}),
+    "no id": ("/read", {"Request-Id": ""}),
+    "class": ("/nothing", {}),
+    "plan": ("/read", {"X-Plan": "gold"}),
+    "object": ("/read", {"X-Object": "zz"}),
+    "patience": ("/read", {"Request-Timeout-Ms": "-3"}),
+    "no number": ("/read", {"Request-Timeout-Ms": "soon"}),
+    "io": ("/read", {"X-IO": "volume=1,units=2"}),
     "units": ("/read", {"X-IO": "volume=1,units=9,shard=0,hosts=1"}),
-    "shard": ("/read", {"X-IO": "volume=1,units=1,shard=2,hosts=1"}), "no key": ("PUT /note", {}),
-    "a read of what writes": ("/note", {"Idempotency-Key": "k"}), "method": ("POST /read", {})}
+    "shard": ("/read", {"X-IO": "volume=1,units=1,shard=2,hosts=1"}),
+    "no key": ("PUT /note", {}),
+    "a read of what writes": ("/note", {"Idempotency-Key": "k"}),
+    "method": ("POST /read", {}),
+}
 
 
 @pytest.mark.parametrize("framing", ["length", "chunked", "expect"])
@@ -91,9 +102,11 @@
     raw = b"PUT /note HTTP/1.1\r\nHOST: \t h \r\n"
     for n, (k, v) in enumerate(rows.items()):
         raw += f"{k.lower() if n % 2 else k.upper()}:{' ' * (n % 3)}{v} \t\r\n".encode()
-    raw += {"length": b"content-length:  4 \r\n\r\nabcd",
-            "expect": b"Expect: 100-continue \r\nContent-Length: 4\t\r\n\r\n",
-            "chunked": b"Transfer-Encoding: \tchunked \r\n\r\n0004;x=y\r\nabcd\r\n0\r\n\r\n"}[framing]
+    raw += {
+        "length": b"content-length:  4 \r\n\r\nabcd",
+        "expect": b"Expect: 100-continue \r\nContent-Length: 4\t\r\n\r\n",
+        "chunked": b"Transfer-Encoding: \tchunked \r\n\r\n0004;x=y\r\nabcd\r\n0\r\n\r\n",
+    }[framing]
     sock = rig.raw(raw)
     if framing == "expect":
         assert sock.recv(4096).startswith(b"HTTP/1.1 100")
@@ -121,7 +134,7 @@
         first = ask("w1", 120_000)
         wait_for(lambda: rig.asked() == ["w1"])
         assert front.held == 120_000
-        assert ask("w2", 200_000).recv(4096).startswith(b"HTTP/1.1 503")        # not beside the first
+        assert ask("w2", 200_000).recv(4096).startswith(b"HTTP/1.1 503")  # not beside the first
         usual = ask("w3", 40_000)
         wait_for(lambda: rig.asked() == ["w1", "w3"])
         rig.shelfs[0].hold.set()
@@ -149,11 +162,15 @@
     "two lengths": text("/read", headers("r1") | {"Content-Length": "4", "content-length": "5"}) + b"abcd",
     "negative": text("/read", headers("r1") | {"Content-Length": "-4"}),
     "huge": text("/read", headers("r1") | {"Content-Length": str(60 << 20)}) + b"x" * 100_000,
-    "chunks over 1 MiB": text("/read", headers("r1") | {"Transfer-Encoding": "chunked"}) +
-                         (b"ffff\r\n" + b"x" * 65535 + b"\r\n") * 16 + b"ff\r\n" + b"x" * 255 + b"\r\n",
+    "chunks over 1 MiB": text("/read", headers("r1") | {"Transfer-Encoding": "chunked"})
+    + (b"ffff\r\n" + b"x" * 65535 + b"\r\n") * 16
+    + b"ff\r\n"
+    + b"x" * 255
+    + b"\r\n",
     "noise": b"\x00\xff\x13 nothing\r\n\r\n",
     "endless head": b"GET /read HTTP/1.1\r\nHost: h\r\n" + b"X-A: " + b"a" * 20_000,
-    "many fields": b"GET /read HTTP/1.1\r\n" + b"X-A: 1\r\n" * 200}
+    "many fields": b"GET /read HTTP/1.1\r\n" + b"X-A: 1\r\n" * 200,
+}
 
 
 @pytest.mark.parametrize("case", RAW)
@@ -204,7 +221,7 @@
         wait_for(lambda: len(rig.program.front.server.open) == most)
         assert quiet[0].recv(1) == b""
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
-        assert used.ask("GET", "/read", **headers("r2")).status == 200      # it asked before: the quiet ones go first
+        assert used.ask("GET", "/read", **headers("r2")).status == 200  # it asked before: the quiet ones go first
     finally:
         rig.stop()
 
@@ -215,7 +232,7 @@
     try:
         crowd = rig.program.front.server.crowd
         for k in range(3 * crowd):
-            c = rig.client()            # it never closes
+            c = rig.client()  # it never closes
             assert c.ask("GET", "/read", **headers(f"r{k}")).status == 200
             assert len(rig.program.front.server.open) <= crowd + 1
         assert c.sock.recv(1) == b""
@@ -228,11 +245,15 @@
 
 
 SPOILT = {
-    "noise": b"\x7f\x00garbage garbage\r\n\r\n", "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 5000,
+    "noise": b"\x7f\x00garbage garbage\r\n\r\n",
+    "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 5000,
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     "3 GB": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"z" * 300_000,
-    "chunks without end": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n" + b"z" * 65535 +
-                          (b"\r\nffff\r\n" + b"z" * 65535) * 20}
+    "chunks without end": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    + b"ffff\r\n"
+    + b"z" * 65535
+    + (b"\r\nffff\r\n" + b"z" * 65535) * 20,
+}
 
 
 @pytest.mark.parametrize("case", SPOILT)
@@ -241,7 +262,7 @@
     rig.shelfs[0].script = lambda asked: SPOILT[case] if len(rig.shelfs[0].asked) == 1 else None
     began = time.monotonic()
     got: Any = rig.client().ask("GET", "/read", **headers("r1"))
-    assert (got.status, got.data) == (200, b"r1 GET /read")         # the second try
+    assert (got.status, got.data) == (200, b"r1 GET /read")  # the second try
     assert [o.result for o in seen] == [i.Result.BROKEN, i.Result.SERVED]
     assert time.monotonic() - began < 1.0
 
@@ -281,13 +302,15 @@
     sock.close()
     wait_for(lambda: [o.result for o in seen] == [i.Result.CANCELLED])
     wait_for(lambda: not rig.core.pending and not rig.program.front.open)
-    assert all(conn.wire.peer_left() for conn in shelf.server.open)     # its shelf is told by the end of the connection
+    assert all(conn.wire.peer_left() for conn in shelf.server.open)  # its shelf is told by the end of the connection
 
 
 SURPLUS = {
-    "noise": lambda a: plain(a) + b"\x00noise", "twice": lambda a: plain(a) + plain(a),
+    "noise": lambda a: plain(a) + b"\x00noise",
+    "twice": lambda a: plain(a) + plain(a),
     "early": lambda a: b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + plain(a),
-    "report": lambda a: plain(a, b"Server-Load: rif=many,lat_ms=\r\nX-Volume-Use: lots\r\nX-Served-Elsewhere: -4\r\n")}
+    "report": lambda a: plain(a, b"Server-Load: rif=many,lat_ms=\r\nX-Volume-Use: lots\r\nX-Served-Elsewhere: -4\r\n"),
+}
 
 
 @pytest.mark.parametrize("case", SURPLUS)
@@ -297,7 +320,7 @@
     for k in range(3):
         got: Any = c.ask("GET", "/read", **headers(f"r{k}"))
         assert (got.status, got.data) == (200, b"r%d GET /read" % k)
-    assert rig.asked() == ["r0", "r1", "r2"]        # one attempt each
+    assert rig.asked() == ["r0", "r1", "r2"]  # one attempt each
 
 
 def test_given_up_is_answered_at_once_and_says_when_to_come_back(rig: RelayRig) -> None:
@@ -331,18 +354,24 @@
 
 
 @contextlib.contextmanager
-def process_of(rig: RelayRig, descriptors: int = 1024,
-               start: tuple[str, ...] = ("-m", "fawnspool.relay"),
-               up: Callable[[], Any] | None = None, log: Path | None = None) -> Iterator[subprocess.Popen[bytes]]:
+def process_of(
+    rig: RelayRig,
+    descriptors: int = 1024,
+    start: tuple[str, ...] = ("-m", "fawnspool.relay"),
+    up: Callable[[], Any] | None = None,
+    log: Path | None = None,
+) -> Iterator[subprocess.Popen[bytes]]:
     """The real process in the place of the rig's own program, held to so many descriptors. up: is it there? Without:
     when it asked discovery. log: where its log goes."""
     rig.program.stop()
     before = len(rig.discovery.calls)
     process = subprocess.Popen(
-        [sys.executable, *start], cwd=Path(__file__).parents[2],
+        [sys.executable, *start],
+        cwd=Path(__file__).parents[2],
         stderr=subprocess.DEVNULL if log is None else log.open("wb"),
         env={"RELAY_CONFIG": str(rig.path), "PATH": "/usr/bin:/bin"},
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)))
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
+    )
     try:
         wait_for(up or (lambda: len(rig.discovery.calls) > before), 30)
         yield process
@@ -361,7 +390,7 @@
         quiet = [rig.raw(b"") for _ in range(200)]
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert len(list(Path(f"/proc/{process.pid}/fd").iterdir())) <= 64 and process.poll() is None
-        assert all(sock.recv(1) == b"" for sock in quiet)       # closed, each in its time
+        assert all(sock.recv(1) == b"" for sock in quiet)  # closed, each in its time
 
 
 # The program under a hook that ends it at the first call that the platform's filter would refuse.
@@ -418,8 +447,11 @@
 
 def test_a_turned_away_attempt_never_ran_and_an_error_may_have(rig: RelayRig) -> None:
     seen = outcomes(rig)
-    answers = [b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
-               b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"]
+    answers = [
+        b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n",
+    ]
     rig.shelfs[0].script = lambda asked: answers.pop(0) if answers else None
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
     assert [o.result for o in seen] == [i.Result.FULL, i.Result.ERROR, i.Result.ERROR, i.Result.SERVED]
@@ -456,13 +488,13 @@
     wait_for(lambda: sum(p.open for p in rig.core.pools.values()) == 2)
     rig.discovery.change(rig.discovery.rows["s-0"] | {"health": "left"})
     wait_for(lambda: rig.shelfs[0].server.address not in rig.core.pools)
-    wait_for(lambda: not rig.shelfs[0].server.open)             # seen from the other end
+    wait_for(lambda: not rig.shelfs[0].server.open)  # seen from the other end
     pool = rig.core.pools[rig.shelfs[1].server.address]
     rig.shelfs[1].server.reset_all()
     wait_for(lambda: pool.open == 0)
     assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200
     wait_for(lambda: len(pool.idle) == 1)
-    pool.idle_close = 0.1                       # before the shelf would: it keeps them for a minute
+    pool.idle_close = 0.1  # before the shelf would: it keeps them for a minute
     wait_for(lambda: pool.open == 0 and not rig.shelfs[1].server.open)
     assert rig.client().ask("GET", "/read", **headers("r3", shard=1)).status == 200
 
@@ -485,7 +517,7 @@
     wait_for(lambda: rig.program.discovery.version == other.seq)
     assert len(rig.program.discovery.nodes) == 1
     rig.path.write_text("{")
-    rig.program.reload()                # a file that does not read changes nothing
+    rig.program.reload()  # a file that does not read changes nothing
     assert rig.program.config.discovery == other.server.address
     other.server.stop()
 
@@ -495,7 +527,7 @@
     before = len(rig.discovery.calls)
     for queue in list(rig.discovery.watchers):
         queue.put(line)
-    wait_for(lambda: len(rig.discovery.calls) > before)         # the module was told, and asks again
+    wait_for(lambda: len(rig.discovery.calls) > before)  # the module was told, and asks again
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
 
 
@@ -531,17 +563,17 @@
     began = time.monotonic()
     ending = gevent.spawn(rig.program.drain)
     wait_for(lambda: rig.program.front.until < math.inf)
-    assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200     # a new connection still comes
+    assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200  # a new connection still comes
     last, served = 0.0, 0
     while not ending.ready():
         try:
             served += kept.ask("GET", "/read", **headers(f"k{served}", shard=1)).status == 200
         except (ConnectionError, http.client.HTTPException):
-            break               # closed between two requests
+            break  # closed between two requests
         last = time.monotonic() - began
-    assert served > 100 and last > 1.9          # of 2.7 s until it may be killed (its longest deadline is 2 s)
+    assert served > 100 and last > 1.9  # of 2.7 s until it may be killed (its longest deadline is 2 s)
     got = early.recv(4096)
-    assert got.startswith(b"HTTP/1.1 50")       # its shelf never answered, but the head did
+    assert got.startswith(b"HTTP/1.1 50")  # its shelf never answered, but the head did
     ending.join(timeout=5)
     assert rig.program.ended.is_set() and time.monotonic() - began < 2.7
 
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -1,4 +1,5 @@
 """The list, the catalogue, the meter, peers and repeats: late, wrong, restarted, gone."""
+
 from __future__ import annotations
 
 import time
@@ -35,8 +36,18 @@
 
     def __init__(self, server: NodeListServer, tmp: Path, pushes: bool) -> None:
         self.events: list[i.NodeList] = []
-        self.client = ListClient(server.where, 0, ("zone-a",), ("node",), pushes, 0.5, tmp / "list.json",
-                                 self.events.append, logs.get(), Behind())
+        self.client = ListClient(
+            server.where,
+            0,
+            ("zone-a",),
+            ("node",),
+            pushes,
+            0.5,
+            tmp / "list.json",
+            self.events.append,
+            logs.get(),
+            Behind(),
+        )
 
     def kinds(self) -> list[i.ListKind]:
         return [e.kind for e in self.events]
@@ -63,10 +74,10 @@
     wait_for(lambda: 2 not in h.client.nodes)
     service.gone()
     wait_for(lambda: h.kinds()[-1] is i.ListKind.FAILED)
-    assert not h.client.reachable and set(h.client.nodes) == {1, 3}     # the list it has stands
+    assert not h.client.reachable and set(h.client.nodes) == {1, 3}  # the list it has stands
     before = len(h.events)
     h.client.fetch()
-    wait_for(lambda: len(h.events) == before + 1)                        # one failure, one event
+    wait_for(lambda: len(h.events) == before + 1)  # one failure, one event
     service.change(entry(4))
     service.start()
     h.client.fetch()
@@ -83,7 +94,7 @@
     h.client.fetch()
     wait_for(lambda: h.kinds()[-1] is i.ListKind.WHOLE)
     h.client.watch(True)
-    wait_for(lambda: len(h.events) == 3 and h.events[-1].kind is i.ListKind.CHANGES)    # nothing new: no entries
+    wait_for(lambda: len(h.events) == 3 and h.events[-1].kind is i.ListKind.CHANGES)  # nothing new: no entries
     service.change(entry(5))
     wait_for(lambda: 5 in h.client.nodes)
     h.client.watch(False)
@@ -129,7 +140,7 @@
     stands, taken = client.note("v", "a", 3, 100)
     assert taken and (stands.cell, stands.size) == (3, 100) and client.note("v", "b/1", 1, 5)[1]
     stands, taken = client.note("v", "a", 4, 100, new=True)
-    assert not taken and (stands.cell, stands.size) == (3, 100)     # another came first, and stands
+    assert not taken and (stands.cell, stands.size) == (3, 100)  # another came first, and stands
     assert client.note("v", "a", 4, 200)[1]
     assert client.drop("v", "b/1") is not None and client.drop("v", "b/1") is None
     assert client.list("v", "", "", 10) == ([("a", 200)], False)
@@ -181,7 +192,7 @@
     a.sock.sendto(b"nonsense", b.address)
     a.sock.sendto(b"FP1" + (7).to_bytes(4, "big") + bytes(16) + b"stranger", b.address)
     a.number -= 1
-    a.send(1, b"twice")         # the same number: a datagram that came twice
+    a.send(1, b"twice")  # the same number: a datagram that came twice
     a.send(1, b"new")
     wait_for(lambda: len(heard) == 3)
     assert heard[2].body == b"new" and sent
@@ -209,6 +220,6 @@
     assert one.claim("k", 10) is None and other.claim("k", 10) == ""
     one.done("k", "etag")
     assert other.claim("k", 10) == "etag" and one.claim("k", 10) == "etag"
-    assert other.claim("k", -1) is None         # its window is over
+    assert other.claim("k", -1) is None  # its window is over
     one.release("k")
     assert other.claim("k", 10) is None
--- a/tests/e2e/test_shared.py
+++ b/tests/e2e/test_shared.py
@@ -1,4 +1,5 @@
 """What heads share, between real processes: faults between them, and doctored heads that the judge must find."""
+
 from __future__ import annotations
 
 import json
@@ -36,15 +37,21 @@
 
 
 def test_limits_hold_while_heads_are_cut_stopped_killed_and_datagrams_go_astray(tmp_path: Path) -> None:
-    result = play(tmp_path, trouble("heads_cut", part=0.5, every=2.0),
-                  trouble("head_stall", part=0.34, size=1.0, every=2.0),
-                  trouble("head_kill", at=4.0, part=0.17, down=0.3),
-                  trouble("bad_net", part=0.2, size=2.0))
+    result = play(
+        tmp_path,
+        trouble("heads_cut", part=0.5, every=2.0),
+        trouble("head_stall", part=0.34, size=1.0, every=2.0),
+        trouble("head_kill", at=4.0, part=0.17, down=0.3),
+        trouble("bad_net", part=0.2, size=2.0),
+    )
     assert "limits kept" not in broken(result) and "well nodes used" not in broken(result)
     story = read(rows_of(tmp_path))
     did = {row["what"] for row in story.dgrams}
-    assert did == {"cut", "lost", "passed"} and story.stalls and any(
-        row["what"] == "killed" for rows in story.lives.values() for row in rows)     # each fault was caused
+    assert (
+        did == {"cut", "lost", "passed"}
+        and story.stalls
+        and any(row["what"] == "killed" for rows in story.lives.values() for row in rows)
+    )  # each fault was caused
     assert result.shared is not None and result.shared.bytes > 0
     assert next(f for f in result.verdict.findings if f.rule == "limits kept").nearest > 0.1
 
@@ -62,38 +69,45 @@
         self.shown = json.loads(gevent.subprocess.check_output([*cli, "shared", "show", where, "--json"]))
         self.lines = gevent.subprocess.check_output([*cli, "shared", "show", where]).decode()
         self.lines += gevent.subprocess.check_output([*cli, "status", where]).decode()
-        _, body = call(Pool(("127.0.0.1", self.heads[0].port), 1, 1.0, 1.0), b"GET", b"/-/metrics",
-                       time.monotonic() + 2.0)
+        _, body = call(
+            Pool(("127.0.0.1", self.heads[0].port), 1, 1.0, 1.0), b"GET", b"/-/metrics", time.monotonic() + 2.0
+        )
         self.metrics = body.decode()
 
 
 def test_what_a_person_is_shown(tmp_path: Path) -> None:
     day = load(FILE, Day, check)
-    played = _Asked(replace(day, trouble=(*day.trouble, trouble("head_lies", at=1.0, part=0.17, size=0.0))), FILE,
-                    tmp_path, 1)
+    played = _Asked(
+        replace(day, trouble=(*day.trouble, trouble("head_lies", at=1.0, part=0.17, size=0.0))), FILE, tmp_path, 1
+    )
     played.run()
     assert played.shown["heads"] == 6 and not played.shown["alone"] and played.shown["strangers"] == 0
     rows = [r for r in played.shown["volumes"] if r["heads"] > 1]
     assert rows and any(r["used_at_least"] > 0 for r in rows)
     assert all((r["used_at_most"] is None) == (r["unheard"] > 0) for r in rows)
     assert all(r["used_at_most"] is None or r["used_at_most"] > r["used_at_least"] for r in rows)
-    assert any(e["signs"] == 9 for n in played.shown["nodes"] for e in n["evidence"])     # the liar's
+    assert any(e["signs"] == 9 for n in played.shown["nodes"] for e in n["evidence"])  # the liar's
     assert "6 heads are there" in played.lines and "Nodes that anything is said of" in played.lines
     assert "nodes shunned on hearsay" in played.lines
     assert "fawnspool_shared_heads 6.0" in played.metrics and "fawnspool_shared_alone 0.0" in played.metrics
 
 
-@pytest.mark.parametrize("head, troubles, rule", [
-    ("keeps_lent", (), "limits kept"),
-    ("hearsay_alone", (trouble("head_lies", at=1.0, length=7.0, part=0.17, size=0.0),), "well nodes used"),
-])
+@pytest.mark.parametrize(
+    "head, troubles, rule",
+    [
+        ("keeps_lent", (), "limits kept"),
+        ("hearsay_alone", (trouble("head_lies", at=1.0, length=7.0, part=0.17, size=0.0),), "well nodes used"),
+    ],
+)
 def test_each_doctored_head_is_found(tmp_path: Path, head: str, troubles: tuple[TroubleBlock, ...], rule: str) -> None:
     result = play(tmp_path, *troubles, head_command=(head, "serve"), head_module="tests.e2e.doctored")
     assert rule in broken(result)
 
 
 def test_run_starts_and_imports_none_of_it() -> None:
-    code = ("import sys, json, fawnspool.relay.program; "
-            "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))")
+    code = (
+        "import sys, json, fawnspool.relay.program; "
+        "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))"
+    )
     loaded = json.loads(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout)
     assert "fawnspool.relay.program" in loaded and not [m for m in loaded if "shared" in m]
--- a/tests/lending_model.py
+++ b/tests/lending_model.py
@@ -7,6 +7,7 @@
 head restarts without memory. In every state what heads have, and what is on its way and would still be counted, is no
 more than the one bucket holds.
 """
+
 from __future__ import annotations
 
 import sys
@@ -21,24 +22,31 @@
 
 SOURCE = Path(__file__).parent.parent / "fawnspool" / "control.py"
 RATE, DEPTH, AIM, STEP, UNIT = 10.0, 18.0, 0.4, 0.2, 1e-6
-Bucket = tuple[float, tuple[tuple[float, float], ...]]          # level; when lent, units
-Datagram = tuple[int, int, bytes]                               # from, to, body
+Bucket = tuple[float, tuple[tuple[float, float], ...]]  # level; when lent, units
+Datagram = tuple[int, int, bytes]  # from, to, body
 State = tuple[int, tuple[Bucket, ...], tuple[Datagram, ...], float, int, int]  # step, heads, ways, all, asked, restarts
 
 MISTAKES: dict[str, tuple[str, str]] = {
     "a lender keeps what it lends": ("            volume.level -= units\n", ""),
     "what was lent may be filled up at once": ("            volume.lent.append((self.now, units))\n", ""),
-    "late units count": ("elif what == _LEND and (int(self.now * 1000) - asked) % 2**32 < self.least_aim * 1000 * "
-                         "ON_TIME:", "elif what == _LEND:"),
+    "late units count": (
+        "elif what == _LEND and (int(self.now * 1000) - asked) % 2**32 < self.least_aim * 1000 * ON_TIME:",
+        "elif what == _LEND:",
+    ),
     "units count twice as long as they are kept": ("self.least_aim * 1000 * ON_TIME", "self.least_aim * 2000"),
-    "a borrower heaps up": ("            volume.level += units\n            self._fill(volume)\n",
-                            "            volume.level += 2 * units\n"),
+    "a borrower heaps up": (
+        "            volume.level += units\n            self._fill(volume)\n",
+        "            volume.level += 2 * units\n",
+    ),
     "more is lent than there is": ("units = min(units, max(1.0, spare / 2))", "units = units"),
-    "a head that starts has a full part": ("volume = _Volume(job.plan, max(1, job.req.heads), filled=self.since, "
-                                           "served=self.now)", "volume = _Volume(job.plan, max(1, job.req.heads), "
-                                           "filled=self.since - 99, served=self.now)"),
-    "what was lent is forgotten early": ("volume.lent[0][0] <= self.now - self.least_aim",
-                                         "volume.lent[0][0] <= self.now - self.least_aim / 4"),
+    "a head that starts has a full part": (
+        "volume = _Volume(job.plan, max(1, job.req.heads), filled=self.since, served=self.now)",
+        "volume = _Volume(job.plan, max(1, job.req.heads), filled=self.since - 99, served=self.now)",
+    ),
+    "what was lent is forgotten early": (
+        "volume.lent[0][0] <= self.now - self.least_aim",
+        "volume.lent[0][0] <= self.now - self.least_aim / 4",
+    ),
 }
 
 
@@ -61,8 +69,12 @@
     def __init__(self, heads: int, mistake: str = "") -> None:
         made = module(mistake)
         plan = make_plan(limit=RATE, limit_depth=DEPTH, limit_slack=0.0)
-        self.heads = [made.Controller(make_settings(plans=(plan,), classes=(make_class(aim=AIM),), heads=heads, me=k,
-                                                    peers=True), k) for k in range(heads)]
+        self.heads = [
+            made.Controller(
+                make_settings(plans=(plan,), classes=(make_class(aim=AIM),), heads=heads, me=k, peers=True), k
+            )
+            for k in range(heads)
+        ]
         self.now = 100.0
         for k, head in enumerate(self.heads):
             self._begin(head, k)
@@ -102,28 +114,33 @@
         volume = self.put(k, s[1][k])
         volume.queued = DEPTH
         self.heads[k]._ask(7, volume)
-        ways = [(k, to, a.body) for a in self.heads[k].acts if isinstance(a, Tell)
-                for to in range(len(self.heads)) if to != k and a.head in (None, to)]
+        ways = [
+            (k, to, a.body)
+            for a in self.heads[k].acts
+            if isinstance(a, Tell)
+            for to in range(len(self.heads))
+            if to != k and a.head in (None, to)
+        ]
         return s[0], s[1], tuple(sorted((*s[2], *ways))), s[3], s[4] + 1, s[5]
 
     def arrives(self, s: State, n: int) -> State:
         sender, to, body = s[2][n]
-        rest = s[2][:n] + s[2][n + 1:]
+        rest = s[2][:n] + s[2][n + 1 :]
         self.put(to, s[1][to])
         self.heads[to]._on_peer(PeerMessage(sender, body))
         ways = [(to, a.head, a.body) for a in self.heads[to].acts if isinstance(a, Tell) and a.head is not None]
-        heads = (*s[1][:to], self.take(to), *s[1][to + 1:])
+        heads = (*s[1][:to], self.take(to), *s[1][to + 1 :])
         return s[0], heads, tuple(sorted((*rest, *ways))), s[3], s[4], s[5]
 
     def spends(self, s: State, k: int) -> State:
         level = s[1][k][0]
-        heads = (*s[1][:k], (0.0, s[1][k][1]), *s[1][k + 1:])
+        heads = (*s[1][:k], (0.0, s[1][k][1]), *s[1][k + 1 :])
         return s[0], heads, s[2], round(s[3] - level, 6), s[4], s[5]
 
     def restarts(self, s: State, k: int) -> State:
         volume = self._begin(self.heads[k], k)
         self.heads[k]._fill(volume)
-        return s[0], (*s[1][:k], self.take(k), *s[1][k + 1:]), s[2], s[3], s[4], s[5] + 1
+        return s[0], (*s[1][:k], self.take(k), *s[1][k + 1 :]), s[2], s[3], s[4], s[5] + 1
 
     def after(self, s: State, steps: int, askings: int, restarts: int) -> Iterator[State]:
         self.now = 100.0 + s[0] * STEP
@@ -155,8 +172,9 @@
     return kind(request, head.s.classes[0], head.s.plans[0], 0.0, 0.0, 1)
 
 
-def walk(heads: int = 2, steps: int = 4, askings: int = 2, restarts: int = 1, mistake: str = "", most: int = 200_000
-         ) -> tuple[int, str]:
+def walk(
+    heads: int = 2, steps: int = 4, askings: int = 2, restarts: int = 1, mistake: str = "", most: int = 200_000
+) -> tuple[int, str]:
     """(states seen, what was wrong first)."""
     fleet = Fleet(heads, mistake)
     first: State = (0, tuple((DEPTH / heads, ()) for _ in range(heads)), (), DEPTH, 0, 0)
@@ -175,7 +193,7 @@
 
 def main() -> None:
     numbers = [int(x) for x in sys.argv[1:]]
-    heads, steps, askings = numbers + [2, 4, 2][len(numbers):]
+    heads, steps, askings = numbers + [2, 4, 2][len(numbers) :]
     states, text = walk(heads, steps, askings, most=2_000_000)
     print(f"{heads} heads, {steps} steps, {askings} askings, one restart: {states} states, {text or 'nothing wrong'}")
     for mistake in MISTAKES:
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -1,4 +1,5 @@
 """File work behind the program's back: order, bound, errors, and a recording on a disk that is full or stands still."""
+
 from __future__ import annotations
 
 import os
@@ -24,7 +25,7 @@
 def test_work_is_done_in_the_order_given(behind: Behind) -> None:
     done: list[int] = []
     for k in range(500):
-        assert behind.put(lambda k=k: done.append(k))       # type: ignore[misc]
+        assert behind.put(lambda k=k: done.append(k))  # type: ignore[misc]
     assert behind.close() and done == list(range(500))
 
 
@@ -38,9 +39,9 @@
 
 def test_what_waits_is_bounded_and_one_large_piece_still_fits(behind: Behind) -> None:
     gate, done = threading.Event(), []
-    assert behind.put(lambda: gate.wait() and None, 5000)   # over the bound, but nothing waits before it
+    assert behind.put(lambda: gate.wait() and None, 5000)  # over the bound, but nothing waits before it
     assert not behind.put(lambda: done.append("lost"), 1)
-    assert behind.put(lambda: done.append("closed"))        # comes after what waits, however much that is
+    assert behind.put(lambda: done.append("closed"))  # comes after what waits, however much that is
     gate.set()
     assert behind.close() and done == ["closed"] and behind.waits == 0
 
@@ -83,7 +84,7 @@
     recorder.flush()
     while behind.waits:
         pass
-    os.dup2(kept, recorder.writer.fd)       # room again: a recording with a gap would be worse than a short one
+    os.dup2(kept, recorder.writer.fd)  # room again: a recording with a gap would be worse than a short one
     recorder.note(3.0, i.Timer(3), [])
     recorder.close()
     behind.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,5 @@
 """The command line: help, exit codes, tables for people and JSON for programs."""
+
 from __future__ import annotations
 
 import json
@@ -43,16 +44,19 @@
     assert code == 2 and len(json.loads(text)["problems"]) >= 3
 
 
-@pytest.mark.parametrize(("arguments", "code", "said"), [
-    (("serve",), 2, "either a CONFIG file or --embedded"),
-    (("status", "127.0.0.1:1"), 3, "can't be reached"),
-    (("status", "nowhere"), 2, "expected an address"),
-    (("shared", "show", "127.0.0.1:1"), 3, "can't be reached"),
-    (("drill", "run", "no-such-day"), 2, "there is no day"),
-    (("replay", EMBEDDED), 2, "no recording"),
-    (("rules", "check", EMBEDDED, "--day", EMBEDDED), 2, "not known here"),
-    (("standin", "list", "x=y"), 2, "expected NUMBER=HOST:PORT"),
-])
+@pytest.mark.parametrize(
+    ("arguments", "code", "said"),
+    [
+        (("serve",), 2, "either a CONFIG file or --embedded"),
+        (("status", "127.0.0.1:1"), 3, "can't be reached"),
+        (("status", "nowhere"), 2, "expected an address"),
+        (("shared", "show", "127.0.0.1:1"), 3, "can't be reached"),
+        (("drill", "run", "no-such-day"), 2, "there is no day"),
+        (("replay", EMBEDDED), 2, "no recording"),
+        (("rules", "check", EMBEDDED, "--day", EMBEDDED), 2, "not known here"),
+        (("standin", "list", "x=y"), 2, "expected NUMBER=HOST:PORT"),
+    ],
+)
 def test_bad_input_is_told_with_its_code(arguments: tuple[str, ...], code: int, said: str) -> None:
     got, text = run(*arguments)
     assert got == code and said in text
@@ -67,8 +71,21 @@
 def test_rules_check_fails_on_a_broken_rule(tmp_path: Path) -> None:
     writer = Writer(tmp_path / "c.rec")
     writer.put({"k": "head", "t": 0.0, "head": 0, "what": "up"})
-    writer.put({"k": "ask", "t": 1.0, "op": "x", "n": 0, "head": 0, "vol": "u", "cls": 0, "units": 1, "pat": 1.0,
-                "e": "safe", "w": False})
+    writer.put(
+        {
+            "k": "ask",
+            "t": 1.0,
+            "op": "x",
+            "n": 0,
+            "head": 0,
+            "vol": "u",
+            "cls": 0,
+            "units": 1,
+            "pat": 1.0,
+            "e": "safe",
+            "w": False,
+        }
+    )
     writer.close()
     day = str(ROOT / "days/crash.hcl")
     code, text = run("rules", "check", str(tmp_path), "--day", day)
@@ -77,13 +94,15 @@
     assert code == 1 and json.loads(text)["rules"][0]["breaches"]
 
 
-def test_a_recording_that_cannot_begin_names_its_setting(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                                         capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_recording_that_cannot_begin_names_its_setting(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     from dataclasses import replace
 
     from fawnspool.cli import serve
     from fawnspool.config.head import HeadConfig, check
     from fawnspool.config.schema import load
+
     monkeypatch.chdir(tmp_path)
     (tmp_path / "file").write_text("in the way")
     config = load(serve.DEFAULT, HeadConfig, check)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -3,6 +3,7 @@
 The node serves its queue in turn at the power it has now. What the rule allows in any window of `fall` seconds is
 N calls of mean work (N: the multiple of that power); beyond N only 2 x root of N + 2 are put down to chance.
 """
+
 from __future__ import annotations
 
 import math
@@ -30,8 +31,15 @@
     def __init__(self, heads: int, power: float, load: float, skewed: bool, seed: int) -> None:
         self.power, self.random = power, Random(seed)
         self.settings: Settings = make_settings(
-            heads=heads, cold_capacity=COLD, warm_after=WARM, fall=FALL, fall_multiple=MULTIPLE, mean_units=MEAN,
-            young_limit=MULTIPLE * COLD * power * FALL, classes=(make_class(),))
+            heads=heads,
+            cold_capacity=COLD,
+            warm_after=WARM,
+            fall=FALL,
+            fall_multiple=MULTIPLE,
+            mean_units=MEAN,
+            young_limit=MULTIPLE * COLD * power * FALL,
+            classes=(make_class(),),
+        )
         self.heads = [Head(self.settings, seed=seed * 1000 + k) for k in range(heads)]
         parts = [1 / (k + 1) if skewed else 1.0 for k in range(heads)]
         self.rates = [load * power / MEAN * part / sum(parts) for part in parts]
@@ -110,7 +118,7 @@
     fleet.restart(saved=True, told=True)
     fleet.play(START + 0.4, START + SPAN, -1.0)
     assert fleet.excess(START + 0.4) <= 0
-    assert fleet.sent       # it is not left alone for it
+    assert fleet.sent  # it is not left alone for it
 
 
 @pytest.mark.parametrize(("saved", "load"), [(False, 0.7), (False, 1.5), (False, 4.0), (True, 0.7)])
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,5 @@
 """Decisions on connections: whatever the limits, sums fit, floods drive out their own kind, ends come in order."""
+
 from __future__ import annotations
 
 from hypothesis import given
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,5 @@
 """Days: traffic is drawn the same for the same seed, troubles act on it; worth is earned from what is due."""
+
 from __future__ import annotations
 
 import re
@@ -26,7 +27,7 @@
     names = [op.name for op in first]
     assert len(set(names)) == len(names)
     rate = len(first) / d.day.length
-    assert d.load.rate * 0.9 < rate < d.load.rate * 1.6     # a partner's surge comes on top
+    assert d.load.rate * 0.9 < rate < d.load.rate * 1.6  # a partner's surge comes on top
 
 
 @pytest.mark.parametrize(("name", "inside", "factor"), [("burst", (2, 6), 3.0), ("plan-burst", (2, 6), 1.8)])
@@ -64,7 +65,7 @@
 
 
 def test_worth_is_full_inside_a_reserve_and_less_beyond() -> None:
-    d = day("crash")        # priority: reserve 20 of weight 2; tile-read: worth 2, late 0.2; mean 2 units
+    d = day("crash")  # priority: reserve 20 of weight 2; tile-read: worth 2, late 0.2; mean 2 units
     whole = count(d, [served(0.1, "priority-0", "priority", 8.0), served(0.2, "priority-0", "priority", 8.0)]).whole
     assert whole.due == whole.earned == 16 * 2 / 2
     beyond = count(d, [served(0.1, "priority-0", "priority", 8.0) for _ in range(4)]).whole
@@ -88,12 +89,15 @@
     assert sum(r.due for r in count(d, rows).windows.values()) == pytest.approx(count(d, rows).whole.due)
 
 
-@pytest.mark.parametrize(("change", "said"), [
-    ('trouble "nodes die and come back cold" { kind = "crahs" }', "did you mean 'crash'?"),
-    ('trouble "nodes die and come back cold" { at = "20s" }', "lies behind the day's end at 9 s"),
-    ('volumes "basic" { heads = 7 }', "there are only 2 heads"),
-    ("nodes { cold_units = 900 }", "more than a cold node surely bears"),
-])
+@pytest.mark.parametrize(
+    ("change", "said"),
+    [
+        ('trouble "nodes die and come back cold" { kind = "crahs" }', "did you mean 'crash'?"),
+        ('trouble "nodes die and come back cold" { at = "20s" }', "lies behind the day's end at 9 s"),
+        ('volumes "basic" { heads = 7 }', "there are only 2 heads"),
+        ("nodes { cold_units = 900 }", "more than a cold node surely bears"),
+    ],
+)
 def test_a_day_that_can_not_be_is_told(change: str, said: str, tmp_path: Path) -> None:
     change = change.replace("{ ", "{\n").replace(" }", "\n}")
     (tmp_path / "day.hcl").write_text(f'base = "{DAYS}/crash.hcl"\n{change}\n')
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,5 @@
 """What the platform builds and starts: few packages, as pinned, and no more of the program than it needs."""
+
 from __future__ import annotations
 
 import os
@@ -27,8 +28,9 @@
 
 def bare(module: str, allowed: str) -> list[str]:
     """The program's own modules that `module` brings in where nothing but `allowed` is installed."""
-    out = subprocess.run([sys.executable, "-c", BARE, module, allowed], capture_output=True, text=True, cwd=ROOT,
-                         check=False)
+    out = subprocess.run(
+        [sys.executable, "-c", BARE, module, allowed], capture_output=True, text=True, cwd=ROOT, check=False
+    )
     assert out.returncode == 0, out.stderr
     return out.stdout.split()
 
@@ -44,8 +46,9 @@
     files = [*listed["node"], *listed["policy"]]
     for module in loaded:
         path = module.replace(".", "/")
-        assert any(path == f or path + ".py" == f or path + "/__init__.py" == f or path.startswith(f + "/")
-                   for f in files), f"{module} runs and is not listed"
+        assert any(
+            path == f or path + ".py" == f or path + "/__init__.py" == f or path.startswith(f + "/") for f in files
+        ), f"{module} runs and is not listed"
     assert bare("fawnspool.adapter.host", "") != []
 
 
@@ -79,10 +82,14 @@
 for name in python pip; do printf '#!/bin/sh\\nexit 0\\n' > .venv/bin/$name; chmod +x .venv/bin/$name; done
 """)
     stub.chmod(stub.stat().st_mode | stat.S_IXUSR)
-    (tmp_path / ".venv/bin").mkdir(parents=True)        # what is left of a build that was ended in the middle
+    (tmp_path / ".venv/bin").mkdir(parents=True)  # what is left of a build that was ended in the middle
     for _ in range(2):
-        subprocess.run(["/bin/sh", "-c", deploy()["build"]], cwd=tmp_path, check=True,
-                       env={"PATH": f"{tools}:{os.environ['PATH']}"})
+        subprocess.run(
+            ["/bin/sh", "-c", deploy()["build"]],
+            cwd=tmp_path,
+            check=True,
+            env={"PATH": f"{tools}:{os.environ['PATH']}"},
+        )
     assert notes.read_text().splitlines() == ["-m venv --clear .venv"]
 
 
@@ -93,5 +100,5 @@
     data = Path(sys.executable).resolve().read_bytes()
     assert data[:5] == b"\x7fELF\x02"
     at, size, count = (int.from_bytes(data[a:b], "little") for a, b in ((32, 40), (54, 56), (56, 58)))
-    kinds = [int.from_bytes(data[at + k * size:at + k * size + 4], "little") for k in range(count)]
-    assert 3 in kinds       # PT_INTERP
+    kinds = [int.from_bytes(data[at + k * size : at + k * size + 4], "little") for k in range(count)]
+    assert 3 in kinds  # PT_INTERP
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,5 @@
 """Duties: votes, claims, calls, relief, what is kept on disk; in simulated time with faults between many heads."""
+
 from __future__ import annotations
 
 import errno
@@ -33,14 +34,14 @@
     seat, verdict = vote.ask(Seat(), 10.0, 4, 7, 0, 2.0)
     assert verdict is Verdict.GRANTED and seat == Seat(4, 7, 12.0)
     assert vote.ask(seat, 11.9, 5, 8, 0, 2.0) == (seat, Verdict.REFUSED)
-    assert vote.ask(seat, 12.0, 4, 8, 0, 2.0) == (seat, Verdict.REFUSED)        # that token is another's
-    assert vote.ask(seat, 12.0, 5, 8, 5, 2.0) == (seat, Verdict.REFUSED)        # it may have been promised
+    assert vote.ask(seat, 12.0, 4, 8, 0, 2.0) == (seat, Verdict.REFUSED)  # that token is another's
+    assert vote.ask(seat, 12.0, 5, 8, 5, 2.0) == (seat, Verdict.REFUSED)  # it may have been promised
     assert vote.ask(seat, 12.0, 5, 8, 0, 2.0)[0] == Seat(5, 8, 14.0)
-    assert vote.ask(seat, 11.0, 4, 7, 0, 2.0)[0].until == 13.0                  # renewed
-    assert vote.ask(seat, 11.0, 6, 7, 0, 2.0)[0] == Seat(6, 7, 13.0)            # the same life, under a higher token
+    assert vote.ask(seat, 11.0, 4, 7, 0, 2.0)[0].until == 13.0  # renewed
+    assert vote.ask(seat, 11.0, 6, 7, 0, 2.0)[0] == Seat(6, 7, 13.0)  # the same life, under a higher token
     free = vote.free(seat, 4, 7)
     assert free.freed and vote.free(seat, 3, 7) is seat and vote.free(seat, 4, 8) is seat
-    assert vote.ask(free, 11.0, 4, 7, 0, 2.0)[1] is Verdict.REFUSED             # a late asking revives nothing
+    assert vote.ask(free, 11.0, 4, 7, 0, 2.0)[1] is Verdict.REFUSED  # a late asking revives nothing
     assert vote.reborn(free, 50.0, 2.0) == Seat(4, 7, 52.0) and vote.reborn(Seat(), 50.0, 2.0) == Seat()
 
 
@@ -57,7 +58,7 @@
         message = unpack(body)
     except Unread:
         return
-    assert pack(message) == body        # else it is one, to the last byte
+    assert pack(message) == body  # else it is one, to the last byte
 
 
 ROW = st.tuples(st.integers(0, 65535), st.integers(0, 2**64 - 1), st.integers(0, 255), st.integers(0, 65535))
@@ -84,7 +85,7 @@
     v = voter()
     keep, said = v.hear(100.0, 3, asks(2, 5))
     assert keep == Keep(((2, 5, 7),)) and isinstance(said, Say) and said.message.rows[0].verdict == Verdict.GRANTED
-    assert said.message.who == 7                    # no other life of that head may take it for its own
+    assert said.message.who == 7  # no other life of that head may take it for its own
     v.kept(keep)
     (again,) = v.hear(100.5, 3, asks(2, 5))
     assert isinstance(again, Say)
@@ -97,10 +98,10 @@
     to another under a token that had counted (18 walks of 200)."""
     v = voter()
     keep, _ = v.hear(100.0, 3, asks(2, 5))
-    for t in (100.2, 100.4):                        # nobody said that it was kept
+    for t in (100.2, 100.4):  # nobody said that it was kept
         first, said = v.hear(t, 3, asks(2, 5))
         assert first == keep and isinstance(said, Say)
-    v.kept(Keep(((2, 4, 7),)))                      # an older one was
+    v.kept(Keep(((2, 4, 7),)))  # an older one was
     assert len(v.hear(100.5, 3, asks(2, 5))) == 2
     v.kept(keep)
     assert len(v.hear(100.6, 3, asks(2, 5))) == 1
@@ -130,7 +131,7 @@
     asked = [o.message for o in h.hear(100.0, 0, call) if isinstance(o, Say)]
     for v in (0, 1):
         told(100.01, v, asked[0].serial, 1)
-    told(100.02, 2, asked[0].serial, 5, Verdict.REFUSED)        # this voter has promised a higher one to nobody now
+    told(100.02, 2, asked[0].serial, 5, Verdict.REFUSED)  # this voter has promised a higher one to nobody now
     now, higher = 100.0, None
     while higher is None:
         now += T.renew
@@ -160,9 +161,9 @@
     def known(sender: int, has: int, token: int, serial: int, who: int) -> list[Any]:
         return v.hear(102.1, sender, Message(Kind.KNOWN, T.mark, who, serial, has, 0, (Row(0, token),)))
 
-    assert known(1, 1, 9, floor[0].serial + 1, 99) == []                # to another asking
-    assert known(1, 1, 9, floor[0].serial, 98) == []                    # to another life of it
-    assert known(1, 1, 9, floor[0].serial, 99) == [] and not v.voting   # one is not enough
+    assert known(1, 1, 9, floor[0].serial + 1, 99) == []  # to another asking
+    assert known(1, 1, 9, floor[0].serial, 98) == []  # to another life of it
+    assert known(1, 1, 9, floor[0].serial, 99) == [] and not v.voting  # one is not enough
     assert known(2, 1, 4, floor[0].serial, 99) == [Keep((), 9)] and v.voting
     assert [o.message.rows[0].verdict for o in v.hear(102.2, 3, asks(2, 9)) if isinstance(o, Say)] == [Verdict.REFUSED]
     assert [o.message.rows[0].verdict for o in v.hear(102.2, 3, asks(2, 10)) if isinstance(o, Say)] == [Verdict.GRANTED]
@@ -206,7 +207,7 @@
     for v in (0, 1):
         assert h.hear(10.1, v, Message(Kind.TOLD, T.mark, 4, serial, 4, 0, granted)) == []
         assert h.hear(10.1, v, Message(Kind.TOLD, T.mark, 5, serial + 9, 4, 0, granted)) == []
-        assert h.hear(10.1, 3 + v, Message(Kind.TOLD, T.mark, 5, serial, 4, 0, granted)) == []     # no voter
+        assert h.hear(10.1, 3 + v, Message(Kind.TOLD, T.mark, 5, serial, 4, 0, granted)) == []  # no voter
     assert h.events == [] and h.count() == 0
 
 
@@ -257,7 +258,7 @@
         assert rate * 20 - 1 <= done <= rate * 21 + 1
     assert Pace(10.0, 1.0, 5).wait(0.0, 1, 5) > 0
     large = Pace(10.0, 100.0, 5)
-    assert large.wait(0.0, 1000, 0) == 0.0 and large.wait(0.1, 1, 0) > 8.0      # one move may be larger than a burst
+    assert large.wait(0.0, 1000, 0) == 0.0 and large.wait(0.1, 1, 0) > 8.0  # one move may be larger than a burst
 
 
 def test_what_fails_is_tried_later_each_time_and_the_table_is_bounded() -> None:
@@ -302,7 +303,7 @@
     spoilt = bytearray((tmp_path / "votes.rec").read_bytes())
     spoilt[60] ^= 1
     (tmp_path / "votes.rec").write_bytes(bytes(spoilt))
-    assert VoteFile(tmp_path, T, True).memory is None       # it learns anew rather than vote from half a memory
+    assert VoteFile(tmp_path, T, True).memory is None  # it learns anew rather than vote from half a memory
 
 
 def test_votes_of_other_settings_count_as_a_floor(tmp_path: Path) -> None:
@@ -334,19 +335,28 @@
 def test_numbers_seen_are_told_apart_by_life_and_window() -> None:
     seen = Seen()
     assert [seen.first(5, n, 0.0) for n in (1, 2, 2, 4, 3, 3, 2000, 900, 2000)] == [
-        True, True, False, True, True, False, True, False, False]
+        True,
+        True,
+        False,
+        True,
+        True,
+        False,
+        True,
+        False,
+        False,
+    ]
     assert seen.first(6, 1, 0.0) and not seen.first(5, 3000, 0.0)
 
 
 def test_a_head_whose_clock_was_set_back_is_heard_again_and_nothing_counts_twice() -> None:
     seen = Seen()
     assert seen.first(100, 1, 0.0) and seen.first(100, 2, 1.0)
-    assert not seen.first(40, 1, 1.0 + QUIET / 2)           # an earlier life's, late
+    assert not seen.first(40, 1, 1.0 + QUIET / 2)  # an earlier life's, late
     assert seen.first(40, 1, 1.0 + QUIET) and not seen.first(40, 1, 1.1 + QUIET)
-    assert not seen.first(100, 3, 1.2 + QUIET)              # of the life before, late
+    assert not seen.first(100, 3, 1.2 + QUIET)  # of the life before, late
     assert seen.first(40, 2, 1.3 + QUIET)
-    assert seen.first(41, 1, 1.3 + QUIET)                   # restarted once more: at once
-    assert not seen.first(100, 2, 9.0 + 2 * QUIET)          # heard before
+    assert seen.first(41, 1, 1.3 + QUIET)  # restarted once more: at once
+    assert not seen.first(100, 2, 9.0 + 2 * QUIET)  # heard before
     for life in range(200, 210):
         assert seen.first(life, 1, 30.0)
     assert len(seen.lives) <= 4
@@ -407,7 +417,7 @@
 def test_64_duties_whose_holder_vanishes_are_taken_by_others_within_a_lease_and_a_half() -> None:
     d = Duties(terms(5, 3, 64), 4, Net())
     for k in (1, 2, 3):
-        d.hosts[k].holder.takes = False         # all of them go to two heads, 0 and 4
+        d.hosts[k].holder.takes = False  # all of them go to two heads, 0 and 4
     d.run(10)
     assert set(d.held().values()) == {0, 4}
     for k in (1, 2, 3):
@@ -418,7 +428,7 @@
     d.run(6)
     gaps = sorted(g for duty, why, g in d.gaps if duty in mine and why == "killed")
     assert len(gaps) == len(mine) > 20 and gaps[-1] <= 1.5 * 2.0
-    d.run(20)                                   # head 0 is relieved, one duty at a time
+    d.run(20)  # head 0 is relieved, one duty at a time
     assert len(d.held()) == 64 and max(Counter(d.held().values()).values()) <= 17 and not d.wrong
 
 
@@ -442,7 +452,7 @@
 
 def test_a_clock_beyond_the_bound_breaks_leases_and_not_the_rise_of_tokens() -> None:
     """What the leases give rests on the bound; that tokens rise, and so the fence, does not."""
-    rates = [4.0, 4.0, 4.0, 0.3, 0.3]           # voters whose leases are over long before the holders know
+    rates = [4.0, 4.0, 4.0, 0.3, 0.3]  # voters whose leases are over long before the holders know
     d = Duties(terms(5, 3, 4), 6, Net(), rates)
     r = Random(6)
     for _ in range(60):
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -1,5 +1,6 @@
 """The exhaustive walk over three voters and two candidates, within bounds that a test run bears, and the mistakes it
 must find. `python -m tests.duties_model` walks further."""
+
 from __future__ import annotations
 
 import pytest
--- a/tests/test_extents.py
+++ b/tests/test_extents.py
@@ -1,4 +1,5 @@
 """The extent map: whatever comes late, twice, out of order or from a restored service, all heads end with one map."""
+
 from __future__ import annotations
 
 from random import Random
@@ -11,13 +12,21 @@
 from fawnspool.extents.map import ExtentMap, shard_of
 
 
-def fact(extent: str, cell: int, generation: int = 0, version: int = 1, epoch: int = 1, volume: str = "v",
-         state: State = State.HELD) -> Fact:
+def fact(
+    extent: str,
+    cell: int,
+    generation: int = 0,
+    version: int = 1,
+    epoch: int = 1,
+    volume: str = "v",
+    state: State = State.HELD,
+) -> Fact:
     return Fact(volume, extent, cell, Stamp(generation, epoch, version), state)
 
 
-def delta(after: int, upto: int, *facts: Fact, epoch: int = 1, whole: bool = False,
-          covers: tuple[tuple[int, int], ...] = ()) -> Delta:
+def delta(
+    after: int, upto: int, *facts: Fact, epoch: int = 1, whole: bool = False, covers: tuple[tuple[int, int], ...] = ()
+) -> Delta:
     return Delta(0, epoch, after, upto, facts, whole, covers)
 
 
@@ -46,8 +55,14 @@
         self.said.append(delta(self.version - 1, self.version, made, epoch=self.epoch))
 
     def snapshot(self) -> Delta:
-        made = delta(0, self.version, *self.table.values(), epoch=self.epoch, whole=True,
-                     covers=tuple(sorted(self.covers.items())))
+        made = delta(
+            0,
+            self.version,
+            *self.table.values(),
+            epoch=self.epoch,
+            whole=True,
+            covers=tuple(sorted(self.covers.items())),
+        )
         self.said.append(made)
         return made
 
@@ -116,7 +131,7 @@
 def test_the_order_of_facts_is_generation_then_epoch_then_version() -> None:
     rows = [fact("x", 1, 0, 9, 9), fact("x", 2, 1, 1, 1), fact("x", 3, 1, 5, 1), fact("x", 4, 1, 2, 2)]
     for k, low in enumerate(rows):
-        for high in rows[k + 1:]:
+        for high in rows[k + 1 :]:
             assert later(low, high) is high and later(high, low) is high
     assert later(None, rows[0]) is rows[0]
     a, b = fact("x", 1), fact("x", 2)
@@ -136,8 +151,8 @@
     m = ExtentMap.empty(1).apply(delta(0, 1, fact("a", 1))).apply(delta(1, 2, fact("new", 3, 0, 2)))
     restored = delta(0, 0, epoch=2, whole=True, covers=((1, 1),))
     m = m.apply(restored)
-    assert m.find("v", "a") is None         # known to the backup, and gone since
-    assert m.find("v", "new") is not None   # made after the backup: the service lost it, not the data
+    assert m.find("v", "a") is None  # known to the backup, and gone since
+    assert m.find("v", "new") is not None  # made after the backup: the service lost it, not the data
 
 
 def test_a_deleted_extent_is_not_brought_back_by_a_late_delta() -> None:
@@ -171,11 +186,17 @@
     assert told.hint(fact("x", 4, 2)) is told
 
 
-@pytest.mark.parametrize(("bad", "why"), [
-    (Delta(3, 1, 0, 1, ()), "there are 1 shards"), (delta(2, 1), "do not fall"),
-    (delta(1, 2, whole=True), "begins at 0"),
-    (delta(0, 1, fact("x", 1, 0, 5)), "later fact"), (delta(0, 1, fact("x", -1)), "lies nowhere"),
-    (delta(0, 1, covers=((1, 1),)), "covers")])
+@pytest.mark.parametrize(
+    ("bad", "why"),
+    [
+        (Delta(3, 1, 0, 1, ()), "there are 1 shards"),
+        (delta(2, 1), "do not fall"),
+        (delta(1, 2, whole=True), "begins at 0"),
+        (delta(0, 1, fact("x", 1, 0, 5)), "later fact"),
+        (delta(0, 1, fact("x", -1)), "lies nowhere"),
+        (delta(0, 1, covers=((1, 1),)), "covers"),
+    ],
+)
 def test_a_delta_that_contradicts_itself_is_not_applied(bad: Delta, why: str) -> None:
     with pytest.raises(DeltaError, match=why):
         ExtentMap.empty(1).apply(bad)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,5 @@
 """The map service's past: who gets changes and who a snapshot, and what a head makes of either."""
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -20,7 +21,8 @@
 
 def held(c: Catalogue) -> dict[str, int]:
     return {f.extent: f.cell for k in range(c.shards) for d in c.since(k, (0, 0)) if d.whole for f in d.facts} or {
-        key: c.find("v", key)[0] for key, _ in c.list("v", "", "", 1000)[0]}  # type: ignore[index]
+        key: c.find("v", key)[0] for key, _ in c.list("v", "", "", 1000)[0]
+    }  # type: ignore[index]
 
 
 def catch_up(m: ExtentMap, c: Catalogue) -> tuple[ExtentMap, int]:
@@ -43,7 +45,7 @@
     m, count = catch_up(m, c)
     assert count == 2 and content(m)["x7"] == 9 and "x8" not in content(m)
     assert catch_up(m, c)[1] == 0
-    for n in range(60):             # more changes than there are extents: a snapshot is less
+    for n in range(60):  # more changes than there are extents: a snapshot is less
         c.put("v", "x1", n, n)
     m, count = catch_up(m, c)
     assert count == 49 and content(m) == held(c)
@@ -60,7 +62,7 @@
     assert c.past[0].logged <= LOG_LEAST and c.past[0].cut > (0, 0)
     assert c.since(0, behind.shards[0].told)[0].whole
     m, _ = catch_up(behind, c)
-    assert content(m) == {"x": LOG_LEAST + 49}          # the tombstone is gone from the log, and `kept` from the map
+    assert content(m) == {"x": LOG_LEAST + 49}  # the tombstone is gone from the log, and `kept` from the map
     c.close()
 
 
@@ -69,7 +71,7 @@
     c.put("v", "a", 1, 1)
     c.flip("v", "a", 2, 5)
     c.drop("v", "a")
-    old, _ = catch_up(ExtentMap.empty(1), c)            # holds the tombstone, at generation 5
+    old, _ = catch_up(ExtentMap.empty(1), c)  # holds the tombstone, at generation 5
     for n in range(LOG_LEAST + 50):
         c.put("v", "x", n, n)
     c.put("v", "a", 3, 1)
@@ -87,7 +89,7 @@
     for _ in range(3):
         holds = c.flip("v", "a", 2, 1)
         assert holds is not None and (holds.cell, holds.stamp.generation, holds.size) == (2, 1, 7)
-    assert c.past[0].version == 2                       # told three times, noted once
+    assert c.past[0].version == 2  # told three times, noted once
     assert (c.flip("v", "a", 4, 3) or holds).cell == 4
     assert (c.flip("v", "a", 3, 2) or holds).cell == 4  # the second of two moves told first
     assert c.flip("v", "none", 1, 1) is None
@@ -98,11 +100,11 @@
     c = Catalogue(shards=1)
     c.put("v", "a", 1, 7)
     c.flip("v", "a", 2, 1)
-    fact, taken = c.note("v", "a", 1, 9, generation=0)      # acknowledged by the old node before its fence
+    fact, taken = c.note("v", "a", 1, 9, generation=0)  # acknowledged by the old node before its fence
     assert taken and (fact.cell, fact.size, fact.stamp.generation) == (2, 9, 1)
     fact, _ = c.note("v", "a", 2, 11, generation=1)
     assert (fact.cell, fact.size) == (2, 11)
-    fact, _ = c.note("v", "a", 0, 12, generation=2)     # sent on by the old node, before its flip is told
+    fact, _ = c.note("v", "a", 0, 12, generation=2)  # sent on by the old node, before its flip is told
     assert (fact.cell, fact.stamp.generation) == (0, 2) and c.flip("v", "a", 0, 2) == fact
     c.close()
 
@@ -126,7 +128,7 @@
     r.put("v", "x1", 3, 1)
     late, _ = catch_up(late, r)
     early, few = catch_up(early, r)
-    assert few == 2                                     # the backup knew all that this head had been told
+    assert few == 2  # the backup knew all that this head had been told
     assert content(early) == {"x0": 0, "x1": 3}
     # x0 has moved, as its data say; `later` may be somewhere, and a scrub will ask; x2 is gone by the new life's word
     assert content(late) == {"x0": 7, "x1": 3, "later": 5}
@@ -136,15 +138,24 @@
 def test_each_life_has_a_number_above_those_before_also_where_the_clock_stands_back() -> None:
     past = Past().begin(500).change().begin(400)
     assert [e for e, _ in past.lives] == [500, 501]
-    assert past.begin(600).lives == ((500, 1), (600, 0))        # a life without a change of the shard said nothing
+    assert past.begin(600).lives == ((500, 1), (600, 0))  # a life without a change of the shard said nothing
     for n in range(40):
         past = past.change().begin(1000 + n)
     assert len(past.lives) <= 16 and not past.reaches((500, 1)) and past.reaches((0, 0))
 
 
-@pytest.mark.parametrize(("told", "behind", "way"), [
-    ((0, 0), 3, Way.CHANGES), ((7, 2), 3, Way.CHANGES), ((7, 5), 0, Way.CHANGES), ((7, 6), 0, Way.SNAPSHOT),
-    ((6, 1), 0, Way.SNAPSHOT), ((7, 2), 11, Way.SNAPSHOT), ((9, 0), 0, Way.CHANGES)])
+@pytest.mark.parametrize(
+    ("told", "behind", "way"),
+    [
+        ((0, 0), 3, Way.CHANGES),
+        ((7, 2), 3, Way.CHANGES),
+        ((7, 5), 0, Way.CHANGES),
+        ((7, 6), 0, Way.SNAPSHOT),
+        ((6, 1), 0, Way.SNAPSHOT),
+        ((7, 2), 11, Way.SNAPSHOT),
+        ((9, 0), 0, Way.CHANGES),
+    ],
+)
 def test_way(told: tuple[int, int], behind: int, way: Way) -> None:
     assert Past(((7, 5), (8, 3)), (0, 0), 0, 8, 10).way(told, behind) is way
 
@@ -152,7 +163,11 @@
 def test_changes_are_not_enough_for_who_stands_before_the_logs_cut() -> None:
     past = Past(((7, 5), (8, 3)), (7, 4), 0, 4, 10)
     assert [past.way(told, 4) for told in ((0, 0), (7, 3), (7, 4), (8, 0))] == [
-        Way.SNAPSHOT, Way.SNAPSHOT, Way.CHANGES, Way.CHANGES]
+        Way.SNAPSHOT,
+        Way.SNAPSHOT,
+        Way.CHANGES,
+        Way.CHANGES,
+    ]
 
 
 @settings(max_examples=60, deadline=None)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,5 @@
 """The checker itself: a clean story is kept, and each doctored one is caught by its own rule and no other."""
+
 from __future__ import annotations
 
 from typing import Any
@@ -8,14 +9,35 @@
 from fawnspool.rules.judge import MOST, Terms, judge
 from fawnspool.rules.story import read
 
-TERMS = Terms(drain_grace=0.25, fall=2.0, fall_multiple=2.0, fall_slack=8.0, limits={"v": (10.0, 16.0, 8.0)},
-              ordered=frozenset((1,)), settle=0.3, extra_free=2, extra_ratio=0.1, extra_span=10.0)
+TERMS = Terms(
+    drain_grace=0.25,
+    fall=2.0,
+    fall_multiple=2.0,
+    fall_slack=8.0,
+    limits={"v": (10.0, 16.0, 8.0)},
+    ordered=frozenset((1,)),
+    settle=0.3,
+    extra_free=2,
+    extra_ratio=0.1,
+    extra_span=10.0,
+)
 Rows = list[dict[str, Any]]
 
 
 def ask(t: float, op: str, **more: Any) -> dict[str, Any]:
-    return {"k": "ask", "t": t, "op": op, "n": 0, "head": 0, "vol": "u", "cls": 0, "units": 1, "pat": 1.0, "e": "safe",
-            "w": False} | more
+    return {
+        "k": "ask",
+        "t": t,
+        "op": op,
+        "n": 0,
+        "head": 0,
+        "vol": "u",
+        "cls": 0,
+        "units": 1,
+        "pat": 1.0,
+        "e": "safe",
+        "w": False,
+    } | more
 
 
 def got(t: float, op: str, how: str = "served", **more: Any) -> dict[str, Any]:
@@ -23,31 +45,75 @@
 
 
 def came(t: float, op: str, ident: int, **more: Any) -> dict[str, Any]:
-    return {"k": "in", "t": t, "node": 1, "head": 0, "id": ident, "n": 0, "cls": 0, "units": 1.0, "op": op, "vol": "u",
-            "x": 0, "e": "safe", "w": False, "m": "GET"} | more
+    return {
+        "k": "in",
+        "t": t,
+        "node": 1,
+        "head": 0,
+        "id": ident,
+        "n": 0,
+        "cls": 0,
+        "units": 1.0,
+        "op": op,
+        "vol": "u",
+        "x": 0,
+        "e": "safe",
+        "w": False,
+        "m": "GET",
+    } | more
 
 
 def out(t: float, op: str, ident: int, **more: Any) -> dict[str, Any]:
-    return {"k": "out", "t": t, "node": 1, "head": 0, "id": ident, "n": 0, "op": op, "s": 200, "lost": "",
-            "how": ""} | more
+    return {
+        "k": "out",
+        "t": t,
+        "node": 1,
+        "head": 0,
+        "id": ident,
+        "n": 0,
+        "op": op,
+        "s": 200,
+        "lost": "",
+        "how": "",
+    } | more
 
 
 def did(t: float, op: str, ident: int, **more: Any) -> dict[str, Any]:
-    return {"k": "did", "t": t, "node": 1, "head": 0, "id": ident, "n": 0, "op": op, "e": "safe",
-            "dropped": False} | more
+    return {
+        "k": "did",
+        "t": t,
+        "node": 1,
+        "head": 0,
+        "id": ident,
+        "n": 0,
+        "op": op,
+        "e": "safe",
+        "dropped": False,
+    } | more
 
 
 def one(t: float, op: str, ident: int, **more: Any) -> Rows:
     """A whole request that went well."""
-    return [ask(t, op, **{k: v for k, v in more.items() if k in ("cls", "vol", "units", "e", "pat")}),
-            came(t + 0.01, op, ident, **more), out(t + 0.05, op, ident), got(t + 0.06, op)]
+    return [
+        ask(t, op, **{k: v for k, v in more.items() if k in ("cls", "vol", "units", "e", "pat")}),
+        came(t + 0.01, op, ident, **more),
+        out(t + 0.05, op, ident),
+        got(t + 0.06, op),
+    ]
 
 
 UP = {"k": "head", "t": 0.0, "head": 0, "what": "up"}
-CLEAN: Rows = [UP, {"k": "up", "t": 0.0, "node": 1, "cold": False, "power": 100.0, "cold_from": 0.3, "warm_after": 8.0},
-               *one(1.0, "a", 1), *one(2.0, "b", 2, e="unsafe"), did(2.02, "b", 2, e="unsafe"),
-               *one(3.0, "c", 3, cls=1, x=7), *one(3.2, "d", 4, cls=1, x=7), *one(4.0, "e", 5, vol="v", units=8.0),
-               {"k": "told", "t": 5.0, "head": 0, "node": 1, "phase": "draining", "age": -1.0}]
+CLEAN: Rows = [
+    UP,
+    {"k": "up", "t": 0.0, "node": 1, "cold": False, "power": 100.0, "cold_from": 0.3, "warm_after": 8.0},
+    *one(1.0, "a", 1),
+    *one(2.0, "b", 2, e="unsafe"),
+    did(2.02, "b", 2, e="unsafe"),
+    *one(3.0, "c", 3, cls=1, x=7),
+    *one(3.2, "d", 4, cls=1, x=7),
+    *one(4.0, "e", 5, vol="v", units=8.0),
+    {"k": "told", "t": 5.0, "head": 0, "node": 1, "phase": "draining", "age": -1.0},
+]
 
 
 def broken(rows: Rows) -> set[str]:
@@ -62,29 +128,69 @@
     assert looked["limits kept"] == 1 and looked["drains kept"] == 5
 
 
-@pytest.mark.parametrize(("rule", "rows"), [
-    ("answered once", [ask(6, "x")]),
-    ("answered once", [ask(6, "x"), got(6.5, "x", "closed")]),
-    ("answered once", [ask(6, "x"), got(7.1, "x")]),
-    ("answered once", [ask(6, "x"), got(7.1, "x", "none")]),
-    ("answered once", [ask(6, "x"), got(6.1, "x"), got(6.2, "x")]),
-    ("answered once", [ask(6, "x"), got(6.1, "x"), {"k": "extra", "t": 6.2, "op": "x", "n": 0, "head": 0}]),
-    ("answered once", [ask(4.1, "x"), got(4.2, "x", "refused"), came(4.3, "x", 9)]),
-    ("no effect twice", [did(6, "b", 9, e="unsafe")]),
-    ("no effect twice", [did(6, "k", 9, e="keyed"), did(6.1, "k", 9, e="keyed", n=1)]),
-    ("no effect twice", [came(4.1, "u", 9, e="unsafe", node=1), came(4.5, "u", 9, e="unsafe", node=2, n=1)]),
-    ("no effect twice", [ask(4.1, "u", e="unsafe"), came(4.2, "u", 9, e="unsafe"), out(4.3, "u", 9, s=0, lost="lose"),
-                         got(4.9, "u", "refused")]),
-    ("drains kept", [ask(5.4, "x"), came(5.5, "x", 9), out(5.6, "x", 9), got(5.7, "x")]),
-    ("order kept", [*one(4.1, "x", 9, cls=1, x=8), *one(4.12, "y", 10, cls=1, x=8)]),
-    ("order kept", [ask(4.1, "x", cls=1), came(4.11, "x", 9, cls=1, x=8), out(4.2, "x", 9, s=0, lost="lose"),
-                    got(4.3, "x", "failed"), *one(4.3, "y", 10, cls=1, x=8)]),
-    ("order kept", [ask(4.1, "x", cls=1), ask(4.2, "y", cls=1), came(4.3, "y", 10, cls=1, x=8), out(4.35, "y", 10),
-                    got(4.36, "y"), came(4.4, "x", 9, cls=1, x=8), out(4.45, "x", 9), got(4.46, "x")]),
-    ("order kept", [ask(4.1, "x", cls=1), ask(4.3, "y", cls=1), came(4.4, "y", 9, cls=1, x=8), out(4.45, "y", 9),
-                    got(4.46, "y"), came(4.5, "x", 10, cls=1, x=8), out(4.55, "x", 10), got(4.56, "x")]),
-    ("limits kept", [r for k in range(4) for r in one(4.1 + k / 50, f"l{k}", 20 + k, vol="v", units=8.0)]),
-])
+@pytest.mark.parametrize(
+    ("rule", "rows"),
+    [
+        ("answered once", [ask(6, "x")]),
+        ("answered once", [ask(6, "x"), got(6.5, "x", "closed")]),
+        ("answered once", [ask(6, "x"), got(7.1, "x")]),
+        ("answered once", [ask(6, "x"), got(7.1, "x", "none")]),
+        ("answered once", [ask(6, "x"), got(6.1, "x"), got(6.2, "x")]),
+        ("answered once", [ask(6, "x"), got(6.1, "x"), {"k": "extra", "t": 6.2, "op": "x", "n": 0, "head": 0}]),
+        ("answered once", [ask(4.1, "x"), got(4.2, "x", "refused"), came(4.3, "x", 9)]),
+        ("no effect twice", [did(6, "b", 9, e="unsafe")]),
+        ("no effect twice", [did(6, "k", 9, e="keyed"), did(6.1, "k", 9, e="keyed", n=1)]),
+        ("no effect twice", [came(4.1, "u", 9, e="unsafe", node=1), came(4.5, "u", 9, e="unsafe", node=2, n=1)]),
+        (
+            "no effect twice",
+            [
+                ask(4.1, "u", e="unsafe"),
+                came(4.2, "u", 9, e="unsafe"),
+                out(4.3, "u", 9, s=0, lost="lose"),
+                got(4.9, "u", "refused"),
+            ],
+        ),
+        ("drains kept", [ask(5.4, "x"), came(5.5, "x", 9), out(5.6, "x", 9), got(5.7, "x")]),
+        ("order kept", [*one(4.1, "x", 9, cls=1, x=8), *one(4.12, "y", 10, cls=1, x=8)]),
+        (
+            "order kept",
+            [
+                ask(4.1, "x", cls=1),
+                came(4.11, "x", 9, cls=1, x=8),
+                out(4.2, "x", 9, s=0, lost="lose"),
+                got(4.3, "x", "failed"),
+                *one(4.3, "y", 10, cls=1, x=8),
+            ],
+        ),
+        (
+            "order kept",
+            [
+                ask(4.1, "x", cls=1),
+                ask(4.2, "y", cls=1),
+                came(4.3, "y", 10, cls=1, x=8),
+                out(4.35, "y", 10),
+                got(4.36, "y"),
+                came(4.4, "x", 9, cls=1, x=8),
+                out(4.45, "x", 9),
+                got(4.46, "x"),
+            ],
+        ),
+        (
+            "order kept",
+            [
+                ask(4.1, "x", cls=1),
+                ask(4.3, "y", cls=1),
+                came(4.4, "y", 9, cls=1, x=8),
+                out(4.45, "y", 9),
+                got(4.46, "y"),
+                came(4.5, "x", 10, cls=1, x=8),
+                out(4.55, "x", 10),
+                got(4.56, "x"),
+            ],
+        ),
+        ("limits kept", [r for k in range(4) for r in one(4.1 + k / 50, f"l{k}", 20 + k, vol="v", units=8.0)]),
+    ],
+)
 def test_a_doctored_story_is_caught(rule: str, rows: Rows) -> None:
     assert broken(rows) == {rule}
 
@@ -92,18 +198,24 @@
 def test_attempts_beyond_the_budget_are_caught() -> None:
     rows: Rows = []
     for k in range(4):
-        rows += [ask(4 + k / 10, f"x{k}"), came(4.01 + k / 10, f"x{k}", 30 + k),
-                 out(4.02 + k / 10, f"x{k}", 30 + k, s=500),
-                 came(4.03 + k / 10, f"x{k}", 30 + k, n=1), out(4.04 + k / 10, f"x{k}", 30 + k, n=1),
-                 got(4.05 + k / 10, f"x{k}")]
+        rows += [
+            ask(4 + k / 10, f"x{k}"),
+            came(4.01 + k / 10, f"x{k}", 30 + k),
+            out(4.02 + k / 10, f"x{k}", 30 + k, s=500),
+            came(4.03 + k / 10, f"x{k}", 30 + k, n=1),
+            out(4.04 + k / 10, f"x{k}", 30 + k, n=1),
+            got(4.05 + k / 10, f"x{k}"),
+        ]
     assert broken(rows) == {"attempts in budget"}
-    assert broken(rows[:12]) == set()      # two are free
+    assert broken(rows[:12]) == set()  # two are free
 
 
 def cold(load: float) -> Rows:
     """A node that starts cold at 10 and is sent `load` units by a head that was told of it."""
-    rows: Rows = [{"k": "up", "t": 10.0, "node": 2, "cold": True, "power": 100.0, "cold_from": 0.3, "warm_after": 8.0},
-                  {"k": "told", "t": 10.1, "head": 0, "node": 2, "phase": "ready", "age": 0.1}]
+    rows: Rows = [
+        {"k": "up", "t": 10.0, "node": 2, "cold": True, "power": 100.0, "cold_from": 0.3, "warm_after": 8.0},
+        {"k": "told", "t": 10.1, "head": 0, "node": 2, "phase": "ready", "age": 0.1},
+    ]
     for k in range(int(load)):
         rows += one(10.2 + k / 1000, f"c{k}", 100 + k, node=2)
     return rows
@@ -129,14 +241,25 @@
     assert broken([ask(6, "x"), got(7.3, "x", "none"), stalled]) == set()
     assert broken([ask(6, "x"), got(8.003, "x"), stalled]) == set()
     assert broken([ask(6, "x", pat=2.05), got(8.09, "x"), stalled]) == set()
-    assert broken([ask(6, "x", pat=2.05), got(8.2, "x"), stalled]) == {"answered once"}      # it had come back
+    assert broken([ask(6, "x", pat=2.05), got(8.2, "x"), stalled]) == {"answered once"}  # it had come back
 
 
 def test_refusals_and_repeats_that_are_allowed() -> None:
-    assert broken([ask(4.1, "u", e="unsafe"), came(4.2, "u", 9, e="unsafe"), out(4.3, "u", 9, s=503, how="full"),
-                   came(4.4, "u", 9, e="unsafe", n=1), out(4.5, "u", 9, n=1), got(4.6, "u")]) == set()
+    assert (
+        broken(
+            [
+                ask(4.1, "u", e="unsafe"),
+                came(4.2, "u", 9, e="unsafe"),
+                out(4.3, "u", 9, s=503, how="full"),
+                came(4.4, "u", 9, e="unsafe", n=1),
+                out(4.5, "u", 9, n=1),
+                got(4.6, "u"),
+            ]
+        )
+        == set()
+    )
     assert broken([did(6, "k", 9, e="keyed"), did(6.1, "k", 9, e="keyed", n=1, dropped=True)]) == set()
-    assert broken([ask(5.1, "x"), came(5.2, "x", 9), out(5.3, "x", 9), got(5.4, "x")]) == set()     # within the grace
+    assert broken([ask(5.1, "x"), came(5.2, "x", 9), out(5.3, "x", 9), got(5.4, "x")]) == set()  # within the grace
 
 
 def test_a_stalled_head_hears_of_a_drain_when_it_moves_again() -> None:
@@ -184,6 +307,7 @@
 
 def test_a_node_that_is_well_and_gets_nothing_is_seen() -> None:
     from fawnspool.rules.shared import judge_shared
+
     rows = [UP, *CLEAN[1:2], *({**ask(k * 0.1, f"a{k}")} for k in range(200))]
     rows += [came(k * 0.1 + 0.01, f"a{k}", k) for k in range(200) if not 60 < k < 140]
     assert judge_shared(read(rows), TERMS, 1).used.breaches
@@ -195,8 +319,9 @@
 
 def test_refusals_that_a_limit_had_room_for_are_counted_once_each() -> None:
     from fawnspool.rules.shared import judge_shared
+
     rows: Rows = [{**UP, "t": 0.0}]
     rows += [ask(1.0 + k * 0.01, f"a{k}", vol="v", units=4.0) for k in range(6)]
     rows += [got(1.001 + k * 0.01, f"a{k}", "refused") for k in range(6)]
     found = judge_shared(read(rows), TERMS, 1)
-    assert (found.asked, found.refused, found.within) == (6, 6, 2)      # 10 units since the start: two of four each
+    assert (found.asked, found.refused, found.within) == (6, 6, 2)  # 10 units since the start: two of four each
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,5 @@
 """Units of a limit that heads lend each other, walked on the module's own code; and who is asked for them."""
+
 from __future__ import annotations
 
 import pytest
@@ -22,10 +23,12 @@
 
 def fleet(count: int) -> list[Head]:
     """Heads that have their parts of the limit full: 8 units each of six."""
-    heads = [Head(make_settings(plans=(LIMITED,), classes=(make_class(aim=0.4),), heads=count, me=k, peers=True),
-                  seed=k) for k in range(count)]
+    heads = [
+        Head(make_settings(plans=(LIMITED,), classes=(make_class(aim=0.4),), heads=count, me=k, peers=True), seed=k)
+        for k in range(count)
+    ]
     for h in heads:
-        h.ask(1, units=1.0, heads=count)        # too young to have any: it waits
+        h.ask(1, units=1.0, heads=count)  # too young to have any: it waits
         h.run(h.now + 0.38)
         for ident in h.sent():
             h.answer(ident)
@@ -60,7 +63,7 @@
 
     before = had()
     lead.give(PeerMessage(1, lent[0]))
-    assert had() > before                       # in time it is of use
+    assert had() > before  # in time it is of use
     lead.run(lead.now + 0.5)
     lead.control.now = lead.now
     lead.control._fill(lead.control.volumes[1])
@@ -84,11 +87,11 @@
 
 def test_heads_that_are_known_to_take_part_are_asked_and_not_all() -> None:
     h = Head(make_settings(plans=(LIMITED,), heads=50, peers=True))
-    h.ask(1, units=4.0, heads=6)        # asks all once, as it knows nobody
+    h.ask(1, units=4.0, heads=6)  # asks all once, as it knows nobody
     h.give(Takers(1, (0, 7, 9)))
     assert h.control.volumes[1].lenders == {7, 9}
     h.told.clear()
     h.run(h.now + 0.2)
     assert {a.head for a in h.told} == {7, 9}
-    h.give(Takers(2, (3,)))             # of a volume that it does not serve
+    h.give(Takers(2, (3,)))  # of a volume that it does not serve
     assert 2 not in h.control.volumes
--- a/tests/test_model_compare.py
+++ b/tests/test_model_compare.py
@@ -1,4 +1,5 @@
 """Comparisons: intervals cover what they should, versions stand beside each other, equal ones are not told apart."""
+
 from __future__ import annotations
 
 import json
@@ -26,8 +27,11 @@
 
 def short(name: str = "burst", length: float = 3.0) -> Day:
     day = load_day(ROOT / f"days/{name}.hcl", Day, check)
-    return replace(day, day=replace(day.day, length=length),
-                   trouble=tuple(replace(x, at=0.5, length=min(x.length, 2.0)) for x in day.trouble))
+    return replace(
+        day,
+        day=replace(day.day, length=length),
+        trouble=tuple(replace(x, at=0.5, length=min(x.length, 2.0)) for x in day.trouble),
+    )
 
 
 def test_intervals_cover_the_true_mean_about_as_often_as_they_say() -> None:
@@ -38,7 +42,7 @@
         v = paired(sample, 0.95, k)
         covered += v.low <= 0.02 <= v.high
         told += v.p <= 0.05
-    assert 180 <= covered <= 200        # 190 of 200 wanted
+    assert 180 <= covered <= 200  # 190 of 200 wanted
     assert told > 60
     skewed = sum(v.low <= 1.0 <= v.high for v in (paired(rng.exponential(1.0, 12), 0.95, k) for k in range(200)))
     assert skewed >= 172
@@ -64,8 +68,13 @@
     assert change(day, "plan.basic.weight=3").plan[0].weight == 3.0
     assert change(day, "load.rate=50").load.rate == 50.0
     assert change(day, "class.journal.ordered=false").class_[-1].ordered is False
-    for text, said in (("load.speed=1", "known: rate"), ("plan.gold.weight=1", "one of: basic, priority"),
-                       ("load.rate=fast", "expected float"), ("load", "NAME.NAME=VALUE"), ("load=1", "is a block")):
+    for text, said in (
+        ("load.speed=1", "known: rate"),
+        ("plan.gold.weight=1", "one of: basic, priority"),
+        ("load.rate=fast", "expected float"),
+        ("load", "NAME.NAME=VALUE"),
+        ("load=1", "is a block"),
+    ):
         with pytest.raises(ChangeError, match=said):
             change(day, text)
 
@@ -92,8 +101,11 @@
     terms = Path(interface.__file__).read_text()
     assert line in terms
     terms = terms.replace(line, "")
-    control = (ROOT / "fawnspool/control.py").read_text().replace(
-        "spent = max(0.0, cls.deadline - req.patience) if req.repeat else 0.0", "spent = 0.0")
+    control = (
+        (ROOT / "fawnspool/control.py")
+        .read_text()
+        .replace("spent = max(0.0, cls.deadline - req.patience) if req.repeat else 0.0", "spent = 0.0")
+    )
     (tmp_path / "fawnspool/interface.py").write_text(terms)
     (tmp_path / "fawnspool/control.py").write_text(control)
     wheel = tmp_path / "old.whl"
@@ -112,6 +124,7 @@
 
 def fake(worse: float, noise: float) -> object:
     """A runner whose arm B is worse by so much, with the noise of a day in both and some of its own."""
+
     def run(jobs: object) -> list[RunFigures]:
         out = []
         for _, arm, seed, *_ in jobs:  # type: ignore[attr-defined]
@@ -119,45 +132,79 @@
             own = np.random.default_rng((seed, arm.name == "B")).normal(0.0, noise)
             out.append(RunFigures({MAIN: shared + own - worse * (arm.name == "B"), "plan x": shared}))
         return out
+
     return run
 
 
 def test_power_and_false_alarms_of_the_whole_procedure() -> None:
     day, a, b = short(), Arm("A"), Arm("B")
-    found = sum(MAIN in compare("d", day, a, b, 20, fake(0.03, 0.01), first_seed=1 + 1000 * k).told  # type: ignore[arg-type]
-                for k in range(20))
-    alarms = sum(MAIN in compare("d", day, a, b, 20, fake(0.0, 0.01), first_seed=1 + 1000 * k).told  # type: ignore[arg-type]
-                 for k in range(100))
+    found = sum(
+        MAIN in compare("d", day, a, b, 20, fake(0.03, 0.01), first_seed=1 + 1000 * k).told  # type: ignore[arg-type]
+        for k in range(20)
+    )
+    alarms = sum(
+        MAIN in compare("d", day, a, b, 20, fake(0.0, 0.01), first_seed=1 + 1000 * k).told  # type: ignore[arg-type]
+        for k in range(100)
+    )
     assert found >= 18 and alarms <= 5
 
 
 def test_two_equal_versions_are_not_told_apart_and_a_worse_one_is() -> None:
     day = short(length=2.0)
     same = compare("burst", day, Arm("A"), Arm("B"), 4, runner(1))
-    assert same.told == set() and same.intervals[MAIN].mean == 0.0 and "no difference that can be told" in words(
-        same, Arm("A"), Arm("B"))
+    assert (
+        same.told == set()
+        and same.intervals[MAIN].mean == 0.0
+        and "no difference that can be told" in words(same, Arm("A"), Arm("B"))
+    )
     assert same.why == "the interval is within 0.005 either way"
 
 
 def test_a_broken_rule_comes_first_with_the_run_that_shows_it(tmp_path: Path) -> None:
-    control = (ROOT / "fawnspool/control.py").read_text().replace(
-        "limited = not job.tries and job.plan.limit and self._volume(job).level < job.req.units", "limited = False")
+    control = (
+        (ROOT / "fawnspool/control.py")
+        .read_text()
+        .replace(
+            "limited = not job.tries and job.plan.limit and self._volume(job).level < job.req.units", "limited = False"
+        )
+    )
     (tmp_path / "control.py").write_text(control)
     day = short("plan-burst")
-    day = replace(day, load=replace(day.load, rate=200.0), class_=tuple(replace(c, aim=c.aim * 2) for c in day.class_),
-                  volumes=tuple(replace(v, count=2) for v in day.volumes))
+    day = replace(
+        day,
+        load=replace(day.load, rate=200.0),
+        class_=tuple(replace(c, aim=c.aim * 2) for c in day.class_),
+        volumes=tuple(replace(v, count=2) for v in day.volumes),
+    )
     worse = compare("plan-burst", day, Arm("A"), Arm("B", str(tmp_path / "control.py")), 2, runner(1))
     assert worse.broken and all(text.startswith("B, seed") and "limits kept" in text for text in worse.broken)
 
 
 def test_the_command_line_compares_and_keeps_its_results(tmp_path: Path) -> None:
     out = tmp_path / "r.json"
-    got = CliRunner().invoke(main, ["model", "compare", "--days", "lead-moves", "--runs", "2", "--folder",
-                                    str(ROOT / "days"), "--set-b", "fleet.unit_time=0.04", "--out", str(out), "--json"])
+    got = CliRunner().invoke(
+        main,
+        [
+            "model",
+            "compare",
+            "--days",
+            "lead-moves",
+            "--runs",
+            "2",
+            "--folder",
+            str(ROOT / "days"),
+            "--set-b",
+            "fleet.unit_time=0.04",
+            "--out",
+            str(out),
+            "--json",
+        ],
+    )
     assert got.exit_code == 0, got.output
     said = json.loads(got.output)[0]
     assert said["figures"][MAIN]["b"] < said["figures"][MAIN]["a"]
     assert json.loads(out.read_text())["days"][0]["day"] == "lead-moves"
-    got = CliRunner().invoke(main, ["model", "run", "lead-moves", "--days", str(ROOT / "days"), "--set",
-                                    "load.speed=1"])
+    got = CliRunner().invoke(
+        main, ["model", "run", "lead-moves", "--days", str(ROOT / "days"), "--set", "load.speed=1"]
+    )
     assert got.exit_code == 2 and "known: rate" in got.output
--- a/tests/test_model_fit.py
+++ b/tests/test_model_fit.py
@@ -1,4 +1,5 @@
 """The fit gets back what a world was made with, and refuses what it has not seen."""
+
 from __future__ import annotations
 
 from collections.abc import Mapping
@@ -18,8 +19,9 @@
 from fawnspool.model.world import World
 
 DAYS = Path(__file__).parent.parent / "days"
-TRUTH = Params(client_net=0.0006, node_net=0.0006, jitter=0.0002, head_cost=0.001, node_cost=0.002, unit_scale=1.25,
-               byte_cost=0.0)
+TRUTH = Params(
+    client_net=0.0006, node_net=0.0006, jitter=0.0002, head_cost=0.001, node_cost=0.002, unit_scale=1.25, byte_cost=0.0
+)
 
 
 def quiet(length: float = 8.0) -> Day:
@@ -99,15 +101,19 @@
     for name, seeds in (("lead-moves", range(1, 5)), ("crash", range(1, 5)), ("pauses", range(1, 7))):
         for seed in seeds:
             day = load(DAYS / f"{name}.hcl", Day, check)
-            day = replace(day, day=replace(day.day, length=14.0), load=replace(day.load, rate=30.0),
-                          trouble=tuple(replace(x, at=6.0) for x in day.trouble))
+            day = replace(
+                day,
+                day=replace(day.day, length=14.0),
+                load=replace(day.load, rate=30.0),
+                trouble=tuple(replace(x, at=6.0) for x in day.trouble),
+            )
             world = World(day, seed, Controller, truth)
             world.run()
             played.append((day, list(world.rows)))
     got = fit(played)
     assert got.parts["slow_times"].value == pytest.approx(2.6, rel=0.1)
     assert got.parts["cold_scale"].value == pytest.approx(0.6, abs=0.12)
-    pause = got.parts["pause_scale"]       # few reads meet a pause, so it is told with a wide error
+    pause = got.parts["pause_scale"]  # few reads meet a pause, so it is told with a wide error
     assert abs(pause.value - 1.4) < 2 * pause.error < 0.7 and pause.seen >= 8
     assert got.by_class["area-export"].value / got.by_class["tile-read"].value == pytest.approx(1.3, rel=0.12)
     assert got.by_class["journal"].value == pytest.approx(1.0, abs=0.06)
@@ -120,13 +126,17 @@
     calm = [Sample(n, "a", 0.02, 0.001 + 0.02 * (2.5 if n == 3 else 1.0)) for n in range(4) for _ in range(5)]
     of = kinds(calm, 0.001)
     assert slow_times(of).value == pytest.approx(2.5) and fast_nodes(of) == {0, 1, 2}
-    held = [Sample(0, "a", 0.02, 0.021 + 0.42 * (1.0 if k % 2 else float(rng.random())), pause=0.3, calm=False)
-            for k in range(200)]
+    held = [
+        Sample(0, "a", 0.02, 0.021 + 0.42 * (1.0 if k % 2 else float(rng.random())), pause=0.3, calm=False)
+        for k in range(200)
+    ]
     told = pause_scale([*calm, *held], of, 0.001)
     assert told.value == pytest.approx(1.4, rel=0.05) and told.error < 0.05
     assert pause_scale(calm, of, 0.001).seen == 0 and pause_scale(calm, of, 0.001).value == 1.0
-    ramp = [Sample(1, "a", 0.02, 0.001 + 0.02 / (0.18 + 0.82 * x), cold=x, start=0.3, calm=False)
-            for x in (0.1, 0.2, 0.3, 0.5, 0.65)]
+    ramp = [
+        Sample(1, "a", 0.02, 0.001 + 0.02 / (0.18 + 0.82 * x), cold=x, start=0.3, calm=False)
+        for x in (0.1, 0.2, 0.3, 0.5, 0.65)
+    ]
     assert cold_scale([*calm, *ramp], of, 0.001).value == pytest.approx(0.6)
     assert cold_scale(calm, of, 0.001).seen == 0
     assert kinds(calm[:2], 0.001) == {}
--- a/tests/test_model_kept.py
+++ b/tests/test_model_kept.py
@@ -1,4 +1,5 @@
 """Comparisons that are kept and shown again, predictions before their runs, and the commands round them."""
+
 from __future__ import annotations
 
 import json
@@ -30,23 +31,38 @@
 def small(tmp_path: Path, name: str = "small", **day: object) -> Path:
     """A day of two seconds as a file."""
     one = load(ROOT / "days/burst.hcl", Day, check)
-    one = replace(one, day=replace(one.day, length=2.0, **day),  # type: ignore[arg-type]
-                  trouble=tuple(replace(x, at=0.5, length=1.0) for x in one.trouble))
+    one = replace(
+        one,
+        day=replace(one.day, length=2.0, **day),  # type: ignore[arg-type]
+        trouble=tuple(replace(x, at=0.5, length=1.0) for x in one.trouble),
+    )
     (tmp_path / f"{name}.hcl").write_text(render(one))
     return tmp_path / f"{name}.hcl"
 
 
 def kept(answer: float = 0.1) -> Kept:
-    q = Question(Arm("A"), Arm("B", "", ("plan.basic.weight=2",), (("BOUND_ALL", 8.0),)), ("aaa", "bbb"), "ppp",
-                 (AskedDay("calm", "text"),), 4, 0.005, 1)
+    q = Question(
+        Arm("A"),
+        Arm("B", "", ("plan.basic.weight=2",), (("BOUND_ALL", 8.0),)),
+        ("aaa", "bbb"),
+        "ppp",
+        (AskedDay("calm", "text"),),
+        4,
+        0.005,
+        1,
+    )
 
     def fake(jobs: object) -> list[RunFigures]:
-        return [RunFigures({"worth": 0.8 + answer * (arm.name == "B") + 0.001 * seed, "worst 5 s": 0.5},
-                           ("order kept: <op 3>",) if seed == 2 and arm.name == "B" else ())
-                for _, arm, seed, *_ in jobs]       # type: ignore[attr-defined]
+        return [
+            RunFigures(
+                {"worth": 0.8 + answer * (arm.name == "B") + 0.001 * seed, "worst 5 s": 0.5},
+                ("order kept: <op 3>",) if seed == 2 and arm.name == "B" else (),
+            )
+            for _, arm, seed, *_ in jobs
+        ]  # type: ignore[attr-defined]
 
     day = load(ROOT / "days/burst.hcl", Day, check)
-    return Kept(q, [compare("calm", day, q.a, q.b, 4, fake)])    # type: ignore[arg-type]
+    return Kept(q, [compare("calm", day, q.a, q.b, 4, fake)])  # type: ignore[arg-type]
 
 
 def test_a_comparison_is_found_again_by_its_question(tmp_path: Path) -> None:
@@ -86,7 +102,8 @@
     text = page(one)
     assert text == page(msgspec.json.decode(one.text(), type=Kept))
     assert text.count("<svg") == 2 and "http://" not in text.replace("http://www.w3.org", "").replace(
-        "http://purl.org", "").replace("http://creativecommons.org", "")
+        "http://purl.org", ""
+    ).replace("http://creativecommons.org", "")
     assert "<script" not in text and 'src="' not in text
     assert "Broken rule. calm: B, seed 2: order kept: &lt;op 3&gt;" in text
     assert "with plan.basic.weight=2, with BOUND_ALL = 8" in text and one.ident in text
@@ -118,24 +135,26 @@
 
 # ---------------------------------------------------------------- predictions
 
+
 def shares(values: list[float]) -> object:
     return lambda jobs: [RunFigures({"worth": values[k % len(values)]}) for k, _ in enumerate(jobs)]
 
 
 def test_an_interval_holds_luck_and_what_the_model_misses() -> None:
     day = load(ROOT / "days/burst.hcl", Day, check)
-    sure = predict("d", day, "h", 1, None, 12, shares([0.8]))       # type: ignore[arg-type]
+    sure = predict("d", day, "h", 1, None, 12, shares([0.8]))  # type: ignore[arg-type]
     assert sure.low == pytest.approx(0.8) and sure.high == pytest.approx(0.8)
-    luck = predict("d", day, "h", 1, None, 12, shares([0.79, 0.81]))        # type: ignore[arg-type]
+    luck = predict("d", day, "h", 1, None, 12, shares([0.79, 0.81]))  # type: ignore[arg-type]
     assert luck.low < 0.79 and luck.high > 0.81 and luck.high - luck.low < 0.06
     fit = Fit({}, misfit=0.02)
-    both = predict("d", day, "h", 1, fit, 12, shares([0.79, 0.81]))     # type: ignore[arg-type]
+    both = predict("d", day, "h", 1, fit, 12, shares([0.79, 0.81]))  # type: ignore[arg-type]
     assert both.high - both.low > luck.high - luck.low and both.misfit == 0.02
 
 
 def test_luck_changes_delays_and_not_what_is_asked(tmp_path: Path) -> None:
     from fawnspool.control import Controller
     from fawnspool.model.world import World
+
     day = load(small(tmp_path), Day, check)
     worlds = [World(day, 1, Controller, luck=k) for k in (0, 1, 2)]
     assert worlds[0].ops == worlds[1].ops and worlds[0].slow == worlds[1].slow and worlds[0].held == worlds[1].held
@@ -185,8 +204,19 @@
 def test_a_fit_refuses_what_it_has_not_seen_and_beyond_says_so(tmp_path: Path) -> None:
     day, fit = small(tmp_path), tmp_path / "fit.json"
     fit.write_bytes(msgspec.json.encode(Fit({"unit_scale": Part(1.0, 0.01, 100)}, classes=("tile-read",), rate=1.0)))
-    args = ("model", "predict", str(day), "--seeds", "1", "--runs", "2", "--fit", str(fit), "--out",
-            str(tmp_path / "p.json"))
+    args = (
+        "model",
+        "predict",
+        str(day),
+        "--seeds",
+        "1",
+        "--runs",
+        "2",
+        "--fit",
+        str(fit),
+        "--out",
+        str(tmp_path / "p.json"),
+    )
     came = run(*args)
     assert came.exit_code == 2 and "class log-write was not seen" in came.output and not (tmp_path / "p.json").exists()
     assert run(*args, "--beyond").exit_code == 0
@@ -196,8 +226,9 @@
     text = (ROOT / "fawnspool/control.py").read_text()
     at = text.index("    def handle(self, now")
     end = text.index("\n", text.index("->", at)) + 1
-    (tmp_path / "control.py").write_text(text[:end] + "        if now > 1002.0 and now < 1002.2:\n"
-                                         "            raise ValueError('no')\n" + text[end:])
+    (tmp_path / "control.py").write_text(
+        text[:end] + "        if now > 1002.0 and now < 1002.2:\n            raise ValueError('no')\n" + text[end:]
+    )
     came = run("model", "run", str(small(tmp_path)), "--version", str(tmp_path / "control.py"), "--json")
     said = json.loads(came.output)
     assert said["errors"] > 0 and said["figures"]["worth"] < 1
@@ -207,6 +238,7 @@
     from fawnspool.control import Controller
     from fawnspool.model.world import World
     from fawnspool.records.frames import Writer
+
     day = load(small(tmp_path), Day, check)
     day = replace(day, day=replace(day.day, length=12.0))
     world = World(day, 1, Controller)
@@ -221,15 +253,29 @@
     traffic = tmp_path / "t.json"
     came = run("model", "describe", str(folder), "--out", str(traffic))
     assert came.exit_code == 0 and "groups a second" in came.output, came.output
-    came = run("model", "compare", "--days", str(small(tmp_path)), "--runs", "2", "--traffic", str(traffic), "--heads",
-               "5", "--rate", "40", "--json")
+    came = run(
+        "model",
+        "compare",
+        "--days",
+        str(small(tmp_path)),
+        "--runs",
+        "2",
+        "--traffic",
+        str(traffic),
+        "--heads",
+        "5",
+        "--rate",
+        "40",
+        "--json",
+    )
     assert came.exit_code == 0, came.output
     replay, store = tmp_path / "r.json", str(tmp_path / "store")
     assert run("model", "describe", str(folder), "--out", str(replay), "--replay").exit_code == 0
     came = run("model", "run", str(small(tmp_path)), "--traffic", str(replay), "--json")
     assert came.exit_code == 0 and 0.5 < json.loads(came.output)["figures"]["worth"] <= 1, came.output
-    came = run("model", "compare", "--days", str(small(tmp_path)), "--runs", "2", "--traffic", str(replay), "--keep",
-               store)
+    came = run(
+        "model", "compare", "--days", str(small(tmp_path)), "--runs", "2", "--traffic", str(replay), "--keep", store
+    )
     assert came.exit_code == 0, came.output
     ident = next(Path(store).glob("*.json")).stem
     assert "give it with --traffic" in run("model", "again", ident, "--store", store).output
@@ -240,8 +286,25 @@
 
 def test_a_roll_out_by_command(tmp_path: Path) -> None:
     day = ROOT / "days/lead-moves.hcl"
-    came = run("model", "rollout", str(day), "", "--const", "BOUND_ALL=64", "--length", "20", "--heads", "4", "--rate",
-               "60", "--loss", "0.2", "--spend", "0.2", "--json")
+    came = run(
+        "model",
+        "rollout",
+        str(day),
+        "",
+        "--const",
+        "BOUND_ALL=64",
+        "--length",
+        "20",
+        "--heads",
+        "4",
+        "--rate",
+        "60",
+        "--loss",
+        "0.2",
+        "--spend",
+        "0.2",
+        "--json",
+    )
     said = json.loads(came.output)
     assert said["verdict"] in ("go on", "wait", "done") and said["steps"][0][1].startswith("go on"), said
     assert run("model", "rollout", str(day), str(tmp_path / "none.py")).exit_code == 2
--- a/tests/test_model_staged.py
+++ b/tests/test_model_staged.py
@@ -1,4 +1,5 @@
 """Roll-outs on the model with real modules: equal, raising, repeating, worse, worse only under a surge."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -18,13 +19,14 @@
 
 ROOT = Path(__file__).parent.parent
 BOUND = Bound(loss=0.1, spend=0.05, window=2.0, windows=(4, 20), unseen=0.5, surge_windows=2)
-SPREAD = 0.043          # of this day's heads, as test_the_spread_is_near_what_the_tests_use sees
+SPREAD = 0.043  # of this day's heads, as test_the_spread_is_near_what_the_tests_use sees
 
 
 def day(length: float = 40.0, *troubles: TroubleBlock) -> Day:
     one = load(ROOT / "days/lead-moves.hcl", Day, check)
-    return replace(one, trouble=troubles, day=replace(one.day, heads=6, nodes=6, length=length),
-                   load=replace(one.load, rate=80))
+    return replace(
+        one, trouble=troubles, day=replace(one.day, heads=6, nodes=6, length=length), load=replace(one.load, rate=80)
+    )
 
 
 class Worse(Refuses):
--- a/tests/test_model_traffic.py
+++ b/tests/test_model_traffic.py
@@ -1,4 +1,5 @@
 """Traffic: described from records, drawn again at any size, replayed; recordings torn, twice, of clocks apart."""
+
 from __future__ import annotations
 
 import zlib
@@ -26,8 +27,9 @@
 
 def day(length: float = 20.0, rate: float = 120.0, *troubles: TroubleBlock) -> Day:
     one = load(ROOT / "days/lead-moves.hcl", Day, check)
-    return replace(one, trouble=troubles, day=replace(one.day, heads=4, nodes=6, length=length),
-                   load=replace(one.load, rate=rate))
+    return replace(
+        one, trouble=troubles, day=replace(one.day, heads=4, nodes=6, length=length), load=replace(one.load, rate=rate)
+    )
 
 
 def seen_of(ops: list[Op], one: Day) -> Recorded:
@@ -35,10 +37,22 @@
     rows: list[dict[str, Any]] = []
     for op in ops:
         units = max(1, -(-op.size // one.units.bytes))
-        rows += [{"k": "ask", "t": op.at, "op": op.name, "n": 0, "head": op.heads[0], "vol": op.volume, "cls": op.cls,
-                  "units": units, "pat": op.patience, "w": op.writes},
-                 {"k": "in", "t": op.at, "op": op.name, "x": zlib.crc32(op.run.encode()) if op.run else 0},
-                 {"k": "got", "t": op.at, "op": op.name, "n": 0, "how": "served"}]
+        rows += [
+            {
+                "k": "ask",
+                "t": op.at,
+                "op": op.name,
+                "n": 0,
+                "head": op.heads[0],
+                "vol": op.volume,
+                "cls": op.cls,
+                "units": units,
+                "pat": op.patience,
+                "w": op.writes,
+            },
+            {"k": "in", "t": op.at, "op": op.name, "x": zlib.crc32(op.run.encode()) if op.run else 0},
+            {"k": "got", "t": op.at, "op": op.name, "n": 0, "how": "served"},
+        ]
     return from_clients(one, rows)
 
 
@@ -80,7 +94,7 @@
     shares = Counter[str]()
     for plan in described.plans.values():
         for cls, shape in plan.classes.items():
-            shares[cls] += plan.share * shape.share     # type: ignore[assignment]
+            shares[cls] += plan.share * shape.share  # type: ignore[assignment]
     whole = sum(t.share for t in one.traffic)
     for t in one.traffic:
         assert shares[t.name] == pytest.approx(t.share / whole, abs=0.04)
@@ -110,7 +124,7 @@
     wide = describe(seen_of(ops, two))
     assert wide.rate == pytest.approx(5 * described.rate, rel=0.1)
     for name, plan in described.plans.items():
-        assert wide.plans[name].volumes == 5 * plan.volumes     # more volumes, not busier ones
+        assert wide.plans[name].volumes == 5 * plan.volumes  # more volumes, not busier ones
         assert wide.plans[name].share == pytest.approx(plan.share, abs=0.05)
         for cls, shape in plan.classes.items():
             assert np.mean(wide.plans[name].classes[cls].units) == pytest.approx(np.mean(shape.units), rel=0.15)
@@ -120,11 +134,14 @@
 
 def test_a_change_of_one_purpose_leaves_the_others_draws_alone(described: Described) -> None:
     _, before = drawn(described, day())
-    plans = {n: replace(p, classes={c: replace(s, units=[9.0] * len(s.units)) for c, s in p.classes.items()})
-             for n, p in described.plans.items()}
+    plans = {
+        n: replace(p, classes={c: replace(s, units=[9.0] * len(s.units)) for c, s in p.classes.items()})
+        for n, p in described.plans.items()
+    }
     _, after = drawn(replace(described, plans=plans), day())
-    assert [(a.at, a.volume, a.cls, a.heads, a.patience, a.key) for a in before] == \
-        [(a.at, a.volume, a.cls, a.heads, a.patience, a.key) for a in after]
+    assert [(a.at, a.volume, a.cls, a.heads, a.patience, a.key) for a in before] == [
+        (a.at, a.volume, a.cls, a.heads, a.patience, a.key) for a in after
+    ]
     assert all(a.size != b.size for a, b in zip(before, after, strict=True) if b.size > 9 * 16384)
 
 
@@ -137,6 +154,7 @@
     from fawnspool.days.terms import terms_of
     from fawnspool.rules.judge import judge
     from fawnspool.rules.story import read
+
     two, ops = drawn(described, day(6.0))
     world = World(two, 1, Controller, ops=ops)
     served = world.run()
@@ -167,8 +185,14 @@
 
 # ---------------------------------------------------------------- module recordings
 
-def record(path: Path, me: int, requests: list[tuple[float, i.Request]], tells: list[tuple[float, bytes]] = (),  # type: ignore[assignment]
-           hears: list[tuple[float, int, bytes]] = ()) -> Path:                                        # type: ignore[assignment]
+
+def record(
+    path: Path,
+    me: int,
+    requests: list[tuple[float, i.Request]],
+    tells: list[tuple[float, bytes]] = (),  # type: ignore[assignment]
+    hears: list[tuple[float, int, bytes]] = (),
+) -> Path:  # type: ignore[assignment]
     settings = replace(make_settings(peers=True), me=me)
     recorder = Recorder(path, "module", settings, 1, "")
     rows: list[tuple[float, Any, list[Any]]] = [(t, r, []) for t, r in requests]
@@ -216,8 +240,13 @@
 def test_a_body_sent_twice_sets_no_clock(tmp_path: Path) -> None:
     hears = [(10.0 + k, 1, b"same") for k in range(9)]
     a = record(tmp_path / "a.mrec", 0, [(1.0, request(1))], [(10.0 + k, b"same") for k in range(9)], hears)
-    b = record(tmp_path / "b.mrec", 1, [(1.0, request(1))], [(10.0 + k, b"same") for k in range(9)],
-               [(10.0 + k, 0, b"same") for k in range(9)])
+    b = record(
+        tmp_path / "b.mrec",
+        1,
+        [(1.0, request(1))],
+        [(10.0 + k, b"same") for k in range(9)],
+        [(10.0 + k, 0, b"same") for k in range(9)],
+    )
     with pytest.raises(TrafficError, match="clocks"):
         from_modules([a, b])
 
@@ -248,7 +277,7 @@
     rows = [(0.1 * k, request(k, repeat=True, patience=0.15)) for k in range(30)]
     rows += [(4.0, request(100, extent=500)), (4.6, request(101, repeat=True, extent=500, patience=1.0))]
     seen = from_modules([record(tmp_path / "a.mrec", 0, rows)])
-    assert len(seen.asked) == 31        # the repeat whose first try was seen is the client's own doing
+    assert len(seen.asked) == 31  # the repeat whose first try was seen is the client's own doing
     assert sum(a.late for a in seen.asked) == 30 and {a.patience for a in seen.asked if a.late} == {0.15}
     assert any("30 repeats" in n for n in seen.notes)
 
@@ -267,6 +296,7 @@
 
 # ---------------------------------------------------------------- replay
 
+
 def test_a_replay_asks_what_was_asked() -> None:
     one = day(6.0)
     world = World(one, 5, Controller)
@@ -287,6 +317,7 @@
     from fawnspool.days.terms import terms_of
     from fawnspool.rules.judge import judge
     from fawnspool.rules.story import read
+
     one = day(4.0, 300.0)
     seen = seen_of(World(one, 5, Controller).ops, one)
     seen.asked = [replace(a, patience=0.12, late=True) for a in seen.asked]
@@ -299,8 +330,12 @@
 
 def test_volumes_by_number_get_names_by_plan(tmp_path: Path) -> None:
     one = day(4.0)
-    rows = [Asked(0.1 * k, k % 3, f"volume-{k % 5:x}", "basic" if k % 5 < 3 else "priority", "tile-read", 2.0, False,
-                  2.0, 2) for k in range(30)]
+    rows = [
+        Asked(
+            0.1 * k, k % 3, f"volume-{k % 5:x}", "basic" if k % 5 < 3 else "priority", "tile-read", 2.0, False, 2.0, 2
+        )
+        for k in range(30)
+    ]
     two, ops = replayed(Recorded(rows, 3, 6, 2.9), one)
     assert {op.volume for op in ops} == {"basic-0", "basic-1", "basic-2", "priority-0", "priority-1"}
     assert {n for n, _ in two.volume_names()} == {op.volume for op in ops}
--- a/tests/test_model_world.py
+++ b/tests/test_model_world.py
@@ -1,4 +1,5 @@
 """The day in simulated time: the same seed gives the same records, rules hold, troubles bite, a worse head is worse."""
+
 from __future__ import annotations
 
 from dataclasses import replace
@@ -64,8 +65,9 @@
     world, _, _ = play(day(name))
     assert any(r["k"] == "told" and r["phase"] == kind for r in world.rows)
     ups = [r for r in world.rows if r["k"] == "up" and r["cold"]]
-    assert ups and all(any(r["k"] == "in" and r["node"] == up["node"] and r["t"] > up["t"] for r in world.rows)
-                       for up in ups)
+    assert ups and all(
+        any(r["k"] == "in" and r["node"] == up["node"] and r["t"] > up["t"] for r in world.rows) for up in ups
+    )
 
 
 def test_a_plain_head_breaks_rules_that_the_module_keeps() -> None:
@@ -99,8 +101,12 @@
 
 def test_at_size_heads_and_nodes_grow_with_the_day() -> None:
     d = day("crash")
-    d = replace(d, day=replace(d.day, heads=12, nodes=12, length=4.0), load=replace(d.load, rate=200.0),
-                volumes=tuple(replace(v, heads=6) for v in d.volumes),
-                plan=tuple(replace(p, limit_depth=p.limit_depth * 2) for p in d.plan))
+    d = replace(
+        d,
+        day=replace(d.day, heads=12, nodes=12, length=4.0),
+        load=replace(d.load, rate=200.0),
+        volumes=tuple(replace(v, heads=6) for v in d.volumes),
+        plan=tuple(replace(p, limit_depth=p.limit_depth * 2) for p in d.plan),
+    )
     world, verdict, _ = play(d)
     assert verdict.kept and {r["head"] for r in world.rows if r["k"] == "in"} == set(range(12))
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,4 +1,5 @@
 """Moves, model-checked: movers that die at any step, two for one extent, nodes that forget, writes all the while."""
+
 from __future__ import annotations
 
 import pytest
@@ -23,7 +24,7 @@
         self.nodes = [Copy() for _ in range(NODES)]
         self.nodes[0].own(0)
         self.mapped, self.cell = 0, 0
-        self.acked: list[tuple[str, str]] = []      # (key, value) of writes that were acknowledged
+        self.acked: list[tuple[str, str]] = []  # (key, value) of writes that were acknowledged
         self.keys = 0
 
     def owners(self) -> list[int]:
@@ -44,7 +45,7 @@
             source.close(move.generation, move.to)
         elif what is Step.OPEN:
             dest.open(move.generation, source.fence)
-        elif what is Step.FLIP and self.mapped < move.generation:      # the map never goes back
+        elif what is Step.FLIP and self.mapped < move.generation:  # the map never goes back
             self.mapped, self.cell = move.generation, move.to
         elif what is Step.FORGET:
             source.forget(move.generation)
@@ -136,8 +137,14 @@
         assert f.cell == f.owners()[0] and f.mapped == owner.generation
 
 
-FIRST = settings(max_examples=150, stateful_step_count=30, derandomize=True, deadline=None, report_multiple_bugs=False,
-                 phases=[Phase.generate])     # to the first failure, not to the smallest
+FIRST = settings(
+    max_examples=150,
+    stateful_step_count=30,
+    derandomize=True,
+    deadline=None,
+    report_multiple_bugs=False,
+    phases=[Phase.generate],
+)  # to the first failure, not to the smallest
 TestMoving = Moving.TestCase
 TestMoving.settings = settings(max_examples=150, stateful_step_count=30, derandomize=True, deadline=None)
 
@@ -193,6 +200,7 @@
 
 def test_a_mover_that_opens_early_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     import tests.test_moves as here
+
     right = next_step
 
     def hasty(move: Move, source: Seen | None, dest: Seen | None, mapped: int, undo: bool = False) -> Step:
@@ -210,8 +218,16 @@
     for k in range(20):
         f.write(0, f"k{k}", f"v{k}")
     steps = [f.step(move) for _ in range(13)]
-    assert list(dict.fromkeys(steps)) == [Step.FILL, Step.COPY, Step.FENCE, Step.CATCH_UP, Step.OPEN, Step.FLIP,
-                                          Step.FORGET, Step.DONE]
+    assert list(dict.fromkeys(steps)) == [
+        Step.FILL,
+        Step.COPY,
+        Step.FENCE,
+        Step.CATCH_UP,
+        Step.OPEN,
+        Step.FLIP,
+        Step.FORGET,
+        Step.DONE,
+    ]
     assert f.nodes[1].read("n") == (Answer.DONE, "v19") and f.nodes[0].read("n")[0] is Answer.MOVED
     assert f.nodes[0].log == []
 
@@ -223,7 +239,7 @@
         for move in (a, b):
             if f.look(move) is not Step.FENCE:
                 f.step(move)
-    f.step(b, what=Step.FENCE)      # both had looked and found that they may fence
+    f.step(b, what=Step.FENCE)  # both had looked and found that they may fence
     f.step(a, what=Step.FENCE)
     assert f.nodes[0].to == 2
     f.settle([a, b])
@@ -249,7 +265,7 @@
     f, move = Fleet(), Move(0, 1, 1)
     f.write(0, "k", "v")
     f.settle([move])
-    back = Copy(Role.OWNER, 0, log=[], position=0)      # its disk of an hour ago, when it owned the extent
+    back = Copy(Role.OWNER, 0, log=[], position=0)  # its disk of an hour ago, when it owned the extent
     back.lost()
     assert back.read("n")[0] is Answer.NOT_YET and back.write("n", "w", "x") is Answer.NOT_YET
     assert back.confirm(f.mapped, False) is Answer.DONE and back.read("n")[0] is Answer.MOVED
@@ -296,16 +312,21 @@
 MOVE = Move(0, 1, 5)
 
 
-@pytest.mark.parametrize(("source", "dest", "mapped", "cell", "told"), [
-    (Seen(Role.OWNER, -1), Seen(Role.ABSENT, -1), 4, 0, Tell(0, "own", 4)),
-    (Seen(Role.OWNER, -1), Seen(Role.ABSENT, -1), 5, 0, None),              # another move has won meanwhile
-    (Seen(Role.OWNER, 4), Seen(Role.ABSENT, -1), 4, 0, None),
-    (Seen(Role.UNSURE, 4), None, 4, 0, Tell(0, "confirm", 4, True)),
-    (Seen(Role.UNSURE, 4), None, 5, 1, Tell(0, "confirm", 5, False)),
-    (Seen(Role.FENCED, 5, to=1), Seen(Role.UNSURE, 5), 4, 0, Tell(1, "confirm", 5, True)),      # it had opened
-    (Seen(Role.FENCED, 5, to=2), Seen(Role.UNSURE, 5), 4, 0, Tell(1, "confirm", 4, False)),     # not by this fence
-    (Seen(Role.FENCED, 5, to=1), Seen(Role.UNSURE, -1), 4, 0, Tell(1, "confirm", 4, False)),
-    (None, Seen(Role.UNSURE, 5), 5, 1, Tell(1, "confirm", 5, True))])
-def test_what_a_node_is_told_before_any_step(source: Seen | None, dest: Seen | None, mapped: int, cell: int,
-                                             told: Tell | None) -> None:
+@pytest.mark.parametrize(
+    ("source", "dest", "mapped", "cell", "told"),
+    [
+        (Seen(Role.OWNER, -1), Seen(Role.ABSENT, -1), 4, 0, Tell(0, "own", 4)),
+        (Seen(Role.OWNER, -1), Seen(Role.ABSENT, -1), 5, 0, None),  # another move has won meanwhile
+        (Seen(Role.OWNER, 4), Seen(Role.ABSENT, -1), 4, 0, None),
+        (Seen(Role.UNSURE, 4), None, 4, 0, Tell(0, "confirm", 4, True)),
+        (Seen(Role.UNSURE, 4), None, 5, 1, Tell(0, "confirm", 5, False)),
+        (Seen(Role.FENCED, 5, to=1), Seen(Role.UNSURE, 5), 4, 0, Tell(1, "confirm", 5, True)),  # it had opened
+        (Seen(Role.FENCED, 5, to=2), Seen(Role.UNSURE, 5), 4, 0, Tell(1, "confirm", 4, False)),  # not by this fence
+        (Seen(Role.FENCED, 5, to=1), Seen(Role.UNSURE, -1), 4, 0, Tell(1, "confirm", 4, False)),
+        (None, Seen(Role.UNSURE, 5), 5, 1, Tell(1, "confirm", 5, True)),
+    ],
+)
+def test_what_a_node_is_told_before_any_step(
+    source: Seen | None, dest: Seen | None, mapped: int, cell: int, told: Tell | None
+) -> None:
     assert tell_first(MOVE, source, dest, mapped, cell) == told
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,5 @@
 """Framing, ranges, tags, wire headers, and the waits that everything stands on."""
+
 from __future__ import annotations
 
 import contextlib
@@ -23,9 +24,11 @@
 from fawnspool.net.waits import Gate, Turnstile, wheel
 from fawnspool.net.wire import Wire, connect
 
-REQUESTS = (b"PUT /a HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\n\r\nhello"
-            b"PUT /b HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
-            b"GET /c HTTP/1.1\r\nHost: t\r\nX: 1\r\nX: 2\r\n\r\n")
+REQUESTS = (
+    b"PUT /a HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\n\r\nhello"
+    b"PUT /b HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
+    b"GET /c HTTP/1.1\r\nHost: t\r\nX: 1\r\nX: 2\r\n\r\n"
+)
 
 
 @given(st.lists(st.integers(1, 30), max_size=40))
@@ -33,7 +36,7 @@
     parser, at, seen = RequestParser(Limits()), 0, []
     for size in [*cuts, len(REQUESTS)]:
         if at < len(REQUESTS):
-            parser.feed(REQUESTS[at:at + size])
+            parser.feed(REQUESTS[at : at + size])
             at += size
     body = b""
     for event in parser.events:
@@ -73,10 +76,21 @@
         other.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
 
 
-@pytest.mark.parametrize(("text", "size", "want"), [
-    ("bytes=0-4", 10, (0, 5)), ("bytes=5-", 10, (5, 5)), ("bytes=-3", 10, (7, 3)), ("bytes=-30", 10, (0, 10)),
-    ("bytes=0-99", 10, (0, 10)), ("bytes=5-2", 10, None), ("bytes=0-1,3-4", 10, None), ("lines=0-1", 10, None),
-    ("bytes=-", 10, None), ("bytes=a-b", 10, None)])
+@pytest.mark.parametrize(
+    ("text", "size", "want"),
+    [
+        ("bytes=0-4", 10, (0, 5)),
+        ("bytes=5-", 10, (5, 5)),
+        ("bytes=-3", 10, (7, 3)),
+        ("bytes=-30", 10, (0, 10)),
+        ("bytes=0-99", 10, (0, 10)),
+        ("bytes=5-2", 10, None),
+        ("bytes=0-1,3-4", 10, None),
+        ("lines=0-1", 10, None),
+        ("bytes=-", 10, None),
+        ("bytes=a-b", 10, None),
+    ],
+)
 def test_ranges(text: str, size: int, want: tuple[int, int] | None) -> None:
     assert read_range(text, size) == want
 
@@ -104,7 +118,7 @@
 
 @pytest.mark.parametrize("raw", [b"", b"1;2;3", b"a;1;0;0;1;0;safe;cell;0;0;;", b"\xff" * 30])
 def test_a_bad_call_is_told(raw: bytes) -> None:
-    with pytest.raises(ValueError):     # any kind of it becomes a 400
+    with pytest.raises(ValueError):  # any kind of it becomes a 400
         read_call(raw)
 
 
@@ -281,14 +295,14 @@
 
     def stand_still() -> None:
         theirs.send(b"told")
-        time.sleep(0.06)        # nothing of this thread's loop runs: what a SIGSTOP does
+        time.sleep(0.06)  # nothing of this thread's loop runs: what a SIGSTOP does
 
     for wait_first in (True, False):
         gevent.spawn(stand_still)
         assert wire.recv(10, time.monotonic() + 0.02, wait_first) == b"told"
     gevent.spawn(stand_still)
     assert wire.recv_stamped(10, time.monotonic() + 0.02)[0] == b"told"
-    with pytest.raises(TimeoutError):       # and silence stays silence
+    with pytest.raises(TimeoutError):  # and silence stays silence
         wire.recv(10, time.monotonic() + 0.02, True)
     wire.close()
     theirs.close()
@@ -329,8 +343,13 @@
 
 
 LOOKS: dict[str, Callable[[Wire], Any]] = {
-    "none": lambda wire: None, "at_end": Wire.at_end, "peer_left": Wire.peer_left, "unread": Wire.unread,
-    "closed_by_peer": Wire.closed_by_peer, "a write": send_fails}
+    "none": lambda wire: None,
+    "at_end": Wire.at_end,
+    "peer_left": Wire.peer_left,
+    "unread": Wire.unread,
+    "closed_by_peer": Wire.closed_by_peer,
+    "a write": send_fails,
+}
 
 
 @pytest.mark.parametrize("look", LOOKS)
@@ -392,7 +411,7 @@
         def __getattr__(self, name: str) -> Any:
             return getattr(ours, name)
 
-    wire = Wire(Failing())      # type: ignore[arg-type]
+    wire = Wire(Failing())  # type: ignore[arg-type]
     for _ in range(3):
         with pytest.raises(ConnectionError) as met:
             wire.recv(10, time.monotonic() + 1)
--- a/tests/test_node_model.py
+++ b/tests/test_node_model.py
@@ -1,4 +1,5 @@
 """How a node behaves, by calls alone."""
+
 from __future__ import annotations
 
 import math
@@ -11,8 +12,11 @@
 
 
 def node(started: float = -math.inf, **traits: float | int | str | bool) -> NodeBehaviour:
-    return NodeBehaviour(NodeTraits(**({"cores": 2, "unit_time": 0.1, "spread": 0.0} | traits)),  # type: ignore[arg-type]
-                         Random(1), started)
+    return NodeBehaviour(
+        NodeTraits(**({"cores": 2, "unit_time": 0.1, "spread": 0.0} | traits)),  # type: ignore[arg-type]
+        Random(1),
+        started,
+    )
 
 
 def test_cores_work_and_the_rest_waits_in_order() -> None:
@@ -48,21 +52,27 @@
     n.arrive(0.0, Work(1, 1.0))
     n.arrive(0.0, Work(2, 1.0))
     n.pause(0.05, 1.0)
-    n.pause(0.10, 0.2)      # within the first: nothing more
+    n.pause(0.10, 0.2)  # within the first: nothing more
     assert [(w.ident, round(w.ends, 3)) for w in n.step(3.0)] == [(1, 1.1), (2, 1.2)]
 
 
 def test_runs_save_work_at_first_attempts_only() -> None:
     n = node(cores=1, seek_saved=0.5, remembers=2)
     ends = []
-    for work in (Work(1, 1.0, extent=7), Work(2, 1.0, extent=7), Work(3, 1.0, extent=7, first=False),
-                 Work(4, 1.0, extent=8), Work(5, 1.0, extent=9), Work(6, 1.0, extent=7)):
+    for work in (
+        Work(1, 1.0, extent=7),
+        Work(2, 1.0, extent=7),
+        Work(3, 1.0, extent=7, first=False),
+        Work(4, 1.0, extent=8),
+        Work(5, 1.0, extent=9),
+        Work(6, 1.0, extent=7),
+    ):
         n.arrive(0.0, work)
     before = 0.0
     for w in n.step(9.0):
         ends.append(round(w.ends - before, 3))
         before = w.ends
-    assert ends == [0.1, 0.05, 0.1, 0.1, 0.1, 0.1]      # 7 was forgotten behind 8 and 9
+    assert ends == [0.1, 0.05, 0.1, 0.1, 0.1, 0.1]  # 7 was forgotten behind 8 and 9
 
 
 def test_deferred_writes_are_done_in_one_go() -> None:
@@ -70,7 +80,7 @@
     n.arrive(0.0, Work(1, 2.0, writes=True))
     assert math.isclose(n.step(0.5)[0].ends, 0.1) and math.isclose(n.put_off, 1.0)
     n.arrive(1.2, Work(2, 1.0))
-    assert math.isclose(n.step(2.0)[0].ends, 1.4)       # behind the put-off half
+    assert math.isclose(n.step(2.0)[0].ends, 1.4)  # behind the put-off half
 
 
 def test_expired_and_cancelled_work() -> None:
@@ -113,7 +123,7 @@
         ended += [w.ident for w in n.step(now)]
         if n.arrive(now, Work(k, float(units), writes, extent=units)):
             taken.append(k)
-        assert len(n.running) <= cores + 1       # the put-off work of writes may stand beside them
+        assert len(n.running) <= cores + 1  # the put-off work of writes may stand beside them
         assert len(n.waiting) <= 30
     last = -1.0
     for w in n.step(math.inf):
@@ -152,8 +162,9 @@
     assert [w.ident for w in n.expired(end)] == [2] and n.expired(end) == []
 
 
-@given(st.lists(st.tuples(st.floats(0, 0.05), st.booleans(), st.floats(0.02, 2.0)), min_size=1, max_size=60),
-       st.booleans())
+@given(
+    st.lists(st.tuples(st.floats(0, 0.05), st.booleans(), st.floats(0.02, 2.0)), min_size=1, max_size=60), st.booleans()
+)
 def test_every_work_ends_once(rows: list[tuple[float, bool, float]], drops: bool) -> None:
     n, now, told, taken = node(cores=2, room=4, drops_expired=drops, deferred=0.3), 0.0, [], []
     for k, (pause, steps, left) in enumerate(rows):
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,5 @@
 """Recordings: whole frames come back, a torn tail is read up to the tear, a replay gives the same actions."""
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -37,12 +38,17 @@
     module = Controller(settings, 5)
     recorder = Recorder(path, "module", settings, 5, module_hash(module))
     events: list[tuple[float, i.Event]] = [
-        (1.0, i.NodeList(i.ListKind.WHOLE, 1,
-                         tuple(i.ListEntry(n, 0, 0, n, i.Phase.READY, 1.0, 0.0) for n in range(3)))),
+        (
+            1.0,
+            i.NodeList(i.ListKind.WHOLE, 1, tuple(i.ListEntry(n, 0, 0, n, i.Phase.READY, 1.0, 0.0) for n in range(3))),
+        ),
         (1.1, i.Request(7, 0, 0, 3, 2.0, 9, 2.0, 1, 1, False, False)),
         (1.2, i.Outcome(7, 0, 1, 0.1, i.Result.SERVED, True, 2, 0.5, (1.0, 2.0))),
-        (1.3, i.PeerMessage(1, b"x" * 13)), (1.4, i.Timer(0)), (1.5, i.ClientGone(99)),
-        (1.6, i.NodeList(i.ListKind.FAILED, 1, ()))]
+        (1.3, i.PeerMessage(1, b"x" * 13)),
+        (1.4, i.Timer(0)),
+        (1.5, i.ClientGone(99)),
+        (1.6, i.NodeList(i.ListKind.FAILED, 1, ())),
+    ]
     for now, event in events:
         recorder.note(now, event, module.handle(now, event))
     recorder.close()
@@ -87,6 +93,7 @@
 @given(st.integers(1, 400))
 def test_a_torn_tail_is_read_up_to_the_tear(cut: int) -> None:
     import tempfile
+
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t.rec"
         writer = Writer(path)
@@ -97,13 +104,13 @@
         writer.close()
         data = path.read_bytes()
         cut = min(cut, len(data) - len(MAGIC))
-        path.write_bytes(data[:len(data) - cut])
+        path.write_bytes(data[: len(data) - cut])
         reader = Reader(path)
         rows = list(reader)
         whole = sum(end <= len(data) - cut for end in ends)
         assert [r["k"] for r in rows] == list(range(whole))
         assert bool(reader.torn) == (len(data) - cut not in (len(MAGIC), *ends))
-        more = Writer(path, keep=True)      # a node that comes back goes on behind the last whole frame
+        more = Writer(path, keep=True)  # a node that comes back goes on behind the last whole frame
         more.put({"k": "after"})
         more.close()
         assert [r["k"] for r in Reader(path)] == [*range(whole), "after"]
@@ -135,12 +142,16 @@
 
 def test_every_event_and_action_has_a_form() -> None:
     import typing
+
     assert set(EVENTS) == set(typing.get_args(i.Event))
     assert set(ACTIONS) == set(typing.get_args(i.Action))
     for action in (i.Send(1, 2, 0.5), i.Tell(None, b"\x00\xff"), i.Watch(True), i.FetchList(), i.Cancel(1, 0)):
         assert read_action(action_row(action)) == action
-    for event in (i.Begun(1, 0, 2, 0.1), i.Probed(1, i.Result.UNREACHED, 0.1, None),
-                  i.Outcome(1, 0, 2, 0.1, i.Result.FULL, False, 0, None, (1.0,))):
+    for event in (
+        i.Begun(1, 0, 2, 0.1),
+        i.Probed(1, i.Result.UNREACHED, 0.1, None),
+        i.Outcome(1, 0, 2, 0.1, i.Result.FULL, False, 0, None, (1.0,)),
+    ):
         assert read_event(event_row(event)) == event
     with pytest.raises(RecordingError, match="unknown event"):
         read_event([99])
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,5 @@
 """Staged roll-out: batches within what may be lost, and verdicts on versions that are well, worse, or broken."""
+
 from __future__ import annotations
 
 import numpy as np
@@ -22,15 +23,29 @@
     return Rollout(plan(fleet(heads), bound, spread, 1), bound, spread), bound
 
 
-def drive(r: Rollout, rng: np.random.Generator, loss: float, surge_loss: float = 0.0, surges: bool = True,
-          spread: float = SPREAD, most: int = 3000, drift: float = 0.0) -> tuple[Decision, int]:
+def drive(
+    r: Rollout,
+    rng: np.random.Generator,
+    loss: float,
+    surge_loss: float = 0.0,
+    surges: bool = True,
+    spread: float = SPREAD,
+    most: int = 3000,
+    drift: float = 0.0,
+) -> tuple[Decision, int]:
     """Play windows until an end: upgraded heads earn less by `loss`, and by `surge_loss` more in every fifth window,
     a surge in which all earn less."""
     levels = {h: 0.9 + 0.05 * rng.standard_normal() for h in r.fleet}
     for k in range(most):
         surge = surges and k % 5 == 4
-        shares = {h: levels[h] - drift * k - 0.2 * surge + spread * rng.standard_normal()
-                  - (loss + surge_loss * surge if h in r.upgraded else 0.0) for h in r.fleet}
+        shares = {
+            h: levels[h]
+            - drift * k
+            - 0.2 * surge
+            + spread * rng.standard_normal()
+            - (loss + surge_loss * surge if h in r.upgraded else 0.0)
+            for h in r.fleet
+        }
         got = r.saw(Window(shares, 2.0 if surge else 1.0))
         if got.verdict in (Verdict.DONE, Verdict.GO_BACK):
             return got, k
@@ -41,6 +56,7 @@
 
 # ---------------------------------------------------------------- plans
 
+
 def test_a_plan_takes_every_head_once_and_starts_small() -> None:
     batches = plan(fleet(190), Bound(), SPREAD, 1)
     assert sorted(h for b in batches for h in b.heads) == list(range(190))
@@ -91,12 +107,20 @@
     assert max(zones.count(z) for z in range(3)) - min(zones.count(z) for z in range(3)) <= 1
 
 
-@pytest.mark.parametrize("given_,text", [
-    ({"loss": 0.0}, "loss"), ({"spend": 2.0}, "spend"), ({"level": 0.3}, "level"), ({"window": 0.0}, "window"),
-    ({"windows": (5, 3)}, "windows"), ({"surge_at": 1.0}, "surge_at")])
+@pytest.mark.parametrize(
+    "given_,text",
+    [
+        ({"loss": 0.0}, "loss"),
+        ({"spend": 2.0}, "spend"),
+        ({"level": 0.3}, "level"),
+        ({"window": 0.0}, "window"),
+        ({"windows": (5, 3)}, "windows"),
+        ({"surge_at": 1.0}, "surge_at"),
+    ],
+)
 def test_a_bound_without_sense_is_named(given_: dict[str, float], text: str) -> None:
     with pytest.raises(PlanError, match=text):
-        plan(fleet(10), Bound(**given_), SPREAD, 1)     # type: ignore[arg-type]
+        plan(fleet(10), Bound(**given_), SPREAD, 1)  # type: ignore[arg-type]
 
 
 def test_fleets_that_cannot_be_rolled_out_are_refused() -> None:
@@ -129,6 +153,7 @@
 
 # ---------------------------------------------------------------- the sequence
 
+
 def test_the_normal_quantile() -> None:
     assert quantile(0.975) == pytest.approx(1.96, abs=1e-3) and quantile(0.5) == pytest.approx(0.0, abs=1e-6)
 
@@ -163,6 +188,7 @@
 
 # ---------------------------------------------------------------- verdicts
 
+
 def test_an_equal_version_goes_through_the_whole_fleet() -> None:
     done = 0
     for k in range(20):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,9 +90,7 @@
 
 
 @pytest.mark.parametrize("result", MAYBE)
-def test_unsafe_that_may_have_run_fails_and_never_goes_again(
-    head: Callable[..., Head], result: Result
-) -> None:
+def test_unsafe_that_may_have_run_fails_and_never_goes_again(head: Callable[..., Head], result: Result) -> None:
     h = head(classes=(make_class(effect=Effect.UNSAFE),))
     ident = h.ask(1)
     h.answer(ident, result)
@@ -410,9 +408,7 @@
         st.sampled_from(list(ListKind)),
         st.integers(0, 9),
         st.lists(
-            st.builds(
-                entry, st.integers(10, 14), st.integers(0, 2), st.sampled_from(list(Phase)), st.floats()
-            ),
+            st.builds(entry, st.integers(10, 14), st.integers(0, 2), st.sampled_from(list(Phase)), st.floats()),
             max_size=4,
         ).map(tuple),
     ),
@@ -452,16 +448,16 @@
     """Brink, zone: a repeat that waited for its connection reached its node behind the window."""
     h = head(classes=(make_class(effect=Effect.KEYED, group=Group.CELL, window=1.0),))
     ident = h.ask(1, patience=4.0)
-    assert h.sends[-1][1].write_within == 0.0           # a first attempt has no such bound
+    assert h.sends[-1][1].write_within == 0.0  # a first attempt has no such bound
     h.run(h.now + 0.75)
     h.answer(ident, Result.BROKEN)
     assert h.tries[ident] == 2 and h.sends[-1][1].write_within == pytest.approx(0.25 - 2 * 0.002)
     h.run(h.now + 0.1)
-    h.answer(ident, Result.UNREACHED)                   # never ran: the first still counts
+    h.answer(ident, Result.UNREACHED)  # never ran: the first still counts
     assert h.sends[-1][1].write_within == pytest.approx(0.15 - 2 * 0.002)
     h.run(h.now + 0.147)
     h.answer(ident, Result.UNREACHED)
-    assert h.tries[ident] == 3 and ident in h.ends      # at the very end of the window: no more
+    assert h.tries[ident] == 3 and ident in h.ends  # at the very end of the window: no more
 
 
 def test_safe_repeats_and_those_of_what_never_ran_have_no_window(head: Callable[..., Head]) -> None:
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -1,4 +1,5 @@
 """A run that goes on gets one place more than the bound, and no other request does."""
+
 from __future__ import annotations
 
 from collections.abc import Callable
