--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -21,44 +21,111 @@
 
 
 def plan(name: str, rate: float, **more: Any) -> dict[str, Any]:
-    return {"name": name, "rate": rate, "floor_rate": 0.0, "shares": 1.0, "value_factor": 1.0, "cap": 0.0,
-            "cap_depth": 0.0, "tolerance": 0.0} | more
+    return {
+        "name": name,
+        "rate": rate,
+        "floor_rate": 0.0,
+        "shares": 1.0,
+        "value_factor": 1.0,
+        "cap": 0.0,
+        "cap_depth": 0.0,
+        "tolerance": 0.0,
+    } | more
 
 
 # Shaped like three deployments: many plans, pushed; one plan, asked, cancelling and second copies forbidden; a few.
 MANY = {
-    "classes": [cls("receipt", "single_shot", 0.6, 3.5, 2.5),
-                cls("renewal", "guarded", 0.45, 2.8, 3, group="zone", window=3.2),
-                cls("shelf-list", "free", 1.5, 4.5, 1), cls("lookup", "free", 0.28, 2.2, 2)],
-    "grades": [plan(f"p{k}", 1.0 + k / 4, shares=1.0 + k % 4, cap=7.0 * (k % 5 == 0), cap_depth=60.0 * (k % 5 == 0),
-                    floor_rate=0.1 * k, value_factor=0.7 + k / 10) for k in range(12)],
-    "writes": [True, True, False, False], "discovery": "push", "cancelling": True, "second_copies": True,
-    "try_limit": 3}
+    "classes": [
+        cls("receipt", "single_shot", 0.6, 3.5, 2.5),
+        cls("renewal", "guarded", 0.45, 2.8, 3, group="zone", window=3.2),
+        cls("shelf-list", "free", 1.5, 4.5, 1),
+        cls("lookup", "free", 0.28, 2.2, 2),
+    ],
+    "grades": [
+        plan(
+            f"p{k}",
+            1.0 + k / 4,
+            shares=1.0 + k % 4,
+            cap=7.0 * (k % 5 == 0),
+            cap_depth=60.0 * (k % 5 == 0),
+            floor_rate=0.1 * k,
+            value_factor=0.7 + k / 10,
+        )
+        for k in range(12)
+    ],
+    "writes": [True, True, False, False],
+    "discovery": "push",
+    "cancelling": True,
+    "second_copies": True,
+    "try_limit": 3,
+}
 ONE = {
     "classes": [cls("deposit", "guarded", 0.9, 5.5, 4, window=1.6), cls("withdraw", "free", 0.55, 4.2, 2)],
     "grades": [plan("only", 3.0, floor_rate=1.8, shares=2.0)],
-    "writes": [True, False], "discovery": "ask", "cancelling": False, "second_copies": False, "try_limit": 5}
+    "writes": [True, False],
+    "discovery": "ask",
+    "cancelling": False,
+    "second_copies": False,
+    "try_limit": 5,
+}
 FEW = {
-    "classes": [cls("bulk", "free", 1.2, 4.0, 1, late_value=0.2),
-                cls("put", "guarded", 0.3, 2.5, 2, group="cell", window=6.0),
-                cls("get", "free", 0.3, 2.5, 3)],
-    "grades": [plan("basic", 2.0), plan("standard", 3.0, floor_rate=1.0, shares=3.0),
-               plan("priority", 4.0, shares=4.0)],
-    "writes": [False, True, False], "discovery": "ask", "cancelling": True, "second_copies": True, "try_limit": 3}
+    "classes": [
+        cls("bulk", "free", 1.2, 4.0, 1, late_value=0.2),
+        cls("put", "guarded", 0.3, 2.5, 2, group="cell", window=6.0),
+        cls("get", "free", 0.3, 2.5, 3),
+    ],
+    "grades": [
+        plan("basic", 2.0),
+        plan("standard", 3.0, floor_rate=1.0, shares=3.0),
+        plan("priority", 4.0, shares=4.0),
+    ],
+    "writes": [False, True, False],
+    "discovery": "ask",
+    "cancelling": True,
+    "second_copies": True,
+    "try_limit": 3,
+}
 SHAPES = {"many": MANY, "one": ONE, "few": FEW}
 
 
 def tree(shape: dict[str, Any], classes: list[int], plans: list[int]) -> dict[str, Any]:
     return {
-        "siblings": 6, "me": 2, "zone": 0, "discovery": shape["discovery"], "tick": 0.002,
-        "classes": [shape["classes"][k] for k in classes], "grades": [shape["grades"][k] for k in plans],
-        "family_info": {"writes": [shape["writes"][k] for k in classes], "young_limit": 16.0, "usual_units": 2.0,
-                        "largest": 8, "slots_total": 3, "fair_worth": 0.3, "spare_worth": 0.05, "meter": 0.5},
-        "guarantees": {"drain_grace": 0.25, "answer_slack": 0.008, "fall": 2.0, "tip_multiple": 2.0,
-                       "start_capacity": 0.25, "warm_after": 2.0, "must_ask_in": 8.0},
-        "limits": {"try_limit": shape["try_limit"], "second_copies": shape["second_copies"],
-                   "cancelling": shape["cancelling"], "retry_after": True, "max_retry_after": 0.5,
-                   "connect_timeout": 0.25, "idle_close": 15.0}}
+        "siblings": 6,
+        "me": 2,
+        "zone": 0,
+        "discovery": shape["discovery"],
+        "tick": 0.002,
+        "classes": [shape["classes"][k] for k in classes],
+        "grades": [shape["grades"][k] for k in plans],
+        "family_info": {
+            "writes": [shape["writes"][k] for k in classes],
+            "young_limit": 16.0,
+            "usual_units": 2.0,
+            "largest": 8,
+            "slots_total": 3,
+            "fair_worth": 0.3,
+            "spare_worth": 0.05,
+            "meter": 0.5,
+        },
+        "guarantees": {
+            "drain_grace": 0.25,
+            "answer_slack": 0.008,
+            "fall": 2.0,
+            "tip_multiple": 2.0,
+            "start_capacity": 0.25,
+            "warm_after": 2.0,
+            "must_ask_in": 8.0,
+        },
+        "limits": {
+            "try_limit": shape["try_limit"],
+            "second_copies": shape["second_copies"],
+            "cancelling": shape["cancelling"],
+            "retry_after": True,
+            "max_retry_after": 0.5,
+            "connect_timeout": 0.25,
+            "idle_close": 15.0,
+        },
+    }
 
 
 def orders(count: int, seed: int) -> list[int]:
@@ -78,15 +145,29 @@
         for k, c in zip(classes, s.classes, strict=True):
             want = made["classes"][k]
             assert (c.name, c.effect, c.group, c.window) == (
-                want["name"], effects[want["repeat"]], Group(want["group"]), want.get("window", 0.0))
+                want["name"],
+                effects[want["repeat"]],
+                Group(want["group"]),
+                want.get("window", 0.0),
+            )
             assert (c.aim, c.deadline, c.worth, c.late_worth) == (
-                want["aim"], want["deadline"], want["value"], want.get("late_value", 0.0))
+                want["aim"],
+                want["deadline"],
+                want["value"],
+                want.get("late_value", 0.0),
+            )
             assert c.writes is made["writes"][k]
         for k, p in zip(plans, s.plans, strict=True):
             want = made["grades"][k]
             assert (p.name, p.rate, p.weight, p.reserve, p.limit, p.limit_depth, p.worth_factor) == (
-                want["name"], want["rate"], want["shares"], want["floor_rate"], want["cap"], want["cap_depth"],
-                want["value_factor"])
+                want["name"],
+                want["rate"],
+                want["shares"],
+                want["floor_rate"],
+                want["cap"],
+                want["cap_depth"],
+                want["value_factor"],
+            )
 
 
 def story(shape: dict[str, Any], classes: list[int], plans: list[int], renamed: bool) -> list[Any]:
@@ -126,8 +207,12 @@
         c, p = random.randrange(len(classes)), random.randrange(len(plans))
         patience = shape["classes"][c]["deadline"]
         volume, cell = 1 + p * 3 + ident % 3, ident % 3
-        give(now, Request(ident, classes.index(c), plans.index(p), 0, patience, volume, 2.0, cell, 2, False,
-                          shape["writes"][c]))
+        give(
+            now,
+            Request(
+                ident, classes.index(c), plans.index(p), 0, patience, volume, 2.0, cell, 2, False, shape["writes"][c]
+            ),
+        )
     return done
 
 
@@ -156,9 +241,13 @@
 
 def test_no_name_of_a_deployment_stands_in_the_program() -> None:
     """Those of our own variants, as a sample: sites, classes, plans, zones, kinds and cells' stores."""
-    names = {line.split('"')[1] for path in (ROOT / "deploy/sites").glob("*/*.toml")
-             for line in path.read_text().splitlines() if line.startswith(("name = ", "zones = ")) and '"' in line}
-    names -= {"only", "staff", "press", "branch", "reader", "board", "slow", "crash", "deep-2c"}   # plain words
+    names = {
+        line.split('"')[1]
+        for path in (ROOT / "deploy/sites").glob("*/*.toml")
+        for line in path.read_text().splitlines()
+        if line.startswith(("name = ", "zones = ")) and '"' in line
+    }
+    names -= {"only", "staff", "press", "branch", "reader", "board", "slow", "crash", "deep-2c"}  # plain words
     assert len(names) > 15
     texts = [p.read_text() for p in [*(ROOT / "fawnspool").rglob("*.py"), ROOT / "deploy/balancer.toml"]]
     assert not [name for name in names for text in texts if f'"{name}"' in text]
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,5 @@
 """What heads share: counts that merge in any order, words that read, who takes part, what is thought of nodes."""
+
 from __future__ import annotations
 
 import itertools
@@ -20,8 +21,9 @@
 
 # ------------------------------------------------------------ counts
 
-marks = st.builds(Mark, st.integers(0, 3), st.integers(1, 4), st.integers(0, 5).map(float),
-                  st.integers(0, 5).map(float))
+marks = st.builds(
+    Mark, st.integers(0, 3), st.integers(1, 4), st.integers(0, 5).map(float), st.integers(0, 5).map(float)
+)
 
 
 @given(st.lists(marks, max_size=12), st.randoms(use_true_random=False))
@@ -33,8 +35,8 @@
     for m in again:
         other.merge([m])
     half = Count()
-    half.merge(found[:len(found) // 2])
-    third.merge(found[len(found) // 2:])
+    half.merge(found[: len(found) // 2])
+    third.merge(found[len(found) // 2 :])
     third.merge(x for lives in half.marks.values() for x in lives)
     assert one.marks == other.marks == third.marks
 
@@ -127,7 +129,7 @@
         c.merge([Mark(0, life, 10.0, float(life))])
     assert len(c.marks[0]) == LIVES
     assert c.read(9.0, 1, 5.0, 0.0).at_least == 10.0 * LIVES
-    c.merge([Mark(0, 3, 99.0, 9.0)])                    # a word of a life that was folded long ago
+    c.merge([Mark(0, 3, 99.0, 9.0)])  # a word of a life that was folded long ago
     assert c.read(9.0, 1, 5.0, 0.0).at_least == 10.0 * LIVES
     c.merge(Mark(h, 1, 1.0, float(h)) for h in range(1, 500))
     assert len(c.marks) == HEADS_MOST
@@ -144,23 +146,39 @@
 
 # ------------------------------------------------------------ messages
 
-count_rows = st.builds(CountRow, st.integers(0, 2**64 - 1), st.integers(0, 65535), st.integers(0, 2**32 - 1),
-                       st.floats(0, 1e9, width=32), st.integers(0, 65535).map(lambda n: n / 100))
-says_rows = st.builds(SaysRow, st.integers(0, 2**32 - 1), st.integers(0, 65535), st.sampled_from([0, 1, 2]),
-                      st.integers(0, 255), st.integers(0, 65535).map(lambda n: n / 100))
-
-
-@given(st.sampled_from([Kind.HERE, Kind.WANT, Kind.HEADS]), st.lists(count_rows, max_size=12),
-       st.lists(says_rows, max_size=25))
+count_rows = st.builds(
+    CountRow,
+    st.integers(0, 2**64 - 1),
+    st.integers(0, 65535),
+    st.integers(0, 2**32 - 1),
+    st.floats(0, 1e9, width=32),
+    st.integers(0, 65535).map(lambda n: n / 100),
+)
+says_rows = st.builds(
+    SaysRow,
+    st.integers(0, 2**32 - 1),
+    st.integers(0, 65535),
+    st.sampled_from([0, 1, 2]),
+    st.integers(0, 255),
+    st.integers(0, 65535).map(lambda n: n / 100),
+)
+
+
+@given(
+    st.sampled_from([Kind.HERE, Kind.WANT, Kind.HEADS]),
+    st.lists(count_rows, max_size=12),
+    st.lists(says_rows, max_size=25),
+)
 def test_messages_read_as_they_were_written(kind: Kind, some: list[CountRow], said: list[SaysRow]) -> None:
-    for m in (Message(kind, 7, tuple(some)), Message(Kind.SAYS, 7, tuple(said[:rows_of(Kind.SAYS)]))):
+    for m in (Message(kind, 7, tuple(some)), Message(Kind.SAYS, 7, tuple(said[: rows_of(Kind.SAYS)]))):
         body = pack(m)
         read = unpack(body)
         assert len(body) <= 256 and (read.kind, read.mark, len(read.rows)) == (m.kind, 7, len(m.rows))
         for a, b in zip(read.rows, m.rows, strict=True):
             assert abs(a.age - b.age) < 0.006
             assert [getattr(a, n) for n in type(b).__slots__ if n != "age"] == [
-                getattr(b, n) for n in type(b).__slots__ if n != "age"]
+                getattr(b, n) for n in type(b).__slots__ if n != "age"
+            ]
 
 
 @given(st.binary(max_size=300))
@@ -205,7 +223,7 @@
         for k, t in tables.items():
             deliver(tables, k, list(t.look(now)), now, told.setdefault(k, []))
     assert told[2][-1] == Takers(77, (5, 9))
-    assert not told[5] and not told[9]              # they have enough
+    assert not told[5] and not told[9]  # they have enough
     tables[5].used(77, 3.0)
     for step in range(40, 90):
         for k, t in tables.items():
@@ -241,7 +259,7 @@
     assert len(table.mine) == VOLUMES_MOST
     rows = [r for o in table.look(1.0) if isinstance(o, Say) for r in o.message.rows]
     assert len(rows) <= 2 * ROWS_A_LOOK
-    assert {o.message.kind for o in table.look(1.0) if isinstance(o, Say)} == {Kind.HERE}       # asked a moment ago
+    assert {o.message.kind for o in table.look(1.0) if isinstance(o, Say)} == {Kind.HERE}  # asked a moment ago
     assert [r.volume for r in rows][:2] in ([4998, 4999], [4999, 4998], [4998, 4998], [4999, 4999])
 
 
@@ -294,7 +312,7 @@
     f = Fleet(6)
     f.bad(0, 50)
     f.looks(6)
-    assert not f.shun(50)                   # one alone turns nobody
+    assert not f.shun(50)  # one alone turns nobody
     f.bad(1, 50)
     f.looks(6)
     assert len(f.shun(50)) >= 5
@@ -391,11 +409,11 @@
     f.looks(4)
     assert len(f.shun(50)) >= 10
     f.looks()
-    f.well(0, 50)                           # 0 returns by its own evidence; the others hear of one
+    f.well(0, 50)  # 0 returns by its own evidence; the others hear of one
     f.looks(4)
     assert len(f.shun(50)) >= 9
     tries = [o for k, o in f.told if not o.well and o.pause == 0.0]
-    assert 0 < len(tries) < 12              # a few try at once
+    assert 0 < len(tries) < 12  # a few try at once
     f.well(1, 50)
     f.looks(6)
     assert not f.shun(50)
@@ -415,7 +433,7 @@
         for k in range(40):
             f.bad(k, node, 1)
     f.looks(20)
-    assert f.bytes / 40 / 5.0 < 2048 + 512      # a second and head
+    assert f.bytes / 40 / 5.0 < 2048 + 512  # a second and head
     assert all(len(j.nodes) <= 1024 and len(n.found) <= 256 for j in f.judges for n in j.nodes.values())
 
 
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -1,4 +1,5 @@
 """What spares work per event must choose as the long way would."""
+
 from __future__ import annotations
 
 from hypothesis import given
@@ -7,8 +8,13 @@
 from fawnspool.control import RUN_LIMIT, Controller, _Job, _Lane
 from tests.conftest import Head, make_class, make_plan, make_settings
 
-STEPS = st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2), st.integers(1, 8),
-                           st.sampled_from([0.3, 1.0, 3.0]), st.floats(0, 0.05)), min_size=5, max_size=40)
+STEPS = st.lists(
+    st.tuples(
+        st.integers(0, 3), st.integers(0, 2), st.integers(1, 8), st.sampled_from([0.3, 1.0, 3.0]), st.floats(0, 0.05)
+    ),
+    min_size=5,
+    max_size=40,
+)
 
 
 def long_way(control: Controller, lane: _Lane) -> _Job | None:
@@ -21,8 +27,13 @@
 
 
 def build() -> Head:
-    return Head(make_settings(classes=(make_class(aim=0.5),), plans=(
-        make_plan(weight=2.0), make_plan(limit=40.0, limit_depth=32.0, limit_slack=8.0))), nodes=2).warm()
+    return Head(
+        make_settings(
+            classes=(make_class(aim=0.5),),
+            plans=(make_plan(weight=2.0), make_plan(limit=40.0, limit_depth=32.0, limit_slack=8.0)),
+        ),
+        nodes=2,
+    ).warm()
 
 
 @given(STEPS)
@@ -58,7 +69,7 @@
     h = build()
     lane = h.control.lanes[0]
     h.ask(0, units=1.0, patience=60.0)
-    lane.soonest = 0.0          # as if something long sent had been wanted earlier
+    lane.soonest = 0.0  # as if something long sent had been wanted earlier
     lane.bound = 1.0
     h.ask(0, units=1.0, patience=60.0)
     lane.soonest = 0.0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -185,26 +185,23 @@
 @given(
     heads=st.sampled_from([1, 3, 260]),
     steps=st.lists(
-        st.tuples(
-            st.integers(0, 400), st.integers(-1, 60), st.integers(0, 500), WILD, st.sampled_from(list(Result))
-        ),
+        st.tuples(st.integers(0, 400), st.integers(-1, 60), st.integers(0, 500), WILD, st.sampled_from(list(Result))),
         max_size=60,
     ),
 )
-def test_nothing_told_makes_a_head_raise(
-    heads: int, steps: list[tuple[int, int, int, float, Result]]
-) -> None:
+def test_nothing_told_makes_a_head_raise(heads: int, steps: list[tuple[int, int, int, float, Result]]) -> None:
     """Nonsense from meters, reports, lists and peers, volumes by the hundred, head counts that change."""
     settings = make_settings(
-        heads=heads, peers=True, plans=(RESERVED, make_plan(limit=9.0, limit_depth=99.0)),
-        classes=(make_class(), make_class(effect=Effect.UNSAFE)))
+        heads=heads,
+        peers=True,
+        plans=(RESERVED, make_plan(limit=9.0, limit_depth=99.0)),
+        classes=(make_class(), make_class(effect=Effect.UNSAFE)),
+    )
     h = Head(settings, nodes=40)
     for k, (volume, cell, count, wild, result) in enumerate(steps):
         h.give(NodeList(ListKind.CHANGES, 3 + k, (entry(500 + cell, abs(cell), started=wild),)))
         patience, repeat = 0.5 + volume / 100, k % 2 == 0
-        h.give(
-            Request(10_000 + k, k % 2, volume % 2, k % 3, patience, volume, 1.0, cell, count, repeat, False)
-        )
+        h.give(Request(10_000 + k, k % 2, volume % 2, k % 3, patience, volume, 1.0, cell, count, repeat, False))
         h.give(PeerMessage(count, bytes([1 + k % 2]) + volume.to_bytes(8, "big") + b"\x7f\xc0\x00\x00" + bytes(4)))
         for ident, job in list(h.control.jobs.items())[:2]:
             for n, attempt in enumerate(job.tries):
--- a/tests/test_stale.py
+++ b/tests/test_stale.py
@@ -1,4 +1,5 @@
 """What heads do with places that may be old: costs weighed, questions bounded, no stampede when the service is back."""
+
 from __future__ import annotations
 
 import math
@@ -64,7 +65,7 @@
     s = knows(Terms(peak=10.0, heads=1), moves=50)
     asked = [s.choose(40.0, MAP, "v", f"x{k}", 2.0) for k in range(50)]
     assert sum(a is not Do.SEND for a in asked) == 10 and s.refused == 40
-    assert s.choose(40.0, MAP, "v", "x0", 2.0) is Do.SEND and s.refused == 40      # it is asked already
+    assert s.choose(40.0, MAP, "v", "x0", 2.0) is Do.SEND and s.refused == 40  # it is asked already
     s.answered(40.1, "v", "x0", 0.1)
     assert s.choose(41.2, MAP, "v", "x0", 2.0) is not Do.SEND
 
@@ -84,7 +85,7 @@
     assert s.choose(40.0 + pause * 0.9, MAP, "v", "x", 2.0) is Do.SEND and s.refused == 1
     assert s.choose(40.0 + pause * 1.1, MAP, "v", "x", 2.0) is Do.ASK_FIRST
     other = next(f"v{k}" for k in range(99) if shard_of(f"v{k}", 4) != here)
-    assert s.choose(40.1, MAP, other, "x", 2.0) is Do.ASK_FIRST      # that shard's service answers
+    assert s.choose(40.1, MAP, other, "x", 2.0) is Do.ASK_FIRST  # that shard's service answers
     assert Staleness(Terms(), 4, 1).age(5.0) == math.inf
 
 
@@ -101,7 +102,7 @@
     it back and fetches after its spread. Calls a second stay near what the service was said to bear."""
     terms = Terms(peak=100.0, heads=190)
     heads = [knows(terms, moves=1, seed=k) for k in range(190)]
-    due = [(10.0, k) for k in range(190)]       # all notice at the same moment
+    due = [(10.0, k) for k in range(190)]  # all notice at the same moment
     heapify(due)
     calls: Counter[int] = Counter()
     fetched: list[float] = []
@@ -121,7 +122,8 @@
 
 @given(st.lists(st.tuples(st.sampled_from("tfcsa"), st.floats(0, 5), st.booleans(), st.integers(0, 300)), max_size=80))
 def test_whatever_comes_its_tables_are_bounded_and_its_figures_are_sane(
-        steps: list[tuple[str, float, bool, int]]) -> None:
+    steps: list[tuple[str, float, bool, int]],
+) -> None:
     s, now = Staleness(Terms(waiting=8, peak=50.0), 4, 3), 0.0
     for what, pause, yes, n in steps:
         now += pause
@@ -147,7 +149,8 @@
         assert s.choose(20.0 + pause * 0.99, MAP, volume, "x", 2.0) is Do.SEND
     assert s.refused == 8
     assert {s.choose(20.0 + pause * 1.01 + k, MAP, volume, "x", 2.0) for k, volume in enumerate("abcdefgh")} == {
-        Do.ASK_FIRST}
+        Do.ASK_FIRST
+    }
 
 
 def test_a_map_from_disk_is_doubted_until_the_service_has_been_heard() -> None:
@@ -172,7 +175,7 @@
     pauses = [s.follow(turn, turn % 2 == 0, 10.0, False) for turn in range(1, s.FOLLOWED - 1)]
     assert all(p is not None and p > 0 for p in pauses) and (pauses[-1] or 0) > (pauses[0] or 0)
     assert s.follow(s.FOLLOWED - 1, True, 10.0, False) is None
-    assert s.follow(0, True, 10.0, True) is None            # its body came once, or it keeps an order
+    assert s.follow(0, True, 10.0, True) is None  # its body came once, or it keeps an order
     assert s.follow(0, False, 0.0001, False) is None and s.follow(0, True, 0.0, False) is None
 
 
@@ -180,7 +183,7 @@
     k = Keep()
     assert [k.what(1.0, 1, 5) for _ in range(2)] == [Write.WHOLE, Write.ROW]
     assert k.what(2.0, LOG_LEAST, 5) is Write.WHOLE and k.what(2.0, 1, 5) is Write.ROW
-    assert k.what(3.0, LOG_LEAST, 3 * LOG_LEAST) is Write.ROW       # a large map is written more seldom
+    assert k.what(3.0, LOG_LEAST, 3 * LOG_LEAST) is Write.ROW  # a large map is written more seldom
     k.failed(10.0)
     assert k.what(10.0 + RETRY_S / 2, 1, 5) is Write.NOTHING and k.what(10.0 + RETRY_S, 1, 5) is Write.WHOLE
     assert k.time_due(100.0) and not k.time_due(100.1)
