--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,7 @@
 	$(PY) -m pytest
 
 lint: $(STAMP)
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 	.venv/bin/lint-imports
--- a/benchmarks/duties_walks.py
+++ b/benchmarks/duties_walks.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from random import Random
 
-from fawnspool.duties.terms import Terms
+from fawnspool.leases.terms import Terms
 from fawnspool.model.duties import Duties, Net
 
 BAD = Net(delay=0.005, loss=0.1, twice=0.1, late=0.1, late_by=5.0)
--- a/benchmarks/extent_map.py
+++ b/benchmarks/extent_map.py
@@ -19,9 +19,9 @@
 import immutables
 import pyrsistent
 
-from fawnspool.extents.facts import Delta, Fact, Stamp
 from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.head.mapfile import read, write
+from fawnspool.extents.records import Delta, Fact, Stamp
+from fawnspool.gateway.map_store import read, write
 from fawnspool.standins.catalogue import Catalogue
 
 SHARDS = 64
--- a/benchmarks/model_power.py
+++ b/benchmarks/model_power.py
@@ -26,19 +26,19 @@
 
 def worse(folder: Path, part: float) -> str:
     """A copy of the module that turns a part of all extents away."""
-    text = (ROOT / "fawnspool/control.py").read_text()
+    text = (ROOT / "fawnspool/scheduling/scheduler.py").read_text()
     at = text.index("    def handle(self, now: float, event: Event) -> list[Action]:\n")
     end = text.index("\n", at) + 1
     text = (
         text[:end]
         + (
             f"        if isinstance(event, Request) and event.extent % 10_000 < {part * 10_000:.0f}:\n"
-            "            return [Refuse(event.id, 0.1)]\n"
+            "            return [RejectRequest(event.id, 0.1)]\n"
         )
         + text[end:]
     )
-    (folder / "control.py").write_text(text)
-    return str(folder / "control.py")
+    (folder / "scheduler.py").write_text(text)
+    return str(folder / "scheduler.py")
 
 
 def main() -> None:
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -13,13 +13,13 @@
 from pathlib import Path
 
 from fawnspool.config.schema import load
-from fawnspool.control import Controller
 from fawnspool.days.day import Day, check
 from fawnspool.days.terms import terms_of
 from fawnspool.days.worth import count
 from fawnspool.model.world import World
 from fawnspool.rules.judge import judge
 from fawnspool.rules.story import read
+from fawnspool.scheduling.scheduler import Scheduler
 
 FULL = Path(__file__).parent / "days/fleet-190.hcl"
 
@@ -45,7 +45,7 @@
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for heads, nodes, rate in ((3, 10, 133.0), (30, 10, 133.0), (30, 45, 600.0), (190, 45, 300.0), (190, 45, 600.0)):
         day = at(full, heads, nodes, rate)
-        world = World(day, 1, Controller)
+        world = World(day, 1, Scheduler)
         began = time.perf_counter()
         if asked.profile and (heads, rate) == (190, 600.0):
             profile = cProfile.Profile()
--- a/fawnspool/adapter/host.py
+++ b/fawnspool/adapter/host.py
@@ -4,21 +4,23 @@
 
 from typing import BinaryIO
 
-from fawnspool import interface as i
 from fawnspool.adapter import wire
 from fawnspool.adapter.settings import SettingsError, read_settings
-from fawnspool.control import Controller
+from fawnspool.scheduling import interface
+from fawnspool.scheduling.scheduler import Scheduler
 
 
 class Host:
     """The instances of this process, by number."""
 
     def __init__(self) -> None:
-        self.heads: dict[int, Controller] = {}
+        self.heads: dict[int, Scheduler] = {}
 
-    def batch(self, now: float, events: list[tuple[int, wire.WireEvent]]) -> list[tuple[int, i.Action | wire.Crash]]:
+    def batch(
+        self, now: float, events: list[tuple[int, wire.WireEvent]]
+    ) -> list[tuple[int, interface.Action | wire.Crash]]:
         """All actions of one batch, an instance's in the order of its events."""
-        out: list[tuple[int, i.Action | wire.Crash]] = []
+        out: list[tuple[int, interface.Action | wire.Crash]] = []
         for who, event in events:
             try:
                 out.extend((who, action) for action in self._one(now, who, event))
@@ -28,9 +30,9 @@
                 out.append((who, wire.Crash(f"{type(bad).__name__}: {bad}")))
         return out
 
-    def _one(self, now: float, who: int, event: wire.WireEvent) -> list[i.Action]:
+    def _one(self, now: float, who: int, event: wire.WireEvent) -> list[interface.Action]:
         if isinstance(event, wire.Start):
-            self.heads[who] = Controller(read_settings(event.conf), event.seed)
+            self.heads[who] = Scheduler(read_settings(event.conf), event.seed)
             return []
         if isinstance(event, wire.Stop):
             self.heads.pop(who, None)
--- a/fawnspool/adapter/settings.py
+++ b/fawnspool/adapter/settings.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from fawnspool.interface import Effect, Group, Plan, RequestClass, Settings
+from fawnspool.scheduling.interface import DeduplicationScope, Idempotence, Plan, RequestClass, Settings
 
-_EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
+_EFFECTS = {"free": Idempotence.IDEMPOTENT, "guarded": Idempotence.WITH_KEY, "single_shot": Idempotence.NON_IDEMPOTENT}
 
 
 class SettingsError(Exception):
@@ -98,39 +98,39 @@
     return Settings(
         classes=tuple(_request_class(p, k, writes) for k in range(p.many("classes"))),
         plans=tuple(_plan(p, k) for k in range(p.many("grades"))),
-        heads=int(p.above("siblings")),
-        me=p.whole("me"),
+        gateway_count=int(p.above("siblings")),
+        gateway_id=p.whole("me"),
         zone=p.whole("zone", 0),
-        must_ask=p.text("discovery", "push") == "ask",
-        must_ask_in=p.number("guarantees.must_ask_in", 0.0),
-        drain_grace=p.number("guarantees.drain_grace"),
-        answer_slack=p.number("guarantees.answer_slack", 0.0),
-        fall=p.above("guarantees.fall"),
-        fall_multiple=p.number("guarantees.tip_multiple"),
-        cold_capacity=p.number("guarantees.start_capacity"),
-        warm_after=p.number("guarantees.warm_after"),
-        young_limit=p.number("family_info.young_limit"),
+        polls_endpoints=p.text("discovery", "push") == "ask",
+        poll_interval_s=p.number("guarantees.must_ask_in", 0.0),
+        drain_grace_s=p.number("guarantees.drain_grace"),
+        answer_slack_s=p.number("guarantees.answer_slack", 0.0),
+        overload_window_s=p.above("guarantees.fall"),
+        overload_multiple=p.number("guarantees.tip_multiple"),
+        initial_capacity_fraction=p.number("guarantees.start_capacity"),
+        warm_up_s=p.number("guarantees.warm_after"),
+        slow_start_units=p.number("family_info.young_limit"),
         mean_units=p.above("family_info.usual_units"),
         largest_units=p.number("family_info.largest"),
-        cells=p.whole("family_info.slots_total"),
-        share_worth=p.number("family_info.fair_worth"),
-        spare_worth=p.number("family_info.spare_worth"),
-        meter=p.number("family_info.meter", 0.0),
-        tells_others=p.flag("family_info.says_others", False),
-        try_limit=p.whole("limits.try_limit"),
-        second_copies=p.flag("limits.second_copies", False),
-        may_cancel=p.flag("limits.cancelling", False),
-        may_probe=p.flag("limits.may_probe", False),
-        peers=p.flag("limits.peers", False),
-        retry_after=p.flag("limits.retry_after", False),
-        max_retry_after=p.number("limits.max_retry_after", 0.0),
-        connect_timeout=p.number("limits.connect_timeout", 0.0),
-        tick=p.number("tick"),
-        extra_free=p.number("guarantees.extra_free", 0.0) if _budgeted(p) else None,
-        extra_ratio=p.number("guarantees.repeat_ratio", 0.0),
-        extra_span=p.number("guarantees.budget_span", 0.0),
-        settle_after_doubt=p.number("guarantees.settle_after_doubt", 0.0),
-        load_fields=p.names("load_report.fields"),
+        shard_count=p.whole("family_info.slots_total"),
+        within_share_priority_weight=p.number("family_info.fair_worth"),
+        spare_priority_weight=p.number("family_info.spare_worth"),
+        meter_period_s=p.number("family_info.meter", 0.0),
+        reports_use_by_others=p.flag("family_info.says_others", False),
+        max_attempts=p.whole("limits.try_limit"),
+        hedging=p.flag("limits.second_copies", False),
+        can_cancel=p.flag("limits.cancelling", False),
+        can_probe=p.flag("limits.may_probe", False),
+        has_peer_messages=p.flag("limits.peers", False),
+        sends_retry_after=p.flag("limits.retry_after", False),
+        max_retry_after_s=p.number("limits.max_retry_after", 0.0),
+        connect_timeout_s=p.number("limits.connect_timeout", 0.0),
+        clock_tick_s=p.number("tick"),
+        retry_budget_minimum=p.number("guarantees.extra_free", 0.0) if _budgeted(p) else None,
+        retry_budget_ratio=p.number("guarantees.repeat_ratio", 0.0),
+        retry_budget_window_s=p.number("guarantees.budget_span", 0.0),
+        settle_after_ambiguity_s=p.number("guarantees.settle_after_doubt", 0.0),
+        load_report_fields=p.names("load_report.fields"),
     )
 
 
@@ -144,17 +144,17 @@
     if effect not in _EFFECTS:
         raise SettingsError(f"setting {at}repeat is unknown: {effect!r}")
     group = p.text(at + "group", "all")
-    if group not in Group._value2member_map_:
+    if group not in DeduplicationScope._value2member_map_:
         raise SettingsError(f"setting {at}group is unknown: {group!r}")
     return RequestClass(
         name=p.text(at + "name", str(k)),
-        aim=p.above(at + "aim"),
-        deadline=p.above(at + "deadline"),
-        worth=p.number(at + "value"),
-        late_worth=p.number(at + "late_value", 0.0),
-        effect=_EFFECTS[effect],
-        group=Group(group),
-        window=p.number(at + "window", 0.0),
+        latency_objective_s=p.above(at + "aim"),
+        deadline_s=p.above(at + "deadline"),
+        priority_weight=p.number(at + "value"),
+        late_priority_weight=p.number(at + "late_value", 0.0),
+        idempotence=_EFFECTS[effect],
+        deduplication_scope=DeduplicationScope(group),
+        deduplication_window_s=p.number(at + "window", 0.0),
         writes=k < len(writes) and writes[k] == "true",
         stream=p.flag(at + "stream", False),
         ordered=p.flag(at + "fifo_by_key", False),
@@ -166,10 +166,10 @@
     return Plan(
         name=p.text(at + "name", str(k)),
         rate=p.number(at + "rate"),
-        reserve=p.number(at + "floor_rate", 0.0),
+        reserved_rate=p.number(at + "floor_rate", 0.0),
         weight=p.above(at + "shares"),
-        worth_factor=p.number(at + "value_factor"),
-        limit=p.number(at + "cap", 0.0),
-        limit_depth=p.number(at + "cap_depth", 0.0),
-        limit_slack=p.number(at + "tolerance", 0.0),
+        priority_factor=p.number(at + "value_factor"),
+        rate_limit=p.number(at + "cap", 0.0),
+        rate_limit_burst=p.number(at + "cap_depth", 0.0),
+        rate_limit_tolerance=p.number(at + "tolerance", 0.0),
     )
--- a/fawnspool/adapter/wire.py
+++ b/fawnspool/adapter/wire.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, BinaryIO
 
-from fawnspool import interface as i
+from fawnspool.scheduling import interface
 
 EVENT_SIZE = 56
 ACTION_SIZE = 24
@@ -32,17 +32,22 @@
     9: struct.Struct(">IIHId"),
     10: struct.Struct(">IIIHdBHHBB4f"),
 }
-_PHASES = {0: i.Phase.GONE, 1: i.Phase.READY, 2: i.Phase.DRAINING}
-_LISTS = {0: i.ListKind.SAVED, 1: i.ListKind.WHOLE, 2: i.ListKind.CHANGES, 3: i.ListKind.FAILED}
+_PHASES = {0: interface.Phase.GONE, 1: interface.Phase.READY, 2: interface.Phase.DRAINING}
+_LISTS = {
+    0: interface.UpdateKind.CACHED,
+    1: interface.UpdateKind.SNAPSHOT,
+    2: interface.UpdateKind.DELTA,
+    3: interface.UpdateKind.POLL_FAILED,
+}
 _RESULTS = {
-    10: i.Result.SERVED,
-    20: i.Result.ERROR,
-    30: i.Result.FULL,
-    40: i.Result.TIMED_OUT,
-    50: i.Result.UNREACHED,
-    60: i.Result.BROKEN,
-    70: i.Result.CANCELLED,
-    80: i.Result.MOOT,
+    10: interface.Result.SERVED,
+    20: interface.Result.ERROR,
+    30: interface.Result.OVERLOADED,
+    40: interface.Result.TIMED_OUT,
+    50: interface.Result.CONNECT_FAILED,
+    60: interface.Result.RESET,
+    70: interface.Result.CANCELLED,
+    80: interface.Result.NOT_SENT,
 }
 _REPEAT, _WRITE = 2, 4
 
@@ -71,7 +76,7 @@
     text: str
 
 
-WireEvent = i.Event | Start | Stop
+WireEvent = interface.Event | Start | Stop
 
 
 def read_batch(stream: BinaryIO) -> tuple[float, list[tuple[int, WireEvent]]] | None:
@@ -135,13 +140,15 @@
 
 def _list(body: bytes, at: int, tail: int, f: list[int]) -> WireEvent:
     raw = _slice(body, at, tail + f[2], f[3] * _ENTRY.size)
-    rows = tuple(i.ListEntry(n, z, k, c, _PHASES[p], size, up) for n, z, k, c, p, size, up in _ENTRY.iter_unpack(raw))
-    return i.NodeList(_LISTS[f[0]], f[1], rows)
+    rows = tuple(
+        interface.Endpoint(n, z, k, c, _PHASES[p], size, up) for n, z, k, c, p, size, up in _ENTRY.iter_unpack(raw)
+    )
+    return interface.EndpointUpdate(_LISTS[f[0]], f[1], rows)
 
 
 def _request(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
     ident, cls, plan, item, patience, volume, units, shard, heads, opts = f
-    return i.Request(
+    return interface.Request(
         int(ident),
         int(cls),
         int(plan),
@@ -162,7 +169,7 @@
 
 def _outcome(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
     ident, node, attempt, took, final, others, used, reason = f[:8]
-    return i.Outcome(
+    return interface.Outcome(
         int(ident),
         int(attempt),
         int(node),
@@ -177,19 +184,19 @@
 
 _BUILD: dict[int, Callable[[bytes, int, int, list[Any]], WireEvent]] = {
     1: _start,
-    2: lambda b, at, tail, f: i.Probed(f[0], _RESULTS[f[1]], f[2], _load(f[3:])),
+    2: lambda b, at, tail, f: interface.Probed(f[0], _RESULTS[f[1]], f[2], _load(f[3:])),
     3: _request,
-    4: lambda b, at, tail, f: i.PeerMessage(f[0], _slice(b, at, tail + f[1], f[2])),
-    5: lambda b, at, tail, f: i.Timer(f[0]),
+    4: lambda b, at, tail, f: interface.PeerMessage(f[0], _slice(b, at, tail + f[1], f[2])),
+    5: lambda b, at, tail, f: interface.Timer(f[0]),
     6: lambda b, at, tail, f: Stop(),
     7: _list,
-    8: lambda b, at, tail, f: i.ClientGone(f[0]),
-    9: lambda b, at, tail, f: i.Begun(f[0], f[1], f[2], f[3]),
+    8: lambda b, at, tail, f: interface.ClientDisconnected(f[0]),
+    9: lambda b, at, tail, f: interface.StreamStarted(f[0], f[1], f[2], f[3]),
     10: _outcome,
 }
 
 
-def encode(replies: list[tuple[int, i.Action | Crash]]) -> bytes:
+def encode(replies: list[tuple[int, interface.Action | Crash]]) -> bytes:
     """One reply frame."""
     tail = bytearray()
     records = []
@@ -200,29 +207,29 @@
 
     for who, a in replies:
         match a:
-            case i.Send():
-                raw = struct.pack(">BIIId", 1, who, a.id, a.node, a.timeout)
-            case i.Refuse():
-                raw = struct.pack(">BIId", 2, who, a.id, a.retry_after)
-            case i.Fail():
+            case interface.Send():
+                raw = struct.pack(">BIIId", 1, who, a.id, a.node, a.timeout_s)
+            case interface.RejectRequest():
+                raw = struct.pack(">BIId", 2, who, a.id, a.retry_after_s)
+            case interface.FailRequest():
                 raw = struct.pack(">BII", 3, who, a.id)
-            case i.Cancel():
+            case interface.Cancel():
                 raw = struct.pack(">BIIH", 4, who, a.id, a.attempt)
-            case i.SetTimer():
-                raw = struct.pack(">BIdQ", 5, who, a.delay, a.token)
-            case i.Probe():
+            case interface.SetTimer():
+                raw = struct.pack(">BIdQ", 5, who, a.delay_s, a.token)
+            case interface.Probe():
                 raw = struct.pack(">BII", 6, who, a.node)
-            case i.CloseIdle():
+            case interface.CloseIdle():
                 raw = struct.pack(">BII", 7, who, a.node)
-            case i.Tell():
-                raw = struct.pack(">BIIII", 8, who, EVERYONE if a.head is None else a.head, *text(a.body))
-            case i.Log():
+            case interface.SendPeerMessage():
+                raw = struct.pack(">BIIII", 8, who, EVERYONE if a.gateway_id is None else a.gateway_id, *text(a.body))
+            case interface.Log():
                 raw = struct.pack(">BIII", 9, who, *text(a.text.encode()))
             case Crash():
                 raw = struct.pack(">BIII", 10, who, *text(a.text.encode()))
-            case i.Watch():
-                raw = struct.pack(">BIB", 11, who, a.on)
-            case i.FetchList():
+            case interface.SetWatch():
+                raw = struct.pack(">BIB", 11, who, a.enabled)
+            case interface.FetchEndpoints():
                 raw = struct.pack(">BI", 12, who)
         records.append(raw.ljust(ACTION_SIZE, b"\0"))
     return b"".join([_REPLY.pack(len(records), len(records) * ACTION_SIZE + len(tail)), *records, tail])
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -21,12 +21,12 @@
 import xxhash
 
 from fawnspool.config.head import HeadConfig
-from fawnspool.head.head import Head
-from fawnspool.head.pending import Answer, Body, Kind, Pending
-from fawnspool.head.places import PlacesError
+from fawnspool.gateway.extent_directory import PlacesError
+from fawnspool.gateway.gateway import Head
+from fawnspool.gateway.request_state import Answer, Body, Kind, Pending
 from fawnspool.net.http import BadMessage, Limits
 from fawnspool.net.http import Head as MessageHead
-from fawnspool.net.nodewire import MOVED, read_moved, target
+from fawnspool.net.node_headers import MOVED, read_moved, target
 from fawnspool.net.server import Exchange, Server, address
 
 KEY_MOST = 300
--- a/fawnspool/baselines/passthrough.py
+++ b/fawnspool/baselines/passthrough.py
@@ -4,50 +4,54 @@
 
 from random import Random
 
-from fawnspool import interface as i
+from fawnspool.scheduling import interface
 
 
 class PassThrough:
     """The same calls as the decision module; the actions of a head without decisions."""
 
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.s, self.random = settings, Random(seed)
-        self.nodes: dict[int, i.ListEntry] = {}
+        self.nodes: dict[int, interface.Endpoint] = {}
         self.cells: dict[int, int] = {}
-        self.open: dict[int, i.Request] = {}
-        self.acts: list[i.Action] = []
+        self.open: dict[int, interface.Request] = {}
+        self.acts: list[interface.Action] = []
 
-    def handle(self, now: float, event: i.Event) -> list[i.Action]:
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
         self.acts = []
         match event:
-            case i.NodeList():
+            case interface.EndpointUpdate():
                 self._list(event)
-            case i.Request():
-                cell = event.cell if event.cell >= 0 else self.random.choice(sorted(self.cells) or [-1])
+            case interface.Request():
+                cell = event.shard if event.shard >= 0 else self.random.choice(sorted(self.cells) or [-1])
                 if cell in self.cells:
                     self.open[event.id] = event
-                    self.acts.append(i.Send(event.id, self.cells[cell], event.patience))
+                    self.acts.append(interface.Send(event.id, self.cells[cell], event.timeout_s))
                 else:
-                    self.acts.append(i.Refuse(event.id))
-            case i.Outcome():
+                    self.acts.append(interface.RejectRequest(event.id))
+            case interface.Outcome():
                 if self.open.pop(event.id, None) is not None and not event.final:
-                    never = event.result in (i.Result.FULL, i.Result.UNREACHED, i.Result.MOOT)
-                    self.acts.append(i.Refuse(event.id) if never else i.Fail(event.id))
-            case i.ClientGone():
+                    never = event.result in (
+                        interface.Result.OVERLOADED,
+                        interface.Result.CONNECT_FAILED,
+                        interface.Result.NOT_SENT,
+                    )
+                    self.acts.append(interface.RejectRequest(event.id) if never else interface.FailRequest(event.id))
+            case interface.ClientDisconnected():
                 self.open.pop(event.id, None)
-            case i.Timer():
-                self.acts.append(i.Watch(True) if self.s.must_ask else i.FetchList())
+            case interface.Timer():
+                self.acts.append(interface.SetWatch(True) if self.s.polls_endpoints else interface.FetchEndpoints())
             case _:
                 pass
         return self.acts
 
-    def _list(self, event: i.NodeList) -> None:
-        if event.kind is i.ListKind.FAILED:
-            self.acts.append(i.SetTimer(1.0, 0))
+    def _list(self, event: interface.EndpointUpdate) -> None:
+        if event.kind is interface.UpdateKind.POLL_FAILED:
+            self.acts.append(interface.SetTimer(1.0, 0))
             return
-        known = self.nodes if event.kind is i.ListKind.CHANGES else {}
+        known = self.nodes if event.kind is interface.UpdateKind.DELTA else {}
         known.update((e.node, e) for e in event.entries)
-        self.nodes = {n: e for n, e in known.items() if e.phase is i.Phase.READY}
-        self.cells = {e.cell: e.node for e in self.nodes.values()}
-        if event.kind is i.ListKind.SAVED:
-            self.acts.append(i.Watch(True) if self.s.must_ask else i.FetchList())
+        self.nodes = {n: e for n, e in known.items() if e.phase is interface.Phase.READY}
+        self.cells = {e.shard: e.node for e in self.nodes.values()}
+        if event.kind is interface.UpdateKind.CACHED:
+            self.acts.append(interface.SetWatch(True) if self.s.polls_endpoints else interface.FetchEndpoints())
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -12,9 +12,9 @@
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.head.duties import terms_of
-from fawnspool.head.places import Held, MapClient, PlacesError, Wishes
-from fawnspool.head.works import PAUSE, RELEASE
+from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
+from fawnspool.gateway.lease_runner import terms_of
+from fawnspool.gateway.leased_work import PAUSE, RELEASE
 from fawnspool.net.server import address
 
 
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -11,13 +11,13 @@
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.extents.facts import Fact
-from fawnspool.extents.moves import Step
-from fawnspool.head.lists import Told
-from fawnspool.head.mover import Mover
-from fawnspool.head.places import MapClient, PlacesError
-from fawnspool.head.works import DRAIN
-from fawnspool.net.client import Broken, NotReached, Pool, call
+from fawnspool.extents.migration import Step
+from fawnspool.extents.records import Fact
+from fawnspool.gateway.endpoint_client import Told
+from fawnspool.gateway.extent_directory import MapClient, PlacesError
+from fawnspool.gateway.leased_work import DRAIN
+from fawnspool.gateway.migrator import Mover
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
 from fawnspool.net.server import address
 
@@ -44,7 +44,7 @@
             if status.code != 200:
                 fail(f"the node list at {where} answered {status.code}", UNREACHED)
             rows = msgspec.json.decode(data, type=Told).entries
-        except (NotReached, Broken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
+        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
         return {r.cell: address(r.address) for r in rows if r.phase != "gone"}
 
--- a/fawnspool/cli/replay.py
+++ b/fawnspool/cli/replay.py
@@ -7,9 +7,9 @@
 import click
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, fail, print_json
-from fawnspool.head.head import make_policy
+from fawnspool.gateway.gateway import make_policy
+from fawnspool.records.decision_recording import open_recording, replay
 from fawnspool.records.frames import RecordingError
-from fawnspool.records.module import open_recording, replay
 
 
 @click.command("replay", epilog=EXIT_CODES)
--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -16,8 +16,8 @@
 from fawnspool.cli.common import config_error, fail
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.head.head import Head
-from fawnspool.head.lists import Row
+from fawnspool.gateway.endpoint_client import Row
+from fawnspool.gateway.gateway import Head
 from fawnspool.model.node import NodeTraits
 from fawnspool.standins.catalogue import Catalogue
 from fawnspool.standins.node import NodeServer
--- a/fawnspool/config/head.py
+++ b/fawnspool/config/head.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from fawnspool import interface as i
 from fawnspool.config.schema import Reader, block, spec
+from fawnspool.scheduling import interface
 
-EFFECTS = tuple(e.value for e in i.Effect)
-GROUPS = tuple(g.value for g in i.Group)
+EFFECTS = tuple(e.value for e in interface.Idempotence)
+GROUPS = tuple(g.value for g in interface.DeduplicationScope)
 
 
 @dataclass(frozen=True)
@@ -324,19 +324,19 @@
                 reader.wrong(0, name, "is missing (only a head with an embedded block runs without)")
 
 
-def module_settings(c: HeadConfig) -> i.Settings:
+def module_settings(c: HeadConfig) -> interface.Settings:
     """The decision module's settings. Numbers are passed on as written; nothing is chosen here."""
-    return i.Settings(
+    return interface.Settings(
         classes=tuple(
-            i.RequestClass(
+            interface.RequestClass(
                 name=k.name,
-                aim=k.aim,
-                deadline=k.deadline,
-                worth=k.worth,
-                late_worth=k.late_worth,
-                effect=i.Effect(k.effect),
-                group=i.Group(k.group),
-                window=k.window,
+                latency_objective_s=k.aim,
+                deadline_s=k.deadline,
+                priority_weight=k.worth,
+                late_priority_weight=k.late_worth,
+                idempotence=interface.Idempotence(k.effect),
+                deduplication_scope=interface.DeduplicationScope(k.group),
+                deduplication_window_s=k.window,
                 writes=False,
                 stream=False,
                 ordered=k.ordered,
@@ -344,40 +344,40 @@
             for k in c.class_
         ),
         plans=tuple(
-            i.Plan(p.name, p.rate, p.reserve, p.weight, p.worth_factor, p.limit, p.limit_depth, p.limit_slack)
+            interface.Plan(p.name, p.rate, p.reserve, p.weight, p.worth_factor, p.limit, p.limit_depth, p.limit_slack)
             for p in c.plan
         ),
-        heads=c.head.heads,
-        me=c.head.number,
+        gateway_count=c.head.heads,
+        gateway_id=c.head.number,
         zone=c.nodes.zones.index(c.head.zone),
-        must_ask=c.list.mode == "ask",
-        must_ask_in=c.list.must_ask_in,
-        drain_grace=c.nodes.drain_grace,
-        answer_slack=c.clients.answer_margin,
-        fall=c.nodes.cold_fall,
-        fall_multiple=c.nodes.cold_multiple,
-        cold_capacity=c.nodes.cold_capacity,
-        warm_after=c.nodes.cold_warm_after,
-        young_limit=c.nodes.cold_units,
+        polls_endpoints=c.list.mode == "ask",
+        poll_interval_s=c.list.must_ask_in,
+        drain_grace_s=c.nodes.drain_grace,
+        answer_slack_s=c.clients.answer_margin,
+        overload_window_s=c.nodes.cold_fall,
+        overload_multiple=c.nodes.cold_multiple,
+        initial_capacity_fraction=c.nodes.cold_capacity,
+        warm_up_s=c.nodes.cold_warm_after,
+        slow_start_units=c.nodes.cold_units,
         mean_units=c.units.mean,
         largest_units=float(c.units.largest),
-        cells=c.nodes.cells,
-        share_worth=c.service.share_worth,
-        spare_worth=c.service.spare_worth,
-        meter=c.service.meter,
-        tells_others=c.service.tells_others,
-        try_limit=c.attempts.most,
-        second_copies=c.attempts.second_copies,
-        may_cancel=c.attempts.cancel,
-        may_probe=True,
-        peers=bool(c.peer),
-        retry_after=True,
-        max_retry_after=c.clients.max_retry_after,
-        connect_timeout=c.nodes.connect_timeout,
-        tick=c.head.tick,
-        extra_free=None if c.attempts.extra_free < 0 else c.attempts.extra_free,
-        extra_ratio=c.attempts.extra_ratio,
-        extra_span=c.attempts.extra_span,
-        settle_after_doubt=c.attempts.settle_after_doubt,
-        load_fields=c.nodes.load_fields,
+        shard_count=c.nodes.cells,
+        within_share_priority_weight=c.service.share_worth,
+        spare_priority_weight=c.service.spare_worth,
+        meter_period_s=c.service.meter,
+        reports_use_by_others=c.service.tells_others,
+        max_attempts=c.attempts.most,
+        hedging=c.attempts.second_copies,
+        can_cancel=c.attempts.cancel,
+        can_probe=True,
+        has_peer_messages=bool(c.peer),
+        sends_retry_after=True,
+        max_retry_after_s=c.clients.max_retry_after,
+        connect_timeout_s=c.nodes.connect_timeout,
+        clock_tick_s=c.head.tick,
+        retry_budget_minimum=None if c.attempts.extra_free < 0 else c.attempts.extra_free,
+        retry_budget_ratio=c.attempts.extra_ratio,
+        retry_budget_window_s=c.attempts.extra_span,
+        settle_after_ambiguity_s=c.attempts.settle_after_doubt,
+        load_report_fields=c.nodes.load_fields,
     )
--- a/fawnspool/connections/decide.py
+++ b/fawnspool/connections/decide.py
@@ -1,7 +1,7 @@
 """What a live head decides of its connections. No I/O, no clock: counts and times in seconds come from the caller.
 
 Guards the descriptors, which are few, and clients, who may hold a part of them and no more. Requests are none of its
-business: those are `control.py`'s.
+business: those are the scheduler's.
 """
 
 from __future__ import annotations
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -25,17 +25,17 @@
 from fawnspool.days.worth import Served, Service, count
 from fawnspool.drill.fleet import DrillError, Process, free_ports, post
 from fawnspool.drill.links import Links, Weather
-from fawnspool.extents.copies import Role
-from fawnspool.extents.facts import Delta, Fact
-from fawnspool.head.mover import Mover
-from fawnspool.head.places import MapClient
+from fawnspool.extents.records import Delta, Fact
+from fawnspool.extents.replicas import Role
+from fawnspool.gateway.extent_directory import MapClient
+from fawnspool.gateway.migrator import Mover
+from fawnspool.gossip import messages
 from fawnspool.records.frames import Writer, rows_of
 from fawnspool.rules.duties import DutyFinding, judge_duties
 from fawnspool.rules.judge import Verdict, judge
 from fawnspool.rules.shared import SharedFinding, judge_shared
 from fawnspool.rules.story import read
 from fawnspool.rules.wrong import WrongSends, wrong_sends
-from fawnspool.shared import messages
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.clients import content, lag_meter
 from fawnspool.standins.meter import MeterServer
--- a/fawnspool/extents/map.py
+++ b/fawnspool/extents/map.py
@@ -14,7 +14,7 @@
 import xxhash
 from immutables import Map
 
-from fawnspool.extents.facts import Delta, Fact, State, check, later
+from fawnspool.extents.records import Delta, Fact, State, check, later
 
 Key = tuple[str, str]
 Floor = tuple[tuple[int, int], ...]  # (epoch, version), by epoch
--- a/fawnspool/extents/moves.py
+++ b/fawnspool/extents/migration.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from fawnspool.extents.copies import CLOSE, Role
+from fawnspool.extents.replicas import CLOSE, Role
 
 
 class Step(Enum):
--- a/fawnspool/head/votefile.py
+++ b/fawnspool/gateway/acceptor_log.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawnspool.duties.terms import Terms
-from fawnspool.duties.voter import Keep, Memory
+from fawnspool.leases.acceptor import Keep, Memory
+from fawnspool.leases.terms import Terms
 from fawnspool.records.frames import Reader, RecordingError, Writer
 
 LONG = 10_000  # rows after which the file is written anew at a start
--- a/fawnspool/head/endings.py
+++ b/fawnspool/gateway/attempt_results.py
@@ -9,7 +9,7 @@
 
 from enum import Enum
 
-from fawnspool.interface import Result
+from fawnspool.scheduling.interface import Result
 
 
 class Ending(Enum):
@@ -46,27 +46,27 @@
     Ending.ANSWERED: Result.SERVED,
     Ending.ANSWERED_TO_CLOSE: Result.SERVED,
     Ending.NODE_ERROR: Result.ERROR,
-    Ending.TURNED_AWAY: Result.FULL,
-    Ending.REFUSED: Result.UNREACHED,
-    Ending.CONNECT_TIMEOUT: Result.UNREACHED,
-    Ending.NO_PLACE: Result.MOOT,
-    Ending.UNWRITTEN_RESET: Result.UNREACHED,
-    Ending.UNWRITTEN_TIMEOUT: Result.UNREACHED,
-    Ending.RESET: Result.BROKEN,
-    Ending.CLOSED: Result.BROKEN,
-    Ending.HALF_ANSWER: Result.BROKEN,
-    Ending.CUT_WITHOUT_LENGTH: Result.BROKEN,
-    Ending.MALFORMED: Result.BROKEN,
-    Ending.WRONG_LENGTH: Result.BROKEN,
+    Ending.TURNED_AWAY: Result.OVERLOADED,
+    Ending.REFUSED: Result.CONNECT_FAILED,
+    Ending.CONNECT_TIMEOUT: Result.CONNECT_FAILED,
+    Ending.NO_PLACE: Result.NOT_SENT,
+    Ending.UNWRITTEN_RESET: Result.CONNECT_FAILED,
+    Ending.UNWRITTEN_TIMEOUT: Result.CONNECT_FAILED,
+    Ending.RESET: Result.RESET,
+    Ending.CLOSED: Result.RESET,
+    Ending.HALF_ANSWER: Result.RESET,
+    Ending.CUT_WITHOUT_LENGTH: Result.RESET,
+    Ending.MALFORMED: Result.RESET,
+    Ending.WRONG_LENGTH: Result.RESET,
     Ending.NO_ANSWER: Result.TIMED_OUT,
     Ending.CALLED_OFF: Result.CANCELLED,
-    Ending.CALLED_OFF_UNSENT: Result.MOOT,
-    Ending.WITHDRAWN: Result.MOOT,
-    Ending.UNKNOWN_NODE: Result.MOOT,
-    Ending.OUT_OF_TIME: Result.MOOT,
-    Ending.BODY_SPENT: Result.MOOT,
-    Ending.BODY_LOST: Result.MOOT,
+    Ending.CALLED_OFF_UNSENT: Result.NOT_SENT,
+    Ending.WITHDRAWN: Result.NOT_SENT,
+    Ending.UNKNOWN_NODE: Result.NOT_SENT,
+    Ending.OUT_OF_TIME: Result.NOT_SENT,
+    Ending.BODY_SPENT: Result.NOT_SENT,
+    Ending.BODY_LOST: Result.NOT_SENT,
     Ending.CLIENT_LEFT: Result.CANCELLED,
-    Ending.CLIENT_GONE: Result.MOOT,
+    Ending.CLIENT_GONE: Result.NOT_SENT,
 }
-NEVER_RAN = frozenset(e for e, r in RESULTS.items() if r in (Result.FULL, Result.UNREACHED, Result.MOOT))
+NEVER_RAN = frozenset(e for e, r in RESULTS.items() if r in (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_SENT))
--- a/fawnspool/head/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from fawnspool.head.endings import Ending
-from fawnspool.head.pending import Answer, Attempt, Pending, State
-from fawnspool.net.client import Broken, Link, NoPlace, NotReached, Pool
+from fawnspool.gateway.attempt_results import Ending
+from fawnspool.gateway.request_state import Answer, Attempt, Pending, State
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, Link, Pool, PoolExhausted
 from fawnspool.net.http import BadMessage, Status
 from fawnspool.net.server import ClientLeft
 
@@ -113,12 +113,12 @@
 def _connect(attempt: Attempt, pool: Pool) -> Link:
     try:
         return pool.take(attempt.write_until)
-    except NotReached as bad:
+    except ConnectFailed as bad:
         if attempt.called_off:
             raise _Lost(Ending.CALLED_OFF_UNSENT) from None
         if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
             raise _Lost(Ending.OUT_OF_TIME) from None
-        if isinstance(bad, NoPlace):
+        if isinstance(bad, PoolExhausted):
             raise _Lost(Ending.NO_PLACE) from None
         raise _Lost(Ending.CONNECT_TIMEOUT if "timed out" in str(bad) else Ending.REFUSED) from None
 
@@ -149,7 +149,7 @@
             link.send(b"0\r\n\r\n", until)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_TIMEOUT) from None
-    except Broken:
+    except ConnectionBroken:
         raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_RESET) from None
 
 
@@ -162,7 +162,7 @@
         return link.begin_answer(attempt.deadline)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except Broken as bad:
+    except ConnectionBroken as bad:
         if attempt.called_off:
             raise _Lost(Ending.CALLED_OFF) from None
         if link.parser.in_head:
@@ -193,7 +193,7 @@
         body = link.body(attempt.deadline, speech.hold_most)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except Broken:
+    except ConnectionBroken:
         cut = Ending.CUT_WITHOUT_LENGTH if link.until_close else Ending.HALF_ANSWER
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else cut) from None
     except BadMessage as bad:
@@ -221,7 +221,7 @@
         while True:
             try:
                 piece = link.piece(pending.deadline)
-            except (TimeoutError, Broken, BadMessage):
+            except (TimeoutError, ConnectionBroken, BadMessage):
                 exchange.finish(False)
                 raise _Lost(Ending.HALF_ANSWER) from None
             if piece is None:
--- a/fawnspool/head/lists.py
+++ b/fawnspool/gateway/endpoint_client.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from fawnspool import interface as i
-from fawnspool.head.listlink import ListLink
-from fawnspool.records.behind import Behind
+from fawnspool.gateway.watch_client import ListLink
+from fawnspool.records.background_writer import BackgroundWriter
+from fawnspool.scheduling import interface
 
 _BEATS = 2.0  # beats of a watch that may be missing, in units of the call time-out
 
@@ -46,13 +46,13 @@
     """What the head needs of a node beside what the module is told."""
 
     address: tuple[str, int]
-    phase: i.Phase
+    phase: interface.Phase
     zone: str
     cell: int
 
 
 class ListClient(ListLink):
-    """Turns what the list service says into `NodeList` events."""
+    """Turns what the list service says into `EndpointUpdate` events."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         saved: Path,
         tell: Callable[[Any], None],
         log: Any,
-        behind: Behind,
+        behind: BackgroundWriter,
     ) -> None:
         super().__init__(address, timeout, _BEATS * timeout, tell, log)
         self.head, self.zones, self.kinds, self.pushes = head, zones, kinds, pushes
@@ -83,7 +83,7 @@
             pass
         except (OSError, msgspec.DecodeError) as bad:
             self.log.warning("saved list does not read", file=str(self.saved), error=str(bad))
-        self._apply(i.ListKind.SAVED, 0, rows)
+        self._apply(interface.UpdateKind.CACHED, 0, rows)
         if self.pushes:
             self.watch(True)
 
@@ -113,25 +113,29 @@
                 return  # heard before
         elif told.kind == "whole" and told.version < self.version:
             self.log.warning("the list went back", had=self.version, got=told.version)
-        self._apply(i.ListKind.CHANGES if told.kind == "changes" else i.ListKind.WHOLE, told.version, told.entries)
+        self._apply(
+            interface.UpdateKind.DELTA if told.kind == "changes" else interface.UpdateKind.SNAPSHOT,
+            told.version,
+            told.entries,
+        )
         self._save()
 
-    def _apply(self, kind: i.ListKind, version: int, rows: list[Row]) -> None:
+    def _apply(self, kind: interface.UpdateKind, version: int, rows: list[Row]) -> None:
         now = time.monotonic()
         self.version = version
-        if kind is not i.ListKind.CHANGES:
+        if kind is not interface.UpdateKind.DELTA:
             self.rows, self.nodes = {}, {}
         entries = []
         for row in rows:
             try:
-                phase = i.Phase(row.phase)
+                phase = interface.Phase(row.phase)
                 host, _, port = row.address.rpartition(":")
                 known = Known((host, int(port)), phase, row.zone, row.cell)
             except ValueError as bad:
                 self.log.error("a list entry does not read", entry=str(row), error=str(bad))
                 continue
             entries.append(
-                i.ListEntry(
+                interface.Endpoint(
                     row.node,
                     self.zones.index(row.zone) if row.zone in self.zones else 0,
                     self.kinds.index(row.kind) if row.kind in self.kinds else 0,
@@ -141,12 +145,12 @@
                     now - row.age_s if row.age_s >= 0 else 0.0,
                 )
             )
-            if phase is i.Phase.GONE:
+            if phase is interface.Phase.GONE:
                 self.nodes.pop(row.node, None)
                 self.rows.pop(row.node, None)
             else:
                 self.nodes[row.node], self.rows[row.node] = known, row
-        self.tell(i.NodeList(kind, version, tuple(entries)))
+        self.tell(interface.EndpointUpdate(kind, version, tuple(entries)))
 
     def _save(self) -> None:
         data = json.dumps({"version": self.version, "entries": [msgspec.to_builtins(r) for r in self.rows.values()]})
@@ -174,18 +178,18 @@
         kinds: tuple[str, ...],
         tell: Callable[[Any], None],
         log: Any,
-        behind: Behind,
+        behind: BackgroundWriter,
     ) -> None:
         super().__init__(("127.0.0.1", 0), 0, zones, kinds, False, 1.0, Path(os.devnull), tell, log, behind)
         self.given = rows
 
     def start(self) -> None:
         self.reachable, self.heard = True, time.monotonic()
-        self._apply(i.ListKind.WHOLE, 1, self.given)
+        self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
 
     def watch(self, on: bool) -> None:
         self.fetch()
 
     def fetch(self) -> None:
         self.heard = time.monotonic()
-        self._apply(i.ListKind.WHOLE, 1, self.given)
+        self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
--- a/fawnspool/head/loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -16,12 +16,12 @@
 
 import gevent
 
-from fawnspool import interface as i
 from fawnspool.net.waits import Gate
+from fawnspool.scheduling import interface
 from fawnspool.telemetry.sums import Sums
 
 if TYPE_CHECKING:  # only a head that records needs the recorder and its libraries
-    from fawnspool.records.module import Recorder
+    from fawnspool.records.decision_recording import Recorder
 
 Stamp = Callable[[], float]
 
@@ -85,7 +85,7 @@
                 due, _, token = heapq.heappop(self.timers)
                 self.metrics.lag_last = now - due
                 self.metrics.lag.add(now - due)
-                self._handle(i.Timer(token))
+                self._handle(interface.Timer(token))
             if self.inbox:
                 gevent.sleep(0)  # let sockets move between two rounds
                 continue
--- a/fawnspool/head/places.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -13,15 +13,15 @@
 import gevent
 import msgspec
 
-from fawnspool.duties.fence import Fenced
-from fawnspool.extents.facts import Delta, DeltaError, Fact, Stamp, State
 from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.stale import Do, Staleness, Terms
-from fawnspool.head.listlink import ListLink
-from fawnspool.head.mapfile import MapFile, read
-from fawnspool.net.client import Broken, NotReached, Pool, call
+from fawnspool.extents.records import Delta, DeltaError, Fact, Stamp, State
+from fawnspool.extents.staleness import Do, Staleness, Terms
+from fawnspool.gateway.map_store import MapFile, read
+from fawnspool.gateway.watch_client import ListLink
+from fawnspool.leases.fencing import Fenced
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
-from fawnspool.records.behind import Behind
+from fawnspool.records.background_writer import BackgroundWriter
 
 SILENT_BEATS = 2.5  # of a watch, in its beats, before it counts as broken
 LARGE = 1000  # facts in one delta after which others get their turn
@@ -72,7 +72,7 @@
             if status.code not in (200, 404, 409):
                 raise PlacesError(f"the map service answered {status.code}")
             return status.code, None if status.code == 404 else msgspec.msgpack.decode(body, type=kind)
-        except (NotReached, Broken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
+        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
             raise PlacesError(f"the catalogue can't be reached: {bad or type(bad).__name__}") from None
 
     def fact(self, volume: str, key: str) -> Fact | None:
@@ -198,7 +198,7 @@
         address: tuple[str, int] | None = None,
         timeout: float = 0.5,
         folder: Path | None = None,
-        behind: Behind | None = None,
+        behind: BackgroundWriter | None = None,
         follow: bool = True,
     ) -> None:
         self.follow = follow  # False: no watch, and what is known is sent to until a node says otherwise
--- a/fawnspool/head/head.py
+++ b/fawnspool/gateway/gateway.py
@@ -14,37 +14,37 @@
 import gevent
 import xxhash
 
-from fawnspool import interface as i
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig, module_settings
-from fawnspool.control import Controller
-from fawnspool.extents.stale import Terms
-from fawnspool.head.attempts import Outcome
-from fawnspool.head.core import Core, PoolBounds
-from fawnspool.head.duties import Duties
-from fawnspool.head.lists import FixedList, ListClient, Row
-from fawnspool.head.nodespeech import NodeSpeech
-from fawnspool.head.peers import Peers
-from fawnspool.head.pending import Attempt, Body, Pending
-from fawnspool.head.places import MapClient, Places, Source
-from fawnspool.head.shared import Sharing
-from fawnspool.head.works import Works
-from fawnspool.net.client import Broken, NotReached, call
+from fawnspool.extents.staleness import Terms
+from fawnspool.gateway.attempts import Outcome
+from fawnspool.gateway.core import Core, PoolBounds
+from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
+from fawnspool.gateway.extent_directory import MapClient, Places, Source
+from fawnspool.gateway.gossip_runner import Sharing
+from fawnspool.gateway.lease_runner import Duties
+from fawnspool.gateway.leased_work import Works
+from fawnspool.gateway.node_protocol import NodeSpeech
+from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.request_state import Attempt, Body, Pending
+from fawnspool.gossip.health_evidence import doubts
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, call
 from fawnspool.net.http import BadMessage
-from fawnspool.net.nodewire import TOLD, read_told
+from fawnspool.net.node_headers import TOLD, read_told
 from fawnspool.net.server import address
-from fawnspool.records.behind import Behind
-from fawnspool.records.module import Recorder, module_hash
-from fawnspool.shared.judgements import doubts
+from fawnspool.records.background_writer import BackgroundWriter
+from fawnspool.records.decision_recording import Recorder, module_hash
+from fawnspool.scheduling import interface
+from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
 from fawnspool.telemetry.metrics import HeadMetrics
 from fawnspool.telemetry.traces import Traces
 
 AGE_MOST_MS = 10**9  # also where the map was never whole
-POLICIES: dict[str, Callable[[i.Settings, int], Any]] = {"module": Controller, "pass": PassThrough}
+POLICIES: dict[str, Callable[[interface.Settings, int], Any]] = {"module": Scheduler, "pass": PassThrough}
 
 
-def make_policy(name: str, settings: i.Settings, seed: int) -> Any:
+def make_policy(name: str, settings: interface.Settings, seed: int) -> Any:
     """The decision module, or a baseline, by its name in the settings."""
     return POLICIES[name](settings, seed)
 
@@ -65,7 +65,7 @@
         self.volumes = {v.name: v for v in c.volume}
         self.numbers = {v.name: volume_number(v.name) for v in c.volume}
         self.rates = {v.name: c.plan[self.plans[v.plan]].rate for v in c.volume}
-        self.behind = Behind()
+        self.behind = BackgroundWriter()
         self.started = time.monotonic()
         module = make_policy(h.policy, settings, h.seed)
         recorder = (
@@ -229,7 +229,7 @@
     ) -> Pending:
         """Take a request. `patience`: seconds from `came` until its answer must have left at the latest."""
         block = self.volumes[volume]
-        req = i.Request(
+        req = interface.Request(
             self.next_id(),
             cls,
             self.plans[block.plan],
@@ -264,41 +264,41 @@
             )
         self.take(pending)
         if self.sharing is not None:
-            self.sharing.request(req.volume, block.heads, self.config.plan[req.plan], units)
+            self.sharing.request(req.volume, block.heads, self.config.plan[req.plan_index], units)
         return pending
 
     # ------------------------------------------------------------ actions
 
-    def _probe(self, action: i.Probe) -> None:
+    def _probe(self, action: interface.Probe) -> None:
         gevent.spawn(self._run_probe, action.node)
 
     def _run_probe(self, node: int) -> None:
         began, known, load = time.monotonic(), self.list.nodes.get(node), None
-        result = i.Result.UNREACHED
+        result = interface.Result.CONNECT_FAILED
         if known is not None:
             try:
                 status, _ = call(
                     self.pool(known.address), b"GET", b"/-/probe", began + self.config.nodes.connect_timeout
                 )
                 load = read_told(status.headers.get(TOLD)).load or None
-                result = i.Result.SERVED if status.code == 200 else i.Result.ERROR
-            except NotReached:
-                result = i.Result.UNREACHED
+                result = interface.Result.SERVED if status.code == 200 else interface.Result.ERROR
+            except ConnectFailed:
+                result = interface.Result.CONNECT_FAILED
             except TimeoutError:
-                result = i.Result.TIMED_OUT
-            except (Broken, BadMessage, ValueError):
-                result = i.Result.BROKEN
-        self.loop.tell(i.Probed(node, result, time.monotonic() - began, load))
+                result = interface.Result.TIMED_OUT
+            except (ConnectionBroken, BadMessage, ValueError):
+                result = interface.Result.RESET
+        self.loop.tell(interface.Probed(node, result, time.monotonic() - began, load))
 
-    def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> i.Outcome:
+    def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> interface.Outcome:
         event = super()._ended(pending, attempt, outcome)
         if self.sharing is not None:
             self.sharing.outcome(event, pending.req.volume, pending.req.units)
         return event
 
-    def _tell_peer(self, action: i.Tell) -> None:
+    def _tell_peer(self, action: interface.SendPeerMessage) -> None:
         if self.peers is not None:
-            self.peers.send(action.head, action.body)
+            self.peers.send(action.gateway_id, action.body)
 
     # ------------------------------------------------------------ seeing into it
 
--- a/fawnspool/head/shared.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -12,13 +12,13 @@
 
 import gevent
 
-from fawnspool import interface as i
 from fawnspool.config.head import PlanBlock, SharedBlock
-from fawnspool.head.peers import Peers
-from fawnspool.shared.messages import LEADING, Unread, pack, unpack
-from fawnspool.shared.sharer import Out, Sharer
-from fawnspool.shared.takers import Say
-from fawnspool.shared.terms import Terms
+from fawnspool.gateway.peers import Peers
+from fawnspool.gossip.agent import Out, Sharer
+from fawnspool.gossip.messages import LEADING, Unread, pack, unpack
+from fawnspool.gossip.terms import Terms
+from fawnspool.gossip.volume_participants import Say
+from fawnspool.scheduling import interface
 
 SHOWN_MOST = 100  # volumes in the status
 
@@ -67,8 +67,8 @@
         if plan.limit and takers > 1:
             self.sharer.table.asked(time.monotonic(), volume, takers, plan.limit, plan.limit_depth, units)
 
-    def outcome(self, event: i.Outcome, volume: int, units: float) -> None:
-        if event.result is i.Result.SERVED:
+    def outcome(self, event: interface.Outcome, volume: int, units: float) -> None:
+        if event.result is interface.Result.SERVED:
             self.sharer.table.used(volume, units)
         self._out(self.sharer.outcome(time.monotonic(), event))
 
@@ -99,11 +99,11 @@
                 self.counts["said"] += 1
                 self.peers.send(o.to, pack(o.message))
                 continue
-            if isinstance(o, i.Hearsay):
-                if o.well or o.node not in self.shunned:  # else: its turn to try it is another
-                    self.counts["mended" if o.well else "shunned"] += 1
-                    self.log.info("a shunned node is well" if o.well else "node shunned on hearsay", node=o.node)
-                self.shunned = self.shunned - {o.node} if o.well else self.shunned | {o.node}
+            if isinstance(o, interface.GossipedHealth):
+                if o.healthy or o.node not in self.shunned:  # else: its turn to try it is another
+                    self.counts["mended" if o.healthy else "shunned"] += 1
+                    self.log.info("a shunned node is well" if o.healthy else "node shunned on hearsay", node=o.node)
+                self.shunned = self.shunned - {o.node} if o.healthy else self.shunned | {o.node}
             self.tell(o)
 
     def status(self) -> dict[str, Any]:
--- a/fawnspool/head/duties.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -21,13 +21,13 @@
 from gevent.queue import Queue
 
 from fawnspool.config.head import DutiesBlock, DutyBlock
-from fawnspool.duties.fence import Fenced
-from fawnspool.duties.holder import Holder, Took
-from fawnspool.duties.messages import FOR_HOLDER, LEADING, Message, Unread, pack, unpack
-from fawnspool.duties.terms import Terms
-from fawnspool.duties.voter import Keep, Out, Say, Voter
-from fawnspool.head.peers import Peers
-from fawnspool.head.votefile import VoteFile
+from fawnspool.gateway.acceptor_log import VoteFile
+from fawnspool.gateway.peers import Peers
+from fawnspool.leases.acceptor import Keep, Out, Say, Voter
+from fawnspool.leases.fencing import Fenced
+from fawnspool.leases.lease_holder import Holder, Took
+from fawnspool.leases.messages import FOR_HOLDER, LEADING, Message, Unread, pack, unpack
+from fawnspool.leases.terms import Terms
 from fawnspool.records.frames import Writer
 
 _INBOX = 4096  # datagrams that wait for their turn, at most
--- a/fawnspool/head/works.py
+++ b/fawnspool/gateway/leased_work.py
@@ -14,17 +14,17 @@
 import gevent
 import msgspec
 
-from fawnspool import interface as i
-from fawnspool.duties.compare import compare
-from fawnspool.duties.drain import Failures, Pace, shard_of, target
-from fawnspool.extents.copies import Role
-from fawnspool.extents.facts import Fact
-from fawnspool.extents.moves import Step
-from fawnspool.head.duties import Duties, Hold
-from fawnspool.head.mover import Mover
-from fawnspool.head.places import MapClient, Places, PlacesError, Wishes
-from fawnspool.net.client import Broken, NotReached, Pool, call
+from fawnspool.extents.migration import Step
+from fawnspool.extents.records import Fact
+from fawnspool.extents.replicas import Role
+from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError, Wishes
+from fawnspool.gateway.lease_runner import Duties, Hold
+from fawnspool.gateway.migrator import Mover
+from fawnspool.leases.drain import Failures, Pace, shard_of, target
+from fawnspool.leases.inventory import compare
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
+from fawnspool.scheduling import interface
 
 ASK_EVERY = 1.0  # seconds between two looks at what operators want, of all duties of one head together
 SLICE = 2000  # facts looked at before others get their turn
@@ -92,7 +92,7 @@
 
     def _cells(self) -> dict[int, tuple[str, int]]:
         """Addresses by cell of the nodes that take work."""
-        return {known.cell: known.address for known in self.nodes().values() if known.phase is not i.Phase.GONE}
+        return {known.cell: known.address for known in self.nodes().values() if known.phase is not interface.Phase.GONE}
 
     # ------------------------------------------------------------ draining
 
@@ -140,7 +140,7 @@
             if status.code != 200:
                 return None
             return [(row[0], row[1]) for row in msgspec.json.decode(body, type=list[tuple[str, str, int, str]])]
-        except (NotReached, Broken, BadMessage, TimeoutError, msgspec.MsgspecError):
+        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError):
             return None
         finally:
             hold.check()
@@ -234,5 +234,5 @@
         seen = self.mover.look(f.cell, f.volume, f.extent)
         if seen is not None and seen.role is Role.FENCED and seen.to >= 0 and seen.generation == f.stamp.generation + 1:
             return seen.to
-        takes = {known.cell for known in self.works.nodes().values() if known.phase is i.Phase.READY}
+        takes = {known.cell for known in self.works.nodes().values() if known.phase is interface.Phase.READY}
         return target(f.volume, f.extent, takes - drained)
--- a/fawnspool/head/mapfile.py
+++ b/fawnspool/gateway/map_store.py
@@ -24,10 +24,10 @@
 import msgspec
 from immutables import Map
 
-from fawnspool.extents.facts import Delta, Fact, Stamp, State
-from fawnspool.extents.keep import Keep, Write
+from fawnspool.extents.checkpointing import Keep, Write
 from fawnspool.extents.map import ExtentMap, Key, Shard
-from fawnspool.records.behind import Behind
+from fawnspool.extents.records import Delta, Fact, Stamp, State
+from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Reader, Writer
 
 FORM = 1
@@ -151,7 +151,7 @@
 class MapFile:
     """Keeps the file up to what the head holds. `log(text)`: what went wrong."""
 
-    def __init__(self, folder: Path, behind: Behind, log: Callable[[str], None]) -> None:
+    def __init__(self, folder: Path, behind: BackgroundWriter, log: Callable[[str], None]) -> None:
         self.folder, self.behind, self.log = folder, behind, log
         self.keep = Keep()
         self.writer: Writer | None = None
--- a/fawnspool/head/nodespeech.py
+++ b/fawnspool/gateway/node_protocol.py
@@ -4,12 +4,12 @@
 
 import time
 
-from fawnspool.head.attempts import Heard
-from fawnspool.head.endings import Ending
-from fawnspool.head.pending import Attempt, Pending
-from fawnspool.interface import Settings
+from fawnspool.gateway.attempt_results import Ending
+from fawnspool.gateway.attempts import Heard
+from fawnspool.gateway.request_state import Attempt, Pending
 from fawnspool.net.http import Status, request_bytes
-from fawnspool.net.nodewire import CALL, TOLD, Call, read_told
+from fawnspool.net.node_headers import CALL, TOLD, Call, read_told
+from fawnspool.scheduling.interface import Settings
 
 _FINAL = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))  # of a request that the node understood
 
@@ -24,17 +24,17 @@
 
     def head(self, pending: Pending, attempt: Attempt) -> bytes:
         req = pending.req
-        cls = self.settings.classes[req.cls]
+        cls = self.settings.classes[req.class_index]
         call = Call(
             self.number,
             req.id,
             attempt.number,
-            req.cls,
+            req.class_index,
             req.units,
             req.extent,
-            cls.effect.value,
-            cls.group.value,
-            cls.window,
+            cls.idempotence.value,
+            cls.deduplication_scope.value,
+            cls.deduplication_window_s,
             max(0.0, attempt.deadline - time.monotonic()),
             pending.op,
             pending.idem,
@@ -46,7 +46,7 @@
     def told(self, pending: Pending, status: Status) -> Heard:
         told, used = read_told(status.headers.get(TOLD)), None
         if told.use is not None:
-            rate = self.settings.plans[pending.req.plan].rate
+            rate = self.settings.plans[pending.req.plan_index].rate
             used = told.use / rate if rate > 0 else None
         return Heard(told.others, used, told.load)
 
--- a/fawnspool/head/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -16,8 +16,8 @@
 import gevent
 from gevent import socket
 
-from fawnspool import interface as i
-from fawnspool.connections.lives import Seen
+from fawnspool.connections.incarnations import Seen
+from fawnspool.scheduling import interface
 
 _HEAD = struct.Struct(">3sIQQ")
 BODY_MOST = 256
@@ -70,7 +70,7 @@
                 if hear is not None:
                     hear(sender, body)
                 else:
-                    self.tell(i.PeerMessage(sender, body))
+                    self.tell(interface.PeerMessage(sender, body))
 
     def stop(self) -> None:
         self.greenlet.kill()
--- a/fawnspool/head/pending.py
+++ b/fawnspool/gateway/request_state.py
@@ -14,9 +14,9 @@
 from enum import Enum
 from typing import Any
 
-from fawnspool.head.endings import Ending
-from fawnspool.interface import Request
+from fawnspool.gateway.attempt_results import Ending
 from fawnspool.net.waits import Gate
+from fawnspool.scheduling.interface import Request
 
 
 class State(Enum):
--- a/fawnspool/head/listlink.py
+++ b/fawnspool/gateway/watch_client.py
@@ -12,10 +12,10 @@
 
 import gevent
 
-from fawnspool import interface as i
 from fawnspool.connections.decide import reopens
-from fawnspool.net.client import Broken, Link, NoPlace, Pool, call
+from fawnspool.net.client import ConnectionBroken, Link, Pool, PoolExhausted, call
 from fawnspool.net.http import request_bytes
+from fawnspool.scheduling import interface
 
 LINE_MOST = 4 << 20  # bytes of one object on a watch
 _EVICTIONS = 4  # connections closed for one of ours, at most
@@ -175,7 +175,7 @@
         while True:
             piece = link.piece(last + self.silence)
             if piece is None:
-                raise Broken("the watch ended")
+                raise ConnectionBroken("the watch ended")
             for whole in lines.feed(piece):
                 last = time.monotonic()
                 if whole:
@@ -189,7 +189,7 @@
         for _ in range(_EVICTIONS):
             try:
                 return work()
-            except NoPlace:
+            except PoolExhausted:
                 if not self.free_descriptor():
                     raise
         return work()
@@ -201,4 +201,4 @@
     def _failed(self, bad: Exception) -> None:
         self.reachable = False
         self.log.warning("node list out of reach", error=str(bad) or type(bad).__name__)
-        self.tell(i.NodeList(i.ListKind.FAILED, self.version, ()))
+        self.tell(interface.EndpointUpdate(interface.UpdateKind.POLL_FAILED, self.version, ()))
--- a/fawnspool/shared/sharer.py
+++ b/fawnspool/gossip/agent.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable
 from random import Random
 
-from fawnspool.interface import Hearsay, Outcome, Takers
-from fawnspool.shared.judgements import Judge, shows
-from fawnspool.shared.messages import Kind, Message, Verdict
-from fawnspool.shared.takers import Say, Table
-from fawnspool.shared.terms import Terms
+from fawnspool.gossip.health_evidence import Judge, shows
+from fawnspool.gossip.messages import Kind, Message, Verdict
+from fawnspool.gossip.terms import Terms
+from fawnspool.gossip.volume_participants import Say, Table
+from fawnspool.scheduling.interface import GossipedHealth, Outcome, VolumeParticipants
 
-Out = Say | Takers | Hearsay
+Out = Say | VolumeParticipants | GossipedHealth
 ALONE_LOOKS = 20  # looks without a word from any other head, after one was asked, that make a head say so
 
 
--- a/fawnspool/shared/judgements.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -23,10 +23,10 @@
 from random import Random
 from typing import Any
 
-from fawnspool.interface import Hearsay, Outcome, Result
-from fawnspool.shared.messages import Kind, Message, SaysRow, Verdict, rows_of
-from fawnspool.shared.takers import Say
-from fawnspool.shared.terms import Terms
+from fawnspool.gossip.messages import Kind, Message, SaysRow, Verdict, rows_of
+from fawnspool.gossip.terms import Terms
+from fawnspool.gossip.volume_participants import Say
+from fawnspool.scheduling.interface import GossipedHealth, Outcome, Result
 
 SIGNS_BAD = 3  # in a row with no good answer between, as one head alone asks for; of the others of several one
 # less: a head that says much counts as one sign, or it and a single lost answer would turn all
@@ -42,20 +42,20 @@
 HEARD_S = 10.0  # seconds for which a head counts as there since it was last heard
 
 
-Out = Say | Hearsay
+Out = Say | GossipedHealth
 _SHOWS = {
     Result.SERVED: Verdict.WELL,
-    Result.FULL: Verdict.WELL,
+    Result.OVERLOADED: Verdict.WELL,
     Result.TIMED_OUT: Verdict.SILENT,
-    Result.UNREACHED: Verdict.SHUT,
-    Result.BROKEN: Verdict.SILENT,
+    Result.CONNECT_FAILED: Verdict.SHUT,
+    Result.RESET: Verdict.SILENT,
 }
 
 
 def shows(event: Outcome) -> Verdict | None:
     """What an attempt's end shows of its node. None: nothing. Errors show a node that answers; a kept connection that
     broke may have been cut on its way."""
-    return None if event.result is Result.BROKEN and event.kept else _SHOWS.get(event.result)
+    return None if event.result is Result.RESET and event.reused_connection else _SHOWS.get(event.result)
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,9 +207,9 @@
         n.shunned = now
         return [self._shun(now, node, n)]
 
-    def _shun(self, now: float, node: int, n: _Node, pause: float | None = None) -> Hearsay:
+    def _shun(self, now: float, node: int, n: _Node, pause: float | None = None) -> GossipedHealth:
         shut = any(f.verdict is Verdict.SHUT for f in self._bad(now, n))
-        return Hearsay(node, False, self._turn(now) if pause is None else pause, shut)
+        return GossipedHealth(node, False, self._turn(now) if pause is None else pause, shut)
 
     def shunned(self) -> list[int]:
         return [node for node, n in self.nodes.items() if n.shunned is not None]
@@ -221,7 +221,7 @@
     def _end(self, now: float, node: int, n: _Node) -> list[Out]:
         n.shunned = None
         n.found = {k: f for k, f in n.found.items() if f.verdict is Verdict.WELL}
-        return [Hearsay(node, True)]
+        return [GossipedHealth(node, True)]
 
     # ------------------------------------------------------------ time
 
--- a/fawnspool/shared/takers.py
+++ b/fawnspool/gossip/volume_participants.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawnspool.interface import Takers
-from fawnspool.shared.counts import Count, Interval, Mark
-from fawnspool.shared.messages import CountRow, Kind, Message, rows_of
-from fawnspool.shared.terms import ROWS_A_LOOK, Terms
+from fawnspool.gossip.grow_only_counter import Count, Interval, Mark
+from fawnspool.gossip.messages import CountRow, Kind, Message, rows_of
+from fawnspool.gossip.terms import ROWS_A_LOOK, Terms
+from fawnspool.scheduling.interface import VolumeParticipants
 
 VOLUMES_MOST = 4096  # in each table; those that nothing was heard of for the longest go
 HERE_S = 8.0  # seconds between two words that a head takes part, where they all find room
@@ -30,7 +30,7 @@
     message: Message
 
 
-Out = Say | Takers
+Out = Say | VolumeParticipants
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
                 v = self.mine[r.volume]
                 v.count.merge([Mark(r.head, r.life, r.value, now - r.age)])
                 out[r.volume] = set(v.count.marks)
-        return [Takers(volume, tuple(sorted(heads))) for volume, heads in out.items()]
+        return [VolumeParticipants(volume, tuple(sorted(heads))) for volume, heads in out.items()]
 
     def _row(self, now: float, volume: int, x: Mark) -> CountRow:
         return CountRow(volume, x.head, x.life, x.value, now - x.at)
@@ -146,7 +146,7 @@
             if now - v.said < HERE_S:
                 break
             room -= self._about(now, volume, Kind.HERE, rows, named)
-        out: list[Out] = [Takers(volume, tuple(sorted(heads))) for volume, heads in named.items()]
+        out: list[Out] = [VolumeParticipants(volume, tuple(sorted(heads))) for volume, heads in named.items()]
         for (to, kind), some in rows.items():
             out += self._say(to, kind, some)
         return out
--- a/fawnspool/duties/voter.py
+++ b/fawnspool/leases/acceptor.py
@@ -17,10 +17,10 @@
 from heapq import heappop, heappush
 from random import Random
 
-from fawnspool.duties import vote
-from fawnspool.duties.messages import ENDS, TAKES, Kind, Message, Row, batches
-from fawnspool.duties.terms import Terms
-from fawnspool.duties.vote import Seat, Verdict
+from fawnspool.leases import ballot
+from fawnspool.leases.ballot import Seat, Verdict
+from fawnspool.leases.messages import ENDS, TAKES, Kind, Message, Row, batches
+from fawnspool.leases.terms import Terms
 
 SAMPLE = 8  # heads compared before one is called: work a call must not grow with the fleet
 MISSED_MOST = 4  # doublings of the time for which a head that did not come is not called again
@@ -90,7 +90,7 @@
         else:
             self.floor = memory.floor
             for duty, (token, who_had) in memory.rows.items():
-                self.seats[duty] = vote.reborn(Seat(token, who_had), now, terms.lease)
+                self.seats[duty] = ballot.reborn(Seat(token, who_had), now, terms.lease)
         self.heads: dict[int, _Head] = {}
         self.order: list[int] = []
         self.takers = 0  # heads that are there and take duties, as of the last count
@@ -168,7 +168,7 @@
                 rows.append(Row(r.duty, 0, Verdict.SILENT, max(0.0, self.silent - now)))
                 continue
             old = self.seats.get(r.duty, Seat())
-            seat, verdict = vote.ask(old, now, r.token, m.who, self.floor, self.terms.lease)
+            seat, verdict = ballot.ask(old, now, r.token, m.who, self.floor, self.terms.lease)
             self.seats[r.duty] = seat
             if verdict is Verdict.GRANTED:
                 self.grants += 1
@@ -204,7 +204,7 @@
                 del self.elsewhere[r.duty]
                 self._look_at(r.duty, now + self._turn(r.duty, now))
             seat = self.seats.get(r.duty)
-            if seat is not None and (new := vote.free(seat, r.token, m.who)) is not seat:
+            if seat is not None and (new := ballot.free(seat, r.token, m.who)) is not seat:
                 self.seats[r.duty] = new
                 # A holder's is called out at once; where a candidate gave up, as others hold it or came too, that would
                 # only bring the next one.
@@ -230,7 +230,7 @@
         if learning is None or (m.serial, m.who) != (learning.serial, self.who) or not m.rows:
             return []
         learning.said[sender] = (bool(m.a), m.rows[0].token)
-        floor = vote.learned(learning.said, len(self.terms.voters))
+        floor = ballot.learned(learning.said, len(self.terms.voters))
         if floor is None:
             return []
         self.floor, self.learning, self.floor_unkept = floor, None, True
--- a/fawnspool/duties/compare.py
+++ b/fawnspool/leases/inventory.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from fawnspool.duties.drain import shard_of
+from fawnspool.leases.drain import shard_of
 
 NAMED_MOST = 5  # examples in a report
 
--- a/fawnspool/duties/holder.py
+++ b/fawnspool/leases/lease_holder.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fawnspool.duties.claim import Claim
-from fawnspool.duties.messages import ENDS, NOT_NOW, TAKES, Kind, Message, Row, batches
-from fawnspool.duties.terms import Terms
-from fawnspool.duties.vote import Verdict
-from fawnspool.duties.voter import Out, Say
+from fawnspool.leases.acceptor import Out, Say
+from fawnspool.leases.ballot import Verdict
+from fawnspool.leases.candidate import Claim
+from fawnspool.leases.messages import ENDS, NOT_NOW, TAKES, Kind, Message, Row, batches
+from fawnspool.leases.terms import Terms
 
 _SERIALS = 256  # askings remembered; older ones are longer ago than a lease
 _LAGS = 2  # late wakings within a lease after which a head is too slow to hold anything
--- a/fawnspool/duties/terms.py
+++ b/fawnspool/leases/terms.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import cached_property
 
-from fawnspool.duties.claim import span
+from fawnspool.leases.candidate import span
 
 
 @dataclass(frozen=True)
--- a/fawnspool/model/duties.py
+++ b/fawnspool/model/duties.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import Any
 
-from fawnspool.duties.holder import Holder, Lost, Took
-from fawnspool.duties.messages import FOR_HOLDER, ROWS, Message
-from fawnspool.duties.terms import Terms
-from fawnspool.duties.voter import Keep, Memory, Out, Voter
+from fawnspool.leases.acceptor import Keep, Memory, Out, Voter
+from fawnspool.leases.lease_holder import Holder, Lost, Took
+from fawnspool.leases.messages import FOR_HOLDER, ROWS, Message
+from fawnspool.leases.terms import Terms
 from fawnspool.model.engine import Engine
 
 _UDP = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
--- a/fawnspool/net/client.py
+++ b/fawnspool/net/client.py
@@ -11,21 +11,21 @@
 import gevent
 
 from fawnspool.net.http import END, BadMessage, Limits, ResponseParser, Status, request_bytes
-from fawnspool.net.wire import Wire, connect
+from fawnspool.net.socket_stream import Wire, connect
 
 READ = 262_144
 _LIMITS = Limits(head_bytes=32768, headers=64)
 
 
-class NotReached(Exception):
+class ConnectFailed(Exception):
     """No connection could be made in time: nothing was sent."""
 
 
-class NoPlace(NotReached):
+class PoolExhausted(ConnectFailed):
     """This side has no connection left to give, or no descriptor: it says nothing of the other."""
 
 
-class Broken(Exception):
+class ConnectionBroken(Exception):
     """The connection ended before the answer was whole. `written`: was the whole request handed over?"""
 
     def __init__(self, text: str, written: bool = True) -> None:
@@ -48,17 +48,17 @@
         self.parser = ResponseParser(_LIMITS)
 
     def send(self, data: bytes, deadline: float) -> None:
-        """Raises TimeoutError past the deadline; Broken(written=False) where the connection broke before
+        """Raises TimeoutError past the deadline; ConnectionBroken(written=False) where the connection broke before
         the kernel had taken all of `data`."""
         try:
             self.wire.sendall(data, deadline)
         except TimeoutError:
             raise
         except OSError as bad:
-            raise Broken(f"while sending: {bad}", written=False) from None
+            raise ConnectionBroken(f"while sending: {bad}", written=False) from None
 
     def begin_answer(self, deadline: float) -> Status:
-        """Read up to the answer's headers. Raises TimeoutError, Broken, BadMessage."""
+        """Read up to the answer's headers. Raises TimeoutError, ConnectionBroken, BadMessage."""
         self.parser.done = self.until_close = False
         head = self._event(deadline)
         if not isinstance(head, Status):
@@ -74,12 +74,12 @@
             except TimeoutError:
                 raise
             except OSError as bad:
-                raise Broken(f"while reading: {bad}") from None
+                raise ConnectionBroken(f"while reading: {bad}") from None
             if not data and self.until_close and not self.parser.in_head:
                 self.parser.done = self.surplus = True  # whole, and the connection's last
                 return END
             if not data:
-                raise Broken("closed before the answer was whole")
+                raise ConnectionBroken("closed before the answer was whole")
             try:
                 self.parser.feed(data)
             except BadMessage:
@@ -139,7 +139,7 @@
         )
 
     def take(self, deadline: float) -> Link:
-        """An idle link that is still whole, or a new one. Raises NotReached (also where all are in use)."""
+        """An idle link that is still whole, or a new one. Raises ConnectFailed (also where all are in use)."""
         while self.idle:
             # The one used last, as the others may then be given back, but for those that still cool down.
             cool = time.monotonic() - self.cooldown
@@ -158,16 +158,16 @@
                 return link
             self.drop(link)
         if self.open >= self.most:
-            raise NoPlace(f"all {self.most} connections are in use")
+            raise PoolExhausted(f"all {self.most} connections are in use")
         self.open += 1
         try:
             wire = connect(self.address, min(deadline, time.monotonic() + self.connect_timeout))
         except BaseException as bad:
             self.open -= 1
             if isinstance(bad, OSError) and bad.errno in (errno.EMFILE, errno.ENFILE):
-                raise NoPlace("no descriptor is left") from None
+                raise PoolExhausted("no descriptor is left") from None
             if isinstance(bad, OSError):
-                raise NotReached(str(bad) or type(bad).__name__) from None
+                raise ConnectFailed(str(bad) or type(bad).__name__) from None
             raise
         if self.on_open is not None:
             self.on_open()
@@ -209,7 +209,7 @@
     body: bytes = b"",
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> tuple[Status, bytes]:
-    """One request and its whole answer. Raises NotReached, Broken, BadMessage, TimeoutError.
+    """One request and its whole answer. Raises ConnectFailed, ConnectionBroken, BadMessage, TimeoutError.
 
     A kept connection that broke is replaced once by a new one: for calls that are safe to repeat only."""
     host = b"%s:%d" % (pool.address[0].encode(), pool.address[1])
@@ -221,7 +221,7 @@
             data = link.body(deadline)
         except BaseException as bad:
             pool.drop(link)
-            if isinstance(bad, Broken) and not link.fresh:
+            if isinstance(bad, ConnectionBroken) and not link.fresh:
                 continue
             raise
         if status.keep_alive:
--- a/fawnspool/net/connection.py
+++ b/fawnspool/net/connection.py
@@ -17,7 +17,7 @@
 
 from fawnspool.connections.states import Cause, Owed, State, owed
 from fawnspool.net.http import END, BadMessage, Head, RequestParser, head_bytes
-from fawnspool.net.wire import Wire
+from fawnspool.net.socket_stream import Wire
 
 if TYPE_CHECKING:
     from fawnspool.net.server import Server
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -23,8 +23,8 @@
 from fawnspool.net.connection import LINGER_S, ClientLeft, Connection, Exchange
 from fawnspool.net.http import BadMessage, Head, Limits
 from fawnspool.net.listener import address, bind, has_queued, listen, refuse_connections
-from fawnspool.net.waits import Turnstile
-from fawnspool.net.wire import Wire
+from fawnspool.net.socket_stream import Wire
+from fawnspool.net.waits import AdmissionThrottle
 
 __all__ = ["ClientLeft", "Connection", "Exchange", "Server", "address", "bind"]
 
@@ -78,7 +78,7 @@
         self.leaving = False  # every answer is its connection's last
         self.closing_until = math.inf  # nothing is waited for any longer (monotonic)
         self.final = False  # nothing more is read
-        self.turnstile = Turnstile(turn) if turn else None
+        self.turnstile = AdmissionThrottle(turn) if turn else None
         self.due = due or (lambda head, came: came + piece_timeout)
         self.sock = listener if listener is not None else bind(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
--- a/fawnspool/net/wire.py
+++ b/fawnspool/net/socket_stream.py
@@ -9,7 +9,7 @@
 import termios
 import time
 
-from fawnspool.net.arrival import ArrivalClock
+from fawnspool.net.arrival_clock import ArrivalClock
 from fawnspool.net.listener import SO_TIMESTAMPNS
 from fawnspool.net.waits import Watch
 
--- a/fawnspool/net/waits.py
+++ b/fawnspool/net/waits.py
@@ -19,7 +19,7 @@
 STEP = 0.002
 
 
-class Wheel:
+class TimerWheel:
     """Deadlines by tick, with one timer set for the earliest. Most waits end before their deadline, so adding and
     dropping are cheap and nothing is sorted but the ticks in use."""
 
@@ -69,15 +69,15 @@
             self._set(self.order[0])
 
 
-_wheels: dict[int, Wheel] = {}
+_wheels: dict[int, TimerWheel] = {}
 
 
-def wheel() -> Wheel:
+def wheel() -> TimerWheel:
     """The wheel of this thread's hub."""
     hub = get_hub()
     found = _wheels.get(id(hub))
     if found is None or found.hub is not hub:
-        found = _wheels[id(hub)] = Wheel()
+        found = _wheels[id(hub)] = TimerWheel()
     return found
 
 
@@ -129,7 +129,7 @@
         self.is_open = False
 
 
-class Turnstile:
+class AdmissionThrottle:
     """Lets at most `most` greenlets pass in one turn of the loop; the others wait in order of arrival.
 
     Without it a thousand requests that arrive together are all begun before the loop comes back to what is already
--- a/fawnspool/records/behind.py
+++ b/fawnspool/records/background_writer.py
@@ -14,7 +14,7 @@
 MOST = 64 << 20  # bytes that may wait
 
 
-class Behind:
+class BackgroundWriter:
     """One thread that runs what it is given, first come, first run. Work says itself what to do with its errors;
     one that raises all the same is kept in `error` and the next runs."""
 
--- a/fawnspool/records/module.py
+++ b/fawnspool/records/decision_recording.py
@@ -2,7 +2,7 @@
 
 First frame: {"form", "version", "policy", "settings", "seed", "module"}; `module` is a hash of the policy's
 text. Every further frame is [now, event, [action, ...], error] of one `handle`; events and actions are
-[code, field, ...] in the order of `fawnspool.interface`. A new code goes to the end of its table.
+[code, field, ...] in the order of `fawnspool.scheduling.interface`. A new code goes to the end of its table.
 """
 
 from __future__ import annotations
@@ -17,42 +17,43 @@
 
 import msgspec
 
-from fawnspool import interface as i
-from fawnspool.records.behind import Behind
+from fawnspool.records.background_writer import BackgroundWriter
+from fawnspool.records.former_names import with_current_names, with_former_names
 from fawnspool.records.frames import Reader, RecordingError, Writer
+from fawnspool.scheduling import interface
 
 FORM, VERSION = "module", 1
 EVENTS: tuple[type[Any], ...] = (
-    i.NodeList,
-    i.Request,
-    i.Begun,
-    i.Outcome,
-    i.ClientGone,
-    i.Timer,
-    i.Probed,
-    i.PeerMessage,
-    i.Takers,
-    i.Hearsay,
+    interface.EndpointUpdate,
+    interface.Request,
+    interface.StreamStarted,
+    interface.Outcome,
+    interface.ClientDisconnected,
+    interface.Timer,
+    interface.Probed,
+    interface.PeerMessage,
+    interface.VolumeParticipants,
+    interface.GossipedHealth,
 )
 ACTIONS: tuple[type[Any], ...] = (
-    i.Send,
-    i.Refuse,
-    i.Fail,
-    i.Cancel,
-    i.SetTimer,
-    i.Probe,
-    i.CloseIdle,
-    i.Tell,
-    i.Log,
-    i.Watch,
-    i.FetchList,
+    interface.Send,
+    interface.RejectRequest,
+    interface.FailRequest,
+    interface.Cancel,
+    interface.SetTimer,
+    interface.Probe,
+    interface.CloseIdle,
+    interface.SendPeerMessage,
+    interface.Log,
+    interface.SetWatch,
+    interface.FetchEndpoints,
 )
 # A field that came later has a default: recordings made before it leave it out.
 _NEEDED = {
     kind: sum(f.default is dataclasses.MISSING for f in dataclasses.fields(kind))
-    for kind in (*EVENTS, *ACTIONS, i.ListEntry)
+    for kind in (*EVENTS, *ACTIONS, interface.Endpoint)
 }
-_NAMES = {kind: tuple(f.name for f in dataclasses.fields(kind)) for kind in (*EVENTS, *ACTIONS, i.ListEntry)}
+_NAMES = {kind: tuple(f.name for f in dataclasses.fields(kind)) for kind in (*EVENTS, *ACTIONS, interface.Endpoint)}
 _EVENT_CODE = {kind: k for k, kind in enumerate(EVENTS)}
 _ACTION_CODE = {kind: k for k, kind in enumerate(ACTIONS)}
 
@@ -61,7 +62,7 @@
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, tuple):
-        return [_row(v) if isinstance(v, i.ListEntry) else _plain(v) for v in value]
+        return [_row(v) if isinstance(v, interface.Endpoint) else _plain(v) for v in value]
     return value
 
 
@@ -84,11 +85,14 @@
 
 
 _MEND: dict[type[Any], dict[str, Callable[[Any], Any]]] = {
-    i.ListEntry: {"phase": i.Phase},
-    i.NodeList: {"kind": i.ListKind, "entries": lambda rows: tuple(_make(i.ListEntry, r) for r in rows)},
-    i.Outcome: {"result": i.Result, "load": _tuple},
-    i.Probed: {"result": i.Result, "load": _tuple},
-    i.Takers: {"heads": tuple},
+    interface.Endpoint: {"phase": interface.Phase},
+    interface.EndpointUpdate: {
+        "kind": interface.UpdateKind,
+        "entries": lambda rows: tuple(_make(interface.Endpoint, r) for r in rows),
+    },
+    interface.Outcome: {"result": interface.Result, "load_report": _tuple},
+    interface.Probed: {"result": interface.Result, "load_report": _tuple},
+    interface.VolumeParticipants: {"gateways": tuple},
 }
 
 
@@ -114,12 +118,35 @@
     return _make(ACTIONS[row[0]], row[1:])
 
 
+def settings_to_stored(settings: interface.Settings) -> dict[str, Any]:
+    """Settings as recordings hold them: plain values under the former field names."""
+    fields = msgspec.to_builtins(settings)
+    fields["classes"] = [with_former_names("RequestClass", row) for row in fields["classes"]]
+    fields["plans"] = [with_former_names("Plan", row) for row in fields["plans"]]
+    return with_former_names("Settings", fields)
+
+
+def settings_from_stored(stored: dict[str, Any]) -> interface.Settings:
+    """Settings from the form that recordings hold. Raises msgspec.ValidationError."""
+    fields = with_current_names("Settings", stored)
+    fields["classes"] = [with_current_names("RequestClass", row) for row in fields.get("classes", ())]
+    fields["plans"] = [with_current_names("Plan", row) for row in fields.get("plans", ())]
+    return msgspec.convert(fields, interface.Settings)
+
+
 def module_hash(policy: Any) -> str:
-    """A short hash of the source that a policy's class stands in."""
+    """A short hash of the source that a policy's class stands in: of all modules of its package, or of its own file."""
     import sys
 
     source = sys.modules[type(policy).__module__].__file__
-    return hashlib.sha256(Path(source or "").read_bytes()).hexdigest()[:16] if source else ""
+    if not source:
+        return ""
+    place = Path(source)
+    files = sorted(place.parent.glob("*.py")) if place.parent.name == "scheduling" else [place]
+    digest = hashlib.sha256()
+    for file in files:
+        digest.update(file.read_bytes())
+    return digest.hexdigest()[:16]
 
 
 KEPT = 16  # earlier lives beside a recording
@@ -150,10 +177,10 @@
         self,
         path: str | Path,
         policy_name: str,
-        settings: i.Settings,
+        settings: interface.Settings,
         seed: int,
         module: str,
-        behind: Behind | None = None,
+        behind: BackgroundWriter | None = None,
     ) -> None:
         make_way(path)
         self.writer, self.behind = Writer(path), behind
@@ -164,7 +191,7 @@
                 "version": VERSION,
                 "policy": policy_name,
                 "seed": seed,
-                "settings": msgspec.to_builtins(settings),
+                "settings": settings_to_stored(settings),
                 "module": module,
             }
         )
@@ -205,7 +232,7 @@
     """A recording opened for reading."""
 
     policy: str
-    settings: i.Settings
+    settings: interface.Settings
     seed: int
     module: str
     frames: Iterator[Any]
@@ -221,7 +248,7 @@
         raise RecordingError(f"{path}: holds no module's life (its first frame is {str(first)[:60]!r})")
     if first["version"] != VERSION:
         raise RecordingError(f"{path}: version {first['version']}, this program reads {VERSION}")
-    settings = msgspec.convert(first["settings"], i.Settings)
+    settings = settings_from_stored(first["settings"])
     return Recording(first["policy"], settings, first["seed"], first["module"], frames, reader)
 
 
@@ -235,7 +262,7 @@
     torn: str = ""
 
 
-def replay(path: str | Path, make: Callable[[str, i.Settings, int], Any]) -> Replay:
+def replay(path: str | Path, make: Callable[[str, interface.Settings, int], Any]) -> Replay:
     """Feed a recording's events to a fresh module and compare its actions, up to a tear or a difference.
 
     `make(policy name, settings, seed)` builds the module. Raises RecordingError where the file is none."""
--- a/fawnspool/relay/__main__.py
+++ b/fawnspool/relay/__main__.py
@@ -7,6 +7,6 @@
 early = list[Any]()
 signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
 
-from fawnspool.relay.program import main  # noqa: E402
+from fawnspool.relay.process import main  # noqa: E402
 
 sys.exit(main(os.environ, early))
--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from fawnspool.adapter.settings import SettingsError, read_tree
-from fawnspool.interface import Settings
+from fawnspool.scheduling.interface import Settings
 
 
 class ConfigError(Exception):
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's list of shelfs, as `NodeList` events. Inside, a shelf is a node and its block a cell."""
+"""The platform's list of shelfs, as `EndpointUpdate` events. Inside, a shelf is a node and its block a cell."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fawnspool import interface as i
 from fawnspool.connections.decide import believes_older, watch_times
-from fawnspool.connections.starts import StartTimes
-from fawnspool.head.listlink import ListLink
+from fawnspool.connections.start_times import StartTimes
+from fawnspool.gateway.watch_client import ListLink
+from fawnspool.scheduling import interface
 
 PLACE = b"/catalog/members"
 HEARTBEAT_S = 2.0  # while nothing changes, a watch says so this often (PROTOCOL, Discovery)
-_PHASES = {"active": i.Phase.READY, "leaving": i.Phase.DRAINING, "left": i.Phase.GONE}
+_PHASES = {"active": interface.Phase.READY, "leaving": interface.Phase.DRAINING, "left": interface.Phase.GONE}
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     name: str
     address: tuple[str, int]
-    phase: i.Phase
+    phase: interface.Phase
     cell: int
 
 
@@ -60,15 +60,15 @@
         """Nothing has changed since the version that the watch named: a list that was only saved is so confirmed."""
         if not self.confirmed:
             self.confirmed = True
-            self.tell(i.NodeList(i.ListKind.CHANGES, self.version, ()))
+            self.tell(interface.EndpointUpdate(interface.UpdateKind.DELTA, self.version, ()))
 
     def start(self, known: Mapping[str, Any]) -> None:
         """Give the list that the configuration holds, which may be old."""
         try:
-            self._apply(known, i.ListKind.SAVED)
+            self._apply(known, interface.UpdateKind.CACHED)
         except ValueError as bad:
             self.log.error("the known list does not read", error=str(bad))
-            self.tell(i.NodeList(i.ListKind.SAVED, 0, ()))
+            self.tell(interface.EndpointUpdate(interface.UpdateKind.CACHED, 0, ()))
 
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere from now on: a watch goes on there, from the version that is held."""
@@ -101,15 +101,15 @@
             if not believes_older(self.older):
                 raise ValueError(f"a list of {version}, older than {self.version}")
         self.older = 0
-        self._apply(told, i.ListKind.WHOLE if whole else i.ListKind.CHANGES)
+        self._apply(told, interface.UpdateKind.SNAPSHOT if whole else interface.UpdateKind.DELTA)
 
-    def _apply(self, told: Mapping[str, Any], kind: i.ListKind) -> None:
+    def _apply(self, told: Mapping[str, Any], kind: interface.UpdateKind) -> None:
         version, rows = _version(told), told.get("hosts") or []
         if not isinstance(rows, list):
             raise ValueError("hosts: expected a list")
         now = time.monotonic()
         self.starts.look(time.time(), now)
-        if kind is not i.ListKind.CHANGES:
+        if kind is not interface.UpdateKind.DELTA:
             self.nodes = {}
         entries = []
         for row in rows:
@@ -119,19 +119,19 @@
                 self.log.error("a list entry does not read", entry=str(row)[:200], error=str(bad))
                 continue
             entries.append(entry)
-            if entry.phase is i.Phase.GONE:
+            if entry.phase is interface.Phase.GONE:
                 self.nodes.pop(entry.node, None)
                 self.numbers.pop(shelf.name, None)
                 self.starts.forget(shelf.name)
             else:
                 self.nodes[entry.node] = shelf
-        if kind is not i.ListKind.CHANGES:
+        if kind is not interface.UpdateKind.DELTA:
             self.numbers = {shelf.name: node for node, shelf in self.nodes.items()}
             self.starts.keep(set(self.numbers))
-        self.version, self.confirmed = version, kind is not i.ListKind.SAVED
-        self.tell(i.NodeList(kind, version, tuple(entries)))
+        self.version, self.confirmed = version, kind is not interface.UpdateKind.CACHED
+        self.tell(interface.EndpointUpdate(kind, version, tuple(entries)))
 
-    def _read(self, row: Mapping[str, Any], now: float) -> tuple[i.ListEntry, Shelf]:
+    def _read(self, row: Mapping[str, Any], now: float) -> tuple[interface.Endpoint, Shelf]:
         name, state = str(row["host"]), row["health"]
         if state not in _PHASES:
             raise ValueError(f"health: expected one of {', '.join(_PHASES)}, found {state!r}")
@@ -150,7 +150,7 @@
         if node is None:  # it reads whole, so a number is not given in vain
             self.last += 1
             node = self.numbers[name] = self.last
-        return i.ListEntry(
+        return interface.Endpoint(
             node,
             self.zones.index(zone) if zone in self.zones else 0,
             self.kinds.index(made) if made in self.kinds else 0,
--- a/fawnspool/relay/shelfs.py
+++ b/fawnspool/relay/node_client.py
@@ -5,11 +5,11 @@
 import math
 import time
 
-from fawnspool.head.attempts import Heard
-from fawnspool.head.endings import Ending
-from fawnspool.head.pending import Attempt, Pending
-from fawnspool.interface import Settings
+from fawnspool.gateway.attempt_results import Ending
+from fawnspool.gateway.attempts import Heard
+from fawnspool.gateway.request_state import Attempt, Pending
 from fawnspool.net.http import Status, request_bytes
+from fawnspool.scheduling.interface import Settings
 
 BODY_USUAL = 65536  # bytes of a body (PROTOCOL)
 BODY_MOST = 1 << 20  # good ones of 112 KB from clients and 400 KB from shelfs were seen all the same
@@ -23,7 +23,7 @@
     hold_most = BODY_MOST
 
     def __init__(self, settings: Settings) -> None:
-        self.fields = settings.load_fields
+        self.fields = settings.load_report_fields
 
     def head(self, pending: Pending, attempt: Attempt) -> bytes:
         left = max(1, round((attempt.deadline - time.monotonic()) * 1000))
--- a/fawnspool/relay/program.py
+++ b/fawnspool/relay/process.py
@@ -14,12 +14,12 @@
 from gevent.event import Event
 
 from fawnspool.connections.decide import COOLDOWN, IDLE_SHARE, ending, places, reads_again
-from fawnspool.control import Controller
-from fawnspool.head.core import Core, PoolBounds
+from fawnspool.gateway.core import Core, PoolBounds
 from fawnspool.relay.config import ConfigError, RelayConfig, load
 from fawnspool.relay.discovery import Discovery
-from fawnspool.relay.front import Front
-from fawnspool.relay.shelfs import ShelfSpeech
+from fawnspool.relay.node_client import ShelfSpeech
+from fawnspool.relay.request_handler import Front
+from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
 from fawnspool.telemetry.sums import Sums
 
@@ -37,13 +37,17 @@
         self.config, self.path, self.environ = config, path, environ
         self.log = logs.get(head=config.name)
         s = config.settings
-        bounds = places(config.sockets, s.cells)
+        bounds = places(config.sockets, s.shard_count)
         self.core = Core(
             s,
-            Controller(s, config.seed),
+            Scheduler(s, config.seed),
             ShelfSpeech(s),
             PoolBounds(
-                bounds.node, s.connect_timeout or 0.25, IDLE_SHARE * config.idle_close, lenient=True, cooldown=COOLDOWN
+                bounds.node,
+                s.connect_timeout_s or 0.25,
+                IDLE_SHARE * config.idle_close,
+                lenient=True,
+                cooldown=COOLDOWN,
             ),
             Sums(),
             self.log,
@@ -132,7 +136,7 @@
         if self.front.until < math.inf:
             return  # told before: a second signal gives no more time
         told, server = time.monotonic(), self.front.server
-        end = ending(told, NEW_S, MORE_S + min(COUNTED_S, max(c.deadline for c in self.config.settings.classes)))
+        end = ending(told, NEW_S, MORE_S + min(COUNTED_S, max(c.deadline_s for c in self.config.settings.classes)))
         self.front.until = end.answered
         server.crowd = 0  # new connections end soon: from now on every kept one is needed
         self._log_step("ending")
--- a/fawnspool/relay/front.py
+++ b/fawnspool/relay/request_handler.py
@@ -12,13 +12,13 @@
 import time
 
 from fawnspool.connections.decide import KEPT, QUIET, Places, takes_long
-from fawnspool.head.core import Core
-from fawnspool.head.pending import Body, Kind, Pending
-from fawnspool.interface import Effect, Request, Settings
+from fawnspool.gateway.core import Core
+from fawnspool.gateway.request_state import Body, Kind, Pending
 from fawnspool.net.http import BadMessage, Limits
 from fawnspool.net.http import Head as MessageHead
 from fawnspool.net.server import Connection, Exchange, Server
-from fawnspool.relay.shelfs import BODY_MOST, BODY_USUAL
+from fawnspool.relay.node_client import BODY_MOST, BODY_USUAL
+from fawnspool.scheduling.interface import Idempotence, Request, Settings
 
 HEALTH = b"/_health"
 HEAD_BYTES, HEAD_FIELDS = 8192, 40
@@ -125,8 +125,8 @@
         body = self._body(exchange)
         if ident in self.open:
             raise BadMessage(409, "a request of this id is open")
-        cls, plan = self.settings.classes[req.cls], self.settings.plans[req.plan]
-        margin = min(self.settings.answer_slack, patience / 4)
+        cls, plan = self.settings.classes[req.class_index], self.settings.plans[req.plan_index]
+        margin = min(self.settings.answer_slack_s, patience / 4)
         pending = Pending(
             req,
             head.method,
@@ -170,15 +170,15 @@
         if io is None:
             raise BadMessage(400, "X-IO does not read: volume=HEX,units=N,shard=N,hosts=N")
         units, cell, heads = int(io[2]), int(io[3]), int(io[4])
-        if not 1 <= units <= self.settings.largest_units or cell >= self.settings.cells or heads < 1:
+        if not 1 <= units <= self.settings.largest_units or cell >= self.settings.shard_count or heads < 1:
             raise BadMessage(400, "X-IO: units, shard or hosts out of range")
         wait = h.get(b"request-timeout-ms", b"")
         if not _COUNT.fullmatch(wait):
             raise BadMessage(400, "Request-Timeout-Ms is a whole number of milliseconds above 0")
         spec = self.settings.classes[cls]
-        if spec.effect is Effect.KEYED and b"idempotency-key" not in h:
+        if spec.idempotence is Idempotence.WITH_KEY and b"idempotency-key" not in h:
             raise BadMessage(400, "this class needs an Idempotency-Key")
-        patience = min(int(wait) / 1000, spec.deadline)
+        patience = min(int(wait) / 1000, spec.deadline_s)
         return Request(
             self.core.next_id(),
             cls,
--- a/fawnspool/control.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -13,35 +13,35 @@
 from random import Random
 from typing import Any
 
-from fawnspool.interface import (
+from fawnspool.scheduling.interface import (
     Action,
     Cancel,
-    ClientGone,
-    Effect,
+    ClientDisconnected,
+    Idempotence,
     Event,
-    Fail,
-    FetchList,
-    Group,
-    Hearsay,
-    ListEntry,
-    ListKind,
+    FailRequest,
+    FetchEndpoints,
+    DeduplicationScope,
+    GossipedHealth,
+    Endpoint,
+    UpdateKind,
     Log,
-    NodeList,
+    EndpointUpdate,
     Outcome,
     PeerMessage,
     Phase,
     Plan,
-    Refuse,
+    RejectRequest,
     Request,
     RequestClass,
     Result,
     Send,
     SetTimer,
     Settings,
-    Takers,
-    Tell,
+    VolumeParticipants,
+    SendPeerMessage,
     Timer,
-    Watch,
+    SetWatch,
 )
 
 RECENT = 16  # responses in a volume's mean (the paper's N): long enough to smooth one pause
@@ -163,34 +163,34 @@
         return self.node is not None and self.failed < SIGNS
 
 
-class Controller:
+class Scheduler:
     """One head's decisions: the same events give the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.s, self.random = settings, Random(seed)
-        self.acts, self.jobs, self.nodes = list[Action](), dict[int, _Job](), dict[int, ListEntry]()
+        self.acts, self.jobs, self.nodes = list[Action](), dict[int, _Job](), dict[int, Endpoint]()
         self.lanes, self.busy = dict[int, _Lane](), dict[int, _Lane]()  # busy: something held or out
         self.volumes: OrderedDict[int, _Volume] = OrderedDict()
         self.keys, self.settling = dict[int, deque[_Job]](), dict[int, float]()  # order by key, its pauses
         self.taken, self.extras = deque[float](), deque[float]()  # for the attempt budget
-        self.least_aim = min(c.aim for c in settings.classes)
+        self.least_aim = min(c.latency_objective_s for c in settings.classes)
         self.look, self.ask_at = self.least_aim / TICKS_PER_AIM, math.inf
         # The bounds of few heads hold a node's queue down; those of many can't: each has two at least.
-        self.many = settings.heads * START_BOUND > BOUND_ALL
-        self.most = 2 * START_BOUND if self.many else max(START_BOUND, BOUND_ALL / settings.heads)
+        self.many = settings.gateway_count * START_BOUND > BOUND_ALL
+        self.most = 2 * START_BOUND if self.many else max(START_BOUND, BOUND_ALL / settings.gateway_count)
         self.now, self.unit_s, self.seen, self.since = 0.0, 0.0, 0.0, -1.0
         self.cells = list[int]()  # those that have a node
         self.waits, self.usual = deque([0.0], maxlen=9), 0.0  # all nodes' last ones, their median
         self.ticking = self.unsure = False  # a timer is set; only a saved list so far
         self.handlers: dict[type, Callable[[Any], None]] = {
-            NodeList: self._on_list,
+            EndpointUpdate: self._on_list,
             Request: self._on_request,
             Outcome: self._on_outcome,
-            ClientGone: self._on_gone,
+            ClientDisconnected: self._on_gone,
             Timer: self._on_look,
             PeerMessage: self._on_peer,
-            Takers: self._on_takers,
-            Hearsay: self._on_hearsay,
+            VolumeParticipants: self._on_takers,
+            GossipedHealth: self._on_hearsay,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -199,28 +199,28 @@
             handler(event)
         return self.acts
 
-    def _on_list(self, event: NodeList) -> None:
-        saved = event.kind is ListKind.SAVED
-        if event.kind is ListKind.FAILED:
+    def _on_list(self, event: EndpointUpdate) -> None:
+        saved = event.kind is UpdateKind.CACHED
+        if event.kind is UpdateKind.POLL_FAILED:
             # Re-asked well inside must_ask_in and, whatever that is, soon, as what is missed counts as told
             # all the same: where lists are pushed at once, so inside the grace. Each head after its own
             # pause, lest all be late. Harm: calls to a dead service.
-            most = self.s.must_ask_in / 8 if self.s.must_ask else self.s.drain_grace / 2
+            most = self.s.poll_interval_s / 8 if self.s.polls_endpoints else self.s.drain_grace_s / 2
             pause = self.random.uniform(0.5, 1.0) * min(most or ASK_MOST_S, ASK_MOST_S)
             self.ask_at = self.now + pause
             return self.acts.append(SetTimer(pause, _ASK))
-        known = self.nodes if event.kind is ListKind.CHANGES else {}
+        known = self.nodes if event.kind is UpdateKind.DELTA else {}
         known.update((entry.node, entry) for entry in event.entries)
         self.nodes = {n: entry for n, entry in known.items() if entry.phase is not Phase.GONE}
         if saved:  # it may be old: ask at once, and until an answer take every node for cold
-            self.acts.append(Watch(True) if self.s.must_ask else FetchList())
-        newest = sorted(self.nodes.values(), key=lambda entry: (entry.started, entry.node))
-        ready = {entry.cell: entry for entry in newest if entry.phase is Phase.READY}
+            self.acts.append(SetWatch(True) if self.s.polls_endpoints else FetchEndpoints())
+        newest = sorted(self.nodes.values(), key=lambda entry: (entry.started_at, entry.node))
+        ready = {entry.shard: entry for entry in newest if entry.phase is Phase.READY}
         for cell in sorted(ready.keys() | self.lanes.keys()):
             lane = self.lanes.setdefault(cell, _Lane(cell))
             self._seat(lane, ready[cell].node if cell in ready else None)
             if cell in ready:
-                self._age(lane, ready[cell].started, saved)
+                self._age(lane, ready[cell].started_at, saved)
         self.unsure, self.cells = saved, [c for c, lane in self.lanes.items() if lane.node is not None]
         for lane in self.lanes.values():
             self._turn(lane)
@@ -240,7 +240,7 @@
     def _age(self, lane: _Lane, started: float, saved: bool) -> None:
         """Since when the node may be cold. A saved list proves no age; a live one settles it, but for a node
         that was away: it may have restarted since, until the list tells of a later start."""
-        young = started > 0 and self.now - started < self.s.warm_after + self.s.fall
+        young = started > 0 and self.now - started < self.s.warm_up_s + self.s.overload_window_s
         lane.guess = saved and not young
         if lane.guess:
             lane.born = self.now
@@ -248,23 +248,23 @@
             lane.born = min(started, self.now) if young else None
 
     def _on_request(self, req: Request) -> None:
-        cls, plan = self.s.classes[req.cls], self.s.plans[req.plan]
-        spent = max(0.0, cls.deadline - req.patience) if req.repeat else 0.0
-        wanted = self.now + min(cls.aim - spent, req.patience)  # some come with less time than the aim
+        cls, plan = self.s.classes[req.class_index], self.s.plans[req.plan_index]
+        spent = max(0.0, cls.deadline_s - req.timeout_s) if req.is_client_retry else 0.0
+        wanted = self.now + min(cls.latency_objective_s - spent, req.timeout_s)  # some come with less time than the aim
         key = req.extent if cls.ordered else 0
-        self.jobs[req.id] = job = _Job(req, cls, plan, self.now + req.patience, wanted, 1, key=key)
-        self.taken += [self.now] if self.s.extra_free is not None else []
+        self.jobs[req.id] = job = _Job(req, cls, plan, self.now + req.timeout_s, wanted, 1, key=key)
+        self.taken += [self.now] if self.s.retry_budget_minimum is not None else []
         if job.key:
             self.keys.setdefault(job.key, deque()).append(job)
         volume = self._volume(job)
         if job.wanted <= self.now + self.look:
             job.rank, job.wanted = 2, job.ends
-        elif plan.reserve and volume.reserve > 0:
+        elif plan.reserved_rate and volume.reserve > 0:
             volume.reserve, job.rank = volume.reserve - req.units, 0
-        supply = plan.limit / (1 if self.s.peers else volume.heads) * (job.rank < 2)
-        if plan.limit and volume.queued - volume.level + req.units > supply * (job.wanted - self.now):
+        supply = plan.rate_limit / (1 if self.s.has_peer_messages else volume.heads) * (job.rank < 2)
+        if plan.rate_limit and volume.queued - volume.level + req.units > supply * (job.wanted - self.now):
             return self._end(job)  # beyond its limit: earns nothing, so it costs nothing either
-        lane = self.lanes.get(req.cell) if req.cell >= 0 else self._place(job)
+        lane = self.lanes.get(req.shard) if req.shard >= 0 else self._place(job)
         return self._offer(job, lane) if lane and not self._crowded(job, lane) else self._end(job)
 
     def _crowded(self, job: _Job, lane: _Lane) -> bool:
@@ -290,7 +290,7 @@
         self._hold(job, lane, front)
         self._turn(lane)
         self._tick()
-        left = job.ends - self.now - 3 * self.s.tick
+        left = job.ends - self.now - 3 * self.s.clock_tick_s
         if job.held and left <= 0:
             self._end(job)
         elif job.held:
@@ -301,11 +301,11 @@
         volume = self.volumes.get(job.req.volume)
         if volume is None:
             # Its part of a limit fills from the head's start on: an earlier life may have drawn it till then.
-            volume = _Volume(job.plan, max(1, job.req.heads), filled=self.since, served=self.now)
-            volume.reserve = (self.s.largest_units + job.plan.reserve) / volume.heads
+            volume = _Volume(job.plan, max(1, job.req.gateway_count), filled=self.since, served=self.now)
+            volume.reserve = (self.s.largest_units + job.plan.reserved_rate) / volume.heads
             self.volumes[job.req.volume] = volume
         self.volumes.move_to_end(job.req.volume)
-        volume.heads = max(volume.heads, job.req.heads)
+        volume.heads = max(volume.heads, job.req.gateway_count)
         self._fill(volume)
         return volume
 
@@ -313,9 +313,9 @@
         plan, passed = volume.plan, self.now - volume.filled
         while volume.lent and volume.lent[0][0] <= self.now - self.least_aim:
             volume.lent.popleft()
-        depth = plan.limit_depth - sum(units for _, units in volume.lent) * volume.heads
-        volume.level = min(depth, volume.level * volume.heads + passed * plan.limit) / volume.heads
-        fill = max(volume.part, 1 / volume.heads) * plan.reserve
+        depth = plan.rate_limit_burst - sum(units for _, units in volume.lent) * volume.heads
+        volume.level = min(depth, volume.level * volume.heads + passed * plan.rate_limit) / volume.heads
+        fill = max(volume.part, 1 / volume.heads) * plan.reserved_rate
         volume.reserve = min(fill + self.s.largest_units / volume.heads, volume.reserve + passed * fill)
         volume.filled = self.now
 
@@ -325,13 +325,13 @@
         at size that costs more than the units are worth."""
         lack = volume.queued - volume.level + volume.mine * self.least_aim
         due = volume.asked + (self.look / 2 if volume.lenders else ASK_ALL_S)
-        if self.s.peers and volume.plan.limit and volume.heads > 1 and lack > 0 and self.now >= due:
+        if self.s.has_peer_messages and volume.plan.rate_limit and volume.heads > 1 and lack > 0 and self.now >= due:
             volume.asked = self.now
-            most = max(lack, volume.plan.limit_depth / volume.heads - volume.level)
+            most = max(lack, volume.plan.rate_limit_burst / volume.heads - volume.level)
             body = _PEER.pack(_WANT, ident, most, int(self.now * 1000) & 0xFFFFFFFF)
             asked = self.random.sample(sorted(volume.lenders), min(2, len(volume.lenders)))
             volume.lenders -= set(asked)
-            self.acts += [Tell(head, body) for head in asked] or [Tell(None, body)]
+            self.acts += [SendPeerMessage(head, body) for head in asked] or [SendPeerMessage(None, body)]
 
     def _on_peer(self, event: PeerMessage) -> None:
         """Units of a limit move: a lender takes them off before it tells, no part passes its even depth less
@@ -339,7 +339,7 @@
         within it whatever is lost or late."""
         what, ident, units, asked = _PEER.unpack(event.body) if len(event.body) == _PEER.size else _NONE
         volume = self.volumes.get(ident)
-        if volume is None or not 0 < units <= volume.plan.limit_depth:
+        if volume is None or not 0 < units <= volume.plan.rate_limit_burst:
             return
         self._fill(volume)
         again = self.look if volume.known else self.least_aim  # until it may have units of others itself
@@ -348,7 +348,7 @@
             units = min(units, max(1.0, spare / 2))
             volume.level -= units
             volume.lent.append((self.now, units))
-            self.acts.append(Tell(event.sender, _PEER.pack(_LEND, ident, units, asked)))
+            self.acts.append(SendPeerMessage(event.sender, _PEER.pack(_LEND, ident, units, asked)))
         elif what == _LEND and (int(self.now * 1000) - asked) % 2**32 < self.least_aim * 1000 * ON_TIME:
             volume.lenders.add(event.sender)
             volume.level += units
@@ -356,9 +356,9 @@
             for lane in [x for x in self.busy.values() if ident in x.active]:
                 self._turn(lane)
 
-    def _on_takers(self, event: Takers) -> None:
+    def _on_takers(self, event: VolumeParticipants) -> None:
         if volume := self.volumes.get(event.volume):
-            volume.known, volume.lenders = True, volume.lenders | set(event.heads) - {self.s.me}
+            volume.known, volume.lenders = True, volume.lenders | set(event.gateways) - {self.s.gateway_id}
 
     def _place(self, job: _Job) -> _Lane | None:
         """A node for a new object: the better of two drawn ones that are well, lest heads herd."""
@@ -424,14 +424,14 @@
         turn = not job.key or (
             self.keys[job.key][0] is job and (bool(job.tries) or self.settling.get(job.key, 0.0) <= self.now)
         )
-        limited = not job.tries and job.plan.limit and self._volume(job).level < job.req.units
+        limited = not job.tries and job.plan.rate_limit and self._volume(job).level < job.req.units
         return turn and not limited and self._cold_room(lane) and (not job.tries or self._may(job, lane.node))
 
     def _send(self, job: _Job, lane: _Lane) -> None:
         assert lane.node is not None
         self._unhold(job)
         self._volume(job).level -= job.req.units * (not job.tries)
-        self.extras += [self.now] if job.tries and self.s.extra_free is not None else []
+        self.extras += [self.now] if job.tries and self.s.retry_budget_minimum is not None else []
         lane.credit -= job.req.units
         lane.run = (lane.run + 1 if job.here() == lane.extent else 1) if job.req.extent else 0
         lane.extent = job.here()
@@ -439,8 +439,8 @@
         lane.out[job.req.id, len(job.tries)] = self.now
         lane.flows[job.req.volume].out += 1
         # A repeat that waits for its connection must not outlive the window in which nodes drop it.
-        doubt = job.doubt() if job.cls.effect is Effect.KEYED else []
-        within = doubt[0].sent + job.cls.window - 2 * self.s.tick - self.now if doubt else 0.0
+        doubt = job.doubt() if job.cls.idempotence is Idempotence.WITH_KEY else []
+        within = doubt[0].sent + job.cls.deduplication_window_s - 2 * self.s.clock_tick_s - self.now if doubt else 0.0
         job.tries.append(_Attempt(lane.node, self.now))
         # Past its aim it only keeps others waiting at the node: nodes drop what is out of time, or stop it.
         self.acts.append(Send(job.req.id, lane.node, max(job.wanted - self.now, self.look), within))
@@ -453,17 +453,19 @@
         rule's multiple less one, half being for chance; so the sum stays within the multiple of its power.
         A head younger than the node has its even part of half of what such a node surely bears.
         Drawn starts, lest all begin at once; where no list tells of a start it begins with one request."""
-        age = math.inf if lane.born is None else self.now - lane.born - self.s.fall
-        if lane.born is None or age >= self.s.warm_after:
+        age = math.inf if lane.born is None else self.now - lane.born - self.s.overload_window_s
+        if lane.born is None or age >= self.s.warm_up_s:
             lane.born = None
             return True
-        if lane.credited < lane.born - self.s.fall:
+        if lane.credited < lane.born - self.s.overload_window_s:
             first = self.s.mean_units * (not lane.guess)
-            lane.credited, lane.credit = lane.born - self.s.fall, -first * self.random.random()
-        usual = lane.served / max(lane.born - self.since, self.s.warm_after)
-        warm = self.s.cold_capacity + (1 - self.s.cold_capacity) * max(0.0, age) / self.s.warm_after
-        sure = self.s.young_limit / 2 / self.s.fall / self.s.heads * (self.since > lane.born)
-        grown = max((self.s.fall_multiple - 1) / 2 * warm * usual, sure)
+            lane.credited, lane.credit = lane.born - self.s.overload_window_s, -first * self.random.random()
+        usual = lane.served / max(lane.born - self.since, self.s.warm_up_s)
+        warm = (
+            self.s.initial_capacity_fraction + (1 - self.s.initial_capacity_fraction) * max(0.0, age) / self.s.warm_up_s
+        )
+        sure = self.s.slow_start_units / 2 / self.s.overload_window_s / self.s.gateway_count * (self.since > lane.born)
+        grown = max((self.s.overload_multiple - 1) / 2 * warm * usual, sure)
         lane.credit = min(0.0, lane.credit + grown * (self.now - lane.credited))
         lane.credited = self.now
         return lane.credit >= 0
@@ -487,7 +489,7 @@
                 key=lambda j: (
                     j.rank,
                     bool(j.rank) * excess[j.req.volume],
-                    -j.cls.worth * j.plan.worth_factor,
+                    -j.cls.priority_weight * j.plan.priority_factor,
                     j.req.id,
                 ),
             )
@@ -518,7 +520,7 @@
         ahead = float(len(lane.out) - room + 1)
         plan, left = [], dict[int, float]()
         for _, volume, _, job in sorted(order, key=lambda x: x[:3]):
-            if job.plan.limit and not job.tries:
+            if job.plan.rate_limit and not job.tries:
                 left[volume] = left.get(volume, self._volume(job).level) - job.req.units
                 if left[volume] < 0:  # waits for its limit, in nobody's way
                     plan.append((job, self.now + response))
@@ -532,10 +534,10 @@
         if job is None or event.attempt >= len(job.tries) or not job.tries[event.attempt].open:
             return
         attempt, lane = job.tries[event.attempt], self.lanes[job.cell]
-        never = event.result in (Result.FULL, Result.UNREACHED, Result.MOOT)
+        never = event.result in (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_SENT)
         attempt.open, attempt.maybe_ran = False, not never
-        if event.result in (Result.TIMED_OUT, Result.BROKEN, Result.CANCELLED) and job.key:
-            self.settling[job.key] = self.now + self.s.settle_after_doubt
+        if event.result in (Result.TIMED_OUT, Result.RESET, Result.CANCELLED) and job.key:
+            self.settling[job.key] = self.now + self.s.settle_after_ambiguity_s
         if lane.out.pop((event.id, event.attempt), None) is not None:
             lane.flows[job.req.volume].out -= 1
             self._learn(lane, job, event, attempt)
@@ -550,12 +552,12 @@
         silent = event.result is Result.TIMED_OUT and lane.heard <= attempt.sent  # else: lost on the way
         # A kept connection may be all that broke: the next, a new one, shows. Guards against paths that cut
         # idle connections, many at once. Harm: a node that died is suspected a few sends later.
-        if (event.result in (Result.UNREACHED, Result.BROKEN) and not event.kept) or silent:
-            lane.shut |= event.result is Result.UNREACHED
+        if (event.result in (Result.CONNECT_FAILED, Result.RESET) and not event.reused_connection) or silent:
+            lane.shut |= event.result is Result.CONNECT_FAILED
             self._suspect(lane)
-        elif event.result in (Result.SERVED, Result.ERROR, Result.FULL):
+        elif event.result in (Result.SERVED, Result.ERROR, Result.OVERLOADED):
             self._alive(lane)
-        if event.result is Result.FULL:
+        if event.result is Result.OVERLOADED:
             lane.bound, lane.wait, lane.seen = max(1.0, lane.bound / 2), self.least_aim + lane.wait, self.now
         elif event.result is Result.SERVED or silent:
             took = self.now - attempt.sent + lane.wait * silent  # a time-out: it waits longer than that
@@ -586,12 +588,12 @@
     def _meter(self, job: _Job, event: Outcome) -> None:
         volume = self._volume(job)  # its use through this head: the part of the reserve here follows
         if event.result is Result.SERVED:
-            span = max(self.s.meter, self.least_aim)
+            span = max(self.s.meter_period_s, self.least_aim)
             keep = max(0.0, 1 - (self.now - volume.served) / span)
             volume.mine, volume.served = volume.mine * keep + job.req.units / span, self.now
-        if event.used is not None:
-            volume.use = event.used
-            volume.part = min(1.0, volume.mine / max(event.used * job.plan.rate, 1e-9))
+        if event.volume_usage is not None:
+            volume.use = event.volume_usage
+            volume.part = min(1.0, volume.mine / max(event.volume_usage * job.plan.rate, 1e-9))
 
     def _suspect(self, lane: _Lane, signs: int = 1) -> None:
         """Bad signs in a row, no answer between: hold back, then try with one request after a pause that
@@ -601,33 +603,33 @@
         lane.failed, lane.heard = lane.failed + signs, self.now
         if lane.failed < SIGNS:
             return
-        pause = min(TRIAL_MOST_S, self.s.connect_timeout * 2.0 ** min(lane.failed - SIGNS, 8))
+        pause = min(TRIAL_MOST_S, self.s.connect_timeout_s * 2.0 ** min(lane.failed - SIGNS, 8))
         lane.trial_at = self.now + pause * self.random.uniform(0.8, 1.0)
         if lane.failed - signs < SIGNS:
             self.acts.append(Log(f"node {lane.node} suspected"))
         self._replace(lane)
 
-    def _on_hearsay(self, event: Hearsay) -> None:
+    def _on_hearsay(self, event: GossipedHealth) -> None:
         """Other heads' evidence, weighed by whoever passes it on, with this head's own before it. A node that
         took no connection by their word may have restarted unseen, so it is taken for cold afterwards.
         Guards against each head losing requests of its own to learn it. Harm: work waits for a well node if
         the others are wrong; how many may be shunned so is bounded there."""
         entry = self.nodes.get(event.node)
-        lane = self.lanes.get(entry.cell) if entry else None
+        lane = self.lanes.get(entry.shard) if entry else None
         if lane is None or lane.node != event.node:
             return
-        if event.well:
+        if event.healthy:
             self._alive(lane)
         else:
-            lane.shut |= event.shut
+            lane.shut |= event.refused_connection
             if lane.sound():
                 self._suspect(lane, SIGNS - lane.failed)
-            lane.trial_at = self.now + event.pause
+            lane.trial_at = self.now + event.retry_delay_s
         self._turn(lane)
 
     def _replace(self, lane: _Lane) -> None:
         """New objects held for a node that takes nothing go to another."""
-        for job in [j for f in lane.active.values() for j in f.queue if j.req.cell < 0 and not j.doubt()]:
+        for job in [j for f in lane.active.values() for j in f.queue if j.req.shard < 0 and not j.doubt()]:
             if (other := self._place(job)) and other is not lane:
                 self._unhold(job)
                 self._hold(job, other)
@@ -645,34 +647,38 @@
 
         Unsafe: only while no attempt may have run. Keyed: then also within the group and the window that
         drop its repeats. Every further attempt is within try_limit and, where one is set, the budget."""
-        doubt, twice = job.doubt(), any(t.open for t in job.tries) and not self.s.second_copies
-        if node is not None and (twice or len(job.tries) >= self.s.try_limit or not self._in_budget()):
+        doubt, twice = job.doubt(), any(t.open for t in job.tries) and not self.s.hedging
+        if node is not None and (twice or len(job.tries) >= self.s.max_attempts or not self._in_budget()):
             return False
-        if not doubt or job.cls.effect is Effect.SAFE:
+        if not doubt or job.cls.idempotence is Idempotence.IDEMPOTENT:
             return True
-        if job.cls.effect is Effect.UNSAFE or node is None:
-            return job.cls.effect is Effect.KEYED and job.cls.group is Group.ALL
-        if self.now + 2 * self.s.tick >= doubt[0].sent + job.cls.window:
+        if job.cls.idempotence is Idempotence.NON_IDEMPOTENT or node is None:
+            return job.cls.idempotence is Idempotence.WITH_KEY and job.cls.deduplication_scope is DeduplicationScope.ALL
+        if self.now + 2 * self.s.clock_tick_s >= doubt[0].sent + job.cls.deduplication_window_s:
             return False
-        if job.cls.group is Group.ALL or {t.node for t in doubt} == {node}:
+        if job.cls.deduplication_scope is DeduplicationScope.ALL or {t.node for t in doubt} == {node}:
             return True
         there = [self.nodes.get(t.node) for t in doubt] + [self.nodes.get(node)]
         return (
-            len({x and (x.zone if job.cls.group is Group.ZONE else x.cell) for x in there} - {None}) == 1
+            len(
+                {x and (x.zone if job.cls.deduplication_scope is DeduplicationScope.ZONE else x.shard) for x in there}
+                - {None}
+            )
+            == 1
             and None not in there
         )
 
     def _in_budget(self) -> bool:
         for times in (self.taken, self.extras):
-            while times and times[0] < self.now - self.s.extra_span:
+            while times and times[0] < self.now - self.s.retry_budget_window_s:
                 times.popleft()
-        free = self.s.extra_free
-        return free is None or len(self.extras) + 1 <= free + self.s.extra_ratio * len(self.taken)
+        free = self.s.retry_budget_minimum
+        return free is None or len(self.extras) + 1 <= free + self.s.retry_budget_ratio * len(self.taken)
 
     def _again(self, job: _Job, result: Result) -> None:
         """Nothing of the request is out and it is still owed an answer: another try, or its end."""
         lane = self.lanes[job.cell]
-        if job.req.cell < 0 and not lane.sound() and not job.doubt():
+        if job.req.shard < 0 and not lane.sound() and not job.doubt():
             lane = self._place(job) or lane
         hope = self.now + self._response(lane) <= job.ends and result is not Result.TIMED_OUT
         again = hope and lane.node is not None and self._may(job, lane.node)
@@ -684,10 +690,10 @@
             self._volume(job).reserve += job.req.units
         if self._may(job, None):
             lane = self.lanes.get(job.cell)  # come back once what is held there has left
-            wait = min(self._wait(lane), self.s.max_retry_after) if lane else self.s.max_retry_after
-            self.acts.append(Refuse(job.req.id, wait if self.s.retry_after else 0.0))
+            wait = min(self._wait(lane), self.s.max_retry_after_s) if lane else self.s.max_retry_after_s
+            self.acts.append(RejectRequest(job.req.id, wait if self.s.sends_retry_after else 0.0))
         else:
-            self.acts.append(Fail(job.req.id))
+            self.acts.append(FailRequest(job.req.id))
         self._over(job)
 
     def _over(self, job: _Job) -> None:
@@ -695,14 +701,14 @@
         if job.held:
             self._unhold(job)
         still = [Cancel(job.req.id, k) for k, t in enumerate(job.tries) if t.open]
-        self.acts += still if self.s.may_cancel and not job.over else []
+        self.acts += still if self.s.can_cancel and not job.over else []
         job.over = True
         if not still and self.jobs.pop(job.req.id, job) and job.key:
             self.keys[job.key].remove(job)
             if not self.keys[job.key]:
                 del self.keys[job.key]
 
-    def _on_gone(self, event: ClientGone) -> None:
+    def _on_gone(self, event: ClientDisconnected) -> None:
         if job := self.jobs.get(event.id):
             self._over(job)
 
@@ -712,13 +718,13 @@
 
     def _on_look(self, event: Timer) -> None:
         if event.token == _ASK:
-            if self.now + 2 * self.s.tick >= self.ask_at:
+            if self.now + 2 * self.s.clock_tick_s >= self.ask_at:
                 self.ask_at = math.inf
-                self.acts.append(Watch(True) if self.s.must_ask else FetchList())
+                self.acts.append(SetWatch(True) if self.s.polls_endpoints else FetchEndpoints())
             return
         if event.token:  # else: now and then, what only the passing of time changes
             due = self.jobs.get(event.token - 1)
-            return self._end(due) if due and due.held and due.ends <= self.now + 4 * self.s.tick else None
+            return self._end(due) if due and due.held and due.ends <= self.now + 4 * self.s.clock_tick_s else None
         self.ticking = False
         for lane in [self.busy[cell] for cell in sorted(self.busy)]:
             patience = SILENT * max(self.least_aim / 2, lane.response)  # slow is not dead
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -21,10 +21,10 @@
 import msgspec
 from gevent.queue import Empty, Queue
 
-from fawnspool.duties.fence import Fence, Fenced
-from fawnspool.extents.facts import Delta, Fact, Stamp, State
-from fawnspool.extents.history import Past, Way
+from fawnspool.extents.change_log import Past, Way
 from fawnspool.extents.map import shard_of
+from fawnspool.extents.records import Delta, Fact, Stamp, State
+from fawnspool.leases.fencing import Fence, Fenced
 from fawnspool.net.http import BadMessage
 from fawnspool.net.server import Exchange
 from fawnspool.records.frames import MAGIC, Reader
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -22,9 +22,9 @@
 from fawnspool.days.day import Day
 from fawnspool.days.retry import pause_before_next
 from fawnspool.days.traffic import Op
-from fawnspool.net.client import Broken, Link
+from fawnspool.net.client import ConnectionBroken, Link
 from fawnspool.net.http import BadMessage, request_bytes
-from fawnspool.net.wire import connect
+from fawnspool.net.socket_stream import connect
 
 _BLOCK = 1 << 16
 FRESH_MOST = 400
@@ -185,7 +185,7 @@
             self._keep(op, n, head, link, answer.keep_alive)
         except TimeoutError:
             link.close()
-        except Broken as bad:
+        except ConnectionBroken as bad:
             how = "unreached" if not bad.written and not link.fresh else "closed" if how == "none" else "cut"
             link.close()
         except (BadMessage, OSError):
--- a/fawnspool/standins/moving.py
+++ b/fawnspool/standins/moving.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawnspool.duties.fence import Fence, Fenced
-from fawnspool.extents.copies import Answer, Role, Side
+from fawnspool.extents.replicas import Answer, Role, Side
+from fawnspool.leases.fencing import Fence, Fenced
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.store import Store
 
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -30,11 +30,11 @@
 import msgspec
 from gevent.event import AsyncResult
 
-from fawnspool.extents.copies import Answer as Allowed
-from fawnspool.extents.copies import Role
+from fawnspool.extents.replicas import Answer as Allowed
+from fawnspool.extents.replicas import Role
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
 from fawnspool.net.http import BadMessage
-from fawnspool.net.nodewire import MOVED, Call, Told, read_call, read_target
+from fawnspool.net.node_headers import MOVED, Call, Told, read_call, read_target
 from fawnspool.net.ranges import read_range, tag_matches
 from fawnspool.net.server import ClientLeft, Exchange, Server
 from fawnspool.records.frames import Writer
--- a/fawnspool/telemetry/traces.py
+++ b/fawnspool/telemetry/traces.py
@@ -18,13 +18,13 @@
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace import set_span_in_context
 
-from fawnspool.records.behind import Behind
+from fawnspool.records.background_writer import BackgroundWriter
 
 
 class _Lines(SpanExporter):
     """Writes each span as one line."""
 
-    def __init__(self, path: Path, behind: Behind) -> None:
+    def __init__(self, path: Path, behind: BackgroundWriter) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
         self.file, self.behind = path.open("a", encoding="utf-8"), behind
 
@@ -59,7 +59,7 @@
 class Traces:
     """Draws and writes traces. Times given are monotonic seconds."""
 
-    def __init__(self, path: str, share: float, name: str, behind: Behind) -> None:
+    def __init__(self, path: str, share: float, name: str, behind: BackgroundWriter) -> None:
         provider = TracerProvider(resource=Resource({"service.name": name}), sampler=TraceIdRatioBased(share))
         provider.add_span_processor(SimpleSpanProcessor(_Lines(Path(path), behind)))
         self.provider, self.tracer = provider, provider.get_tracer("fawnspool")
--- a/tests/e2e/relayrig.py
+++ b/tests/e2e/relayrig.py
@@ -13,7 +13,7 @@
 from gevent.server import StreamServer
 
 from fawnspool.relay.config import load
-from fawnspool.relay.program import Program
+from fawnspool.relay.process import Program
 from fawnspool.standins.platform import DiscoveryServer, Shelf
 from fawnspool.telemetry import logs
 from tests.e2e.rig import Client, wait_for
