--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -15,7 +15,7 @@
 from fawnspool.api.objects import ObjectApi
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import parse
-from fawnspool.head.head import Head
+from fawnspool.gateway.gateway import Head
 from fawnspool.model.node import NodeTraits
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -14,11 +14,11 @@
 
 from fawnspool.cli.main import main
 from fawnspool.config.render import render
-from fawnspool.extents.copies import Role
-from fawnspool.extents.moves import Move, Step
-from fawnspool.head.mover import Mover
-from fawnspool.head.places import MapClient
-from fawnspool.net.nodewire import Call
+from fawnspool.extents.migration import Move, Step
+from fawnspool.extents.replicas import Role
+from fawnspool.gateway.extent_directory import MapClient
+from fawnspool.gateway.migrator import Mover
+from fawnspool.net.node_headers import Call
 from fawnspool.rules.story import read as read_story
 from fawnspool.rules.wrong import wrong_sends
 from fawnspool.telemetry import logs
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.connections.starts import OFFSETS_MOST, StartTimes
-from fawnspool.net.arrival import ArrivalClock
+from fawnspool.connections.start_times import OFFSETS_MOST, StartTimes
+from fawnspool.net.arrival_clock import ArrivalClock
 
 WALL = 1.7e9
 LOOKS_S = 0.05
--- a/tests/test_extents.py
+++ b/tests/test_extents.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnspool.extents.facts import Delta, DeltaError, Fact, Stamp, State, later
 from fawnspool.extents.map import ExtentMap, shard_of
+from fawnspool.extents.records import Delta, DeltaError, Fact, Stamp, State, later
 
 
 def fact(
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnspool.extents.facts import State
-from fawnspool.extents.history import LOG_LEAST, Past, Way
+from fawnspool.extents.change_log import LOG_LEAST, Past, Way
 from fawnspool.extents.map import ExtentMap
+from fawnspool.extents.records import State
 from fawnspool.standins.catalogue import Catalogue
 
 
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule, run_state_machine_as_test
 
-from fawnspool.extents.copies import Answer, Copy, Role, Side, Write
-from fawnspool.extents.moves import Move, Seen, Step, Tell, next_step, tell_first
+from fawnspool.extents.migration import Move, Seen, Step, Tell, next_step, tell_first
+from fawnspool.extents.replicas import Answer, Copy, Role, Side, Write
 
 NODES = 3
 
--- a/tests/test_stale.py
+++ b/tests/test_stale.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.extents.keep import LOG_LEAST, RETRY_S, Keep, Write
+from fawnspool.extents.checkpointing import LOG_LEAST, RETRY_S, Keep, Write
 from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.stale import Do, Staleness, Terms
+from fawnspool.extents.staleness import Do, Staleness, Terms
 
 MAP = ExtentMap.empty(4)
 
