--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -100,12 +100,12 @@
             interface.RejectRequest: self._refuse,
             interface.FailRequest: self._fail,
             interface.Cancel: self._cancel,
-            interface.SetTimer: lambda a: self.loop.set_timer(a.delay, a.token),
+            interface.SetTimer: lambda a: self.loop.set_timer(a.delay_s, a.token),
             interface.Probe: self._probe,
             interface.CloseIdle: self._close_idle,
             interface.SendPeerMessage: self._tell_peer,
             interface.Log: lambda a: self.log.info(a.text),
-            interface.SetWatch: lambda a: self.list.watch(a.on),
+            interface.SetWatch: lambda a: self.list.watch(a.enabled),
             interface.FetchEndpoints: lambda a: self.list.fetch(),
         }
         self.workers = Workers(_WORKERS_IDLE)
