--- /dev/null
+++ b/fawnspool/connections/config_reload.py
@@ -0,0 +1,13 @@
+"""When a configuration file that was not complete is read again: it may just be being written."""
+
+from __future__ import annotations
+
+RETRY_DELAY_S = 0.1
+_MAX_RETRIES = 9
+
+
+def retry_delay_s(failed_reads: int) -> float | None:
+    """Return the seconds until the next read after so many failed ones; None: the file is bad."""
+    if failed_reads > _MAX_RETRIES:
+        return None
+    return RETRY_DELAY_S
--- a/fawnspool/connections/incarnations.py
+++ b/fawnspool/connections/incarnations.py
@@ -1,61 +1,86 @@
-"""Which datagrams of another head count: each once, and only of the life that is heard now. No I/O, no clock.
+"""Which datagrams of another gateway count: each once, and only those of its current incarnation.
 
-A head numbers its lives by its wall clock, so a higher one is a later one; but a clock may be set back. So a life
-that does not follow the one that is heard (a lower one, or one heard before) is taken too, once nothing has come of
-the present one for a while. Guards against a head that is never heard again. Harm: a datagram that is late by more
-than `QUIET` and of a life that had ended may be heard, once, where the head has been silent for so long; and a head
-that two processes bear the number of is heard now as the one, now as the other.
+A gateway numbers its incarnations by its wall clock, so that a higher one is a later one; but a clock may be set back.
+An incarnation that does not follow the current one (a lower one, or one heard before) is therefore accepted too, once
+the current one has been silent for `TAKEOVER_SILENCE_S`; otherwise such a gateway would never be heard again.
+
+Two faults are accepted for this. A datagram that is later than that, of an incarnation that had ended, may be heard
+once where its gateway has been silent for so long. Two processes that bear one gateway's number are heard in turns.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-QUIET = 3.0  # seconds: datagrams come late by as much without harm
-LIVES = 4  # of one sender, whose numbers are remembered
-_WINDOW = 1024
+TAKEOVER_SILENCE_S = 3.0  # datagrams come late by as much without harm
+MAX_INCARNATIONS = 4  # of one sender, whose sequence numbers are remembered
+_WINDOW = 1024  # sequence numbers below the highest one that are remembered
 
 
-class _Numbers:
-    """Numbers of one life seen lately; older than the window counts as seen."""
+class _ReplayWindow:
+    """Sequence numbers of one incarnation seen lately; older ones than the window count as seen."""
 
-    __slots__ = ("bits", "top")
+    __slots__ = ("highest", "seen_bits")
 
     def __init__(self) -> None:
-        self.top, self.bits = -1, 0
+        self.highest = -1
+        self.seen_bits = 0
 
-    def first(self, number: int) -> bool:
-        if number > self.top:
-            # More than the window at once leaves nothing of the old bits, so they need not be shifted so far.
-            self.bits = ((self.bits << min(number - self.top, _WINDOW)) | 1) & ((1 << _WINDOW) - 1)
-            self.top = number
+    def accept(self, sequence: int) -> bool:
+        """Note a sequence number; False where it was seen before."""
+        if sequence > self.highest:
+            # A step beyond the window leaves nothing of the old bits, so they need not be shifted so far.
+            shift = min(sequence - self.highest, _WINDOW)
+            self.seen_bits = ((self.seen_bits << shift) | 1) & ((1 << _WINDOW) - 1)
+            self.highest = sequence
             return True
-        back = self.top - number
-        if back >= _WINDOW or self.bits >> back & 1:
+        age = self.highest - sequence
+        if age >= _WINDOW or self.seen_bits >> age & 1:
             return False
-        self.bits |= 1 << back
+        self.seen_bits |= 1 << age
         return True
 
 
-class Seen:
-    """Of one sender."""
+class IncarnationFilter:
+    """Accepts the datagrams of one sender that are to be heard."""
 
     def __init__(self) -> None:
-        self.life: int | None = None
-        self.lives: OrderedDict[int, _Numbers] = OrderedDict()
-        self.heard = float("-inf")
-
-    def first(self, life: int, number: int, now: float) -> bool:
-        """Is it to be heard: of the present life, or of one that takes its place, and not come before?"""
-        if life != self.life:
-            follows = self.life is None or (life > self.life and life not in self.lives)
-            if not follows and now - self.heard < QUIET:
+        self._current: int | None = None
+        self._windows: OrderedDict[int, _ReplayWindow] = OrderedDict()
+        self._last_accepted = float("-inf")
+
+    def accept(self, incarnation: int, sequence: int, now: float) -> bool:
+        """Tell whether a datagram is to be heard.
+
+        Parameters
+        ----------
+        incarnation
+            Number of the sender's incarnation.
+        sequence
+            Number of the datagram in its incarnation.
+        now
+            Monotonic time, seconds.
+
+        Returns
+        -------
+        bool
+            True where it is of the current incarnation, or of one that takes its place, and did not come before.
+        """
+        if incarnation != self._current:
+            if not self._may_take_over(incarnation, now):
                 return False
-            self.life = life
-            self.lives.setdefault(life, _Numbers())
-            while len(self.lives) > LIVES:
-                self.lives.popitem(last=False)
-        if not self.lives[life].first(number):
+            self._current = incarnation
+            self._windows.setdefault(incarnation, _ReplayWindow())
+            while len(self._windows) > MAX_INCARNATIONS:
+                self._windows.popitem(last=False)
+        if not self._windows[incarnation].accept(sequence):
             return False
-        self.heard = now
+        self._last_accepted = now
         return True
+
+    def _may_take_over(self, incarnation: int, now: float) -> bool:
+        if self._current is None:
+            return True
+        if incarnation > self._current and incarnation not in self._windows:
+            return True
+        return now - self._last_accepted >= TAKEOVER_SILENCE_S
--- a/fawnspool/connections/start_times.py
+++ b/fawnspool/connections/start_times.py
@@ -1,47 +1,66 @@
-"""When a listed node started, on the monotonic clock, from a list that names the wall clock's time. No I/O, no clock.
+"""When a listed node started, on the monotonic clock; the endpoint list names the wall clock's time.
 
-The wall clock of this host or of all may be set at any moment. A start that is taken for older than it is lets a cold
-node be pushed over; one taken for younger only holds requests back for a while. So the youngest reading counts that
-is not in the future, and it stands as long as the list names the same start.
+The wall clock of this host or of all hosts may be set at any moment. A start taken for older than it is lets a cold
+node be overloaded; one taken for younger only holds requests back for a while. So the youngest reading that is not in
+the future counts, and it stands as long as the list names the same start.
 """
 
 from __future__ import annotations
 
-OFFSETS_MOST = 4
-STEP_S = 0.05  # offsets that differ by less are one: clocks are slewed
+from dataclasses import dataclass
+
+MAX_OFFSETS = 4
+OFFSET_TOLERANCE_S = 0.05  # offsets that differ by less are one: clocks are slewed
+LONG_AGO = 0.0  # monotonic start of a node of which the list names none
+
+
+@dataclass(frozen=True, slots=True)
+class _StartTime:
+    wall: float  # as the list names it
+    monotonic: float  # as it counts
 
 
 class StartTimes:
     """The starts of all listed nodes. Times in seconds; the caller reads the clocks."""
 
     def __init__(self) -> None:
-        self._offsets: list[float] = []  # wall clock less monotonic one, as it stood, newest last
-        self._known: dict[str, tuple[float, float]] = {}  # by node: as the list names it, as it counts
+        self._offsets: list[float] = []  # wall clock less monotonic clock, as they stood, newest last
+        self._known: dict[str, _StartTime] = {}  # by node
 
-    def look(self, wall: float, now: float) -> None:
-        """How the clocks stand to each other."""
+    def observe_clocks(self, wall: float, now: float) -> None:
+        """Note how the wall clock and the monotonic clock stand to each other."""
         offset = wall - now
-        others = [known for known in self._offsets if abs(known - offset) > STEP_S]
-        self._offsets = [*others[1 - OFFSETS_MOST :], offset]
-
-    def started(self, node: str, named: float, now: float) -> float:
-        """The monotonic time at which a node started that the list says started at `named` (wall clock; 0: long ago).
-        `look` comes before."""
-        if named <= 0:
-            return 0.0
+        others = [known for known in self._offsets if abs(known - offset) > OFFSET_TOLERANCE_S]
+        self._offsets = [*others[1 - MAX_OFFSETS :], offset]
+
+    def started_at(self, node: str, wall: float, now: float) -> float:
+        """Return the monotonic time at which a node started. Call `observe_clocks` before.
+
+        Parameters
+        ----------
+        node
+            The node's name.
+        wall
+            Its start as the list names it, by the wall clock; 0 or less: `LONG_AGO`.
+        now
+            Monotonic time.
+        """
+        if wall <= 0:
+            return LONG_AGO
         known = self._known.get(node)
-        if known is not None and known[0] == named:
-            return known[1]
-        readings = [named - offset for offset in self._offsets]
-        counts = max(0.0, max((at for at in readings if at <= now), default=now))
-        self._known[node] = (named, counts)
-        return counts
+        if known is not None and known.wall == wall:
+            return known.monotonic
+        readings = [wall - offset for offset in self._offsets]
+        youngest = max((reading for reading in readings if reading <= now), default=now)
+        start = _StartTime(wall, max(0.0, youngest))
+        self._known[node] = start
+        return start.monotonic
 
     def forget(self, node: str) -> None:
-        """It has left the list."""
+        """Drop a node that has left the list."""
         self._known.pop(node, None)
 
-    def keep(self, nodes: set[str]) -> None:
-        """Forget all other nodes."""
+    def retain(self, nodes: set[str]) -> None:
+        """Drop all other nodes."""
         for node in self._known.keys() - nodes:
             del self._known[node]
--- a/fawnspool/connections/states.py
+++ b/fawnspool/connections/states.py
@@ -1,67 +1,65 @@
-"""The states of a client's connection, why one ends, and what each end owes. No I/O, no clock.
+"""The states of a client's connection, why one ends, and what response each end owes.
 
 What was read is answered; what is unread is left for the client to send again, and the system's reset tells it so.
 
-| state     | bytes come | the client ends or it breaks | deadline | eviction | the head ends | an error of the head |
-| --------- | ---------- | ---------------------------- | -------- | -------- | ------------- | -------------------- |
-| new, idle | reading    | closed                       | closed   | closed   | closed        | -                    |
-| reading   | in hand    | closed                       | 408      | never    | 503           | 500                  |
-| in hand   | left there | given up                     | answered | never    | answered      | 500                  |
-| answering | left there | closed                       | closed   | never    | written on    | closed               |
-| closing   | left there | closed                       | closed   | never    | closed        | closed               |
+| state     | bytes come | the client ends or it breaks | deadline | eviction | shutdown   | internal error |
+| --------- | ---------- | ---------------------------- | -------- | -------- | ---------- | -------------- |
+| new, idle | reading    | closed                       | closed   | closed   | closed     | -              |
+| reading   | handling   | closed                       | 408      | never    | 503        | 500            |
+| handling  | left there | given up                     | answered | never    | answered   | 500            |
+| answering | left there | closed                       | closed   | never    | written on | closed         |
+| closing   | left there | closed                       | closed   | never    | closed     | closed         |
 
-"Closed" leaves unread bytes unread. The head's end waits for what is in hand; only a process that is ended under it
-(`Cause.KILLED`) cuts it short, and then it is answered with 500 first.
+"Closed" leaves unread bytes unread. A shutdown waits for what is being handled; only a process that is ended under it
+(`CloseCause.KILLED`) cuts it short, and then it is answered with 500 first.
 """
 
 from __future__ import annotations
 
 from enum import Enum
+from http import HTTPStatus
 
 
-class State(Enum):
-    """Where a client's connection stands."""
+class ConnectionState(Enum):
+    """Where a client's connection stands. The values are labels of figures and fields of log lines."""
 
     NEW = "new"  # accepted, no byte of a request read
     IDLE = "idle"  # between two requests, no byte of the next one read
     READING = "reading"  # some bytes of a request read, not all
-    IN_HAND = "in hand"  # a whole request read, its answer owed
-    ANSWERING = "answering"  # the answer is being written
-    CLOSING = "closing"  # the last answer is given, or none is owed
+    HANDLING = "in hand"  # a complete request read, its response owed
+    ANSWERING = "answering"  # the response is being written
+    CLOSING = "closing"  # the last response is given, or none is owed
 
 
-class Cause(Enum):
-    """Why a connection ended."""
+class CloseCause(Enum):
+    """Why a connection ended. The values are labels of figures and fields of log lines."""
 
     ANSWERED = "its last answer was given"
-    PEER_END = "the client closed it"
+    PEER_CLOSED = "the client closed it"
     RESET = "it broke"
     DEADLINE = "its time ran out"
     EVICTION = "another needed its place"
     SHUTDOWN = "the head ends"
     BAD_MESSAGE = "a malformed request"
-    OWN_ERROR = "an error of the head"
+    INTERNAL_ERROR = "an error of the head"
     KILLED = "the process ended under it"
 
 
-class Owed(Enum):
-    """What a client is owed before its connection ends: a status, or nothing."""
+_CLIENT_GONE = frozenset((CloseCause.PEER_CLOSED, CloseCause.RESET))
 
-    NOTHING = 0
-    TIMED_OUT = 408
-    FAILED = 500
-    REFUSED = 503
+# By the state in which a request without a response is cut short: the status by cause, where it is not 500.
+_STATUS_BY_CAUSE: dict[ConnectionState, dict[CloseCause, HTTPStatus]] = {
+    ConnectionState.READING: {
+        CloseCause.DEADLINE: HTTPStatus.REQUEST_TIMEOUT,
+        CloseCause.SHUTDOWN: HTTPStatus.SERVICE_UNAVAILABLE,
+    },
+    ConnectionState.HANDLING: {CloseCause.DEADLINE: HTTPStatus.REQUEST_TIMEOUT},
+}
 
 
-_GONE = frozenset((Cause.PEER_END, Cause.RESET))
-
-
-def owed(state: State, cause: Cause) -> Owed:
-    """What is owed where a connection in `state` ends by `cause` and its request has no answer yet."""
-    if cause in _GONE or state not in (State.READING, State.IN_HAND):
-        return Owed.NOTHING
-    if cause is Cause.SHUTDOWN:
-        return Owed.REFUSED if state is State.READING else Owed.FAILED
-    if cause is Cause.DEADLINE:
-        return Owed.TIMED_OUT
-    return Owed.FAILED
+def owed_status(state: ConnectionState, cause: CloseCause) -> HTTPStatus | None:
+    """Return the status owed where a connection ends and its request has no response yet; None: nothing is owed."""
+    by_cause = _STATUS_BY_CAUSE.get(state)
+    if by_cause is None or cause in _CLIENT_GONE:
+        return None
+    return by_cause.get(cause, HTTPStatus.INTERNAL_SERVER_ERROR)
--- a/fawnspool/gateway/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent import socket
 
-from fawnspool.connections.incarnations import Seen
+from fawnspool.connections.incarnations import IncarnationFilter
 from fawnspool.scheduling import interface
 
 _HEAD = struct.Struct(">3sIQQ")
@@ -31,7 +31,7 @@
     ) -> None:
         self.me, self.addresses, self.tell = me, addresses, tell
         self.life, self.number = time.time_ns(), 0
-        self.seen: dict[int, Seen] = {}
+        self.seen: dict[int, IncarnationFilter] = {}
         self.claimed: dict[int, Callable[[int, bytes], None]] = {}
         self.sock = socket.socket(std.AF_INET, std.SOCK_DGRAM)
         self.sock.bind(listen)
@@ -64,7 +64,7 @@
             magic, sender, life, number = _HEAD.unpack_from(data)
             if magic != b"FP1" or sender not in self.addresses or sender == self.me:
                 continue
-            if self.seen.setdefault(sender, Seen()).first(life, number, time.monotonic()):
+            if self.seen.setdefault(sender, IncarnationFilter()).accept(life, number, time.monotonic()):
                 body = data[_HEAD.size :]
                 hear = self.claimed.get(body[0]) if body else None
                 if hear is not None:
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from fawnspool.connections.decide import reopens
+from fawnspool.connections.watch_timeouts import reopens_at_once
 from fawnspool.net.client import ConnectionBroken, Link, Pool, PoolExhausted, call
 from fawnspool.net.http import request_bytes
 from fawnspool.scheduling import interface
@@ -143,7 +143,7 @@
                 link, began = self._open_watch(pool)
                 self._follow(link, began)
             except Exception as bad:
-                if self.watching is me and reopens(link is not None, isinstance(bad, TimeoutError)):
+                if self.watching is me and reopens_at_once(link is not None, isinstance(bad, TimeoutError)):
                     self.log.warning("a watch fell silent and is opened anew")
                     continue
                 if self.watching is me:
--- a/fawnspool/net/connection.py
+++ b/fawnspool/net/connection.py
@@ -11,11 +11,12 @@
 import socket as std
 import time
 from collections.abc import Iterator
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 import gevent
 
-from fawnspool.connections.states import Cause, Owed, State, owed
+from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
 from fawnspool.net.http import END, BadMessage, Head, RequestParser, head_bytes
 from fawnspool.net.socket_stream import Wire
 
@@ -30,9 +31,9 @@
 FLOOD = 32_768  # unread bytes behind a request in hand, past which its client counts as gone where `evicts`
 JSON = (b"Content-Type", b"application/json")
 _WORDS = {
-    Owed.TIMED_OUT: "the request did not come whole in time",
-    Owed.FAILED: "the request was cut short here",
-    Owed.REFUSED: "this server ends",
+    HTTPStatus.REQUEST_TIMEOUT: "the request did not come whole in time",
+    HTTPStatus.INTERNAL_SERVER_ERROR: "the request was cut short here",
+    HTTPStatus.SERVICE_UNAVAILABLE: "this server ends",
 }
 
 
@@ -63,7 +64,7 @@
             event = conn.next_event(READ_BODY)
             if event is END:
                 self.read_all = True
-                conn.state = State.IN_HAND
+                conn.state = ConnectionState.HANDLING
                 return
             assert isinstance(event, bytes)
             self.seen += len(event)
@@ -104,7 +105,7 @@
 
     def abandon(self) -> None:
         """The client counts as gone, and no answer is owed. One that only sent too much is told so."""
-        self.conn.note_cause(Cause.BAD_MESSAGE if self.conn.flooded else Cause.PEER_END)
+        self.conn.note_cause(CloseCause.BAD_MESSAGE if self.conn.flooded else CloseCause.PEER_CLOSED)
         if self.conn.flooded:
             return self.respond(400, [JSON], error_body("bad-request", "too much came behind a request"), close=True)
         self.answered = self.conn.closing = True
@@ -123,7 +124,7 @@
             raise RuntimeError("an exchange is answered once")
         self.answered = True
         whole = self.read_all or self._rest_is_here()
-        self.conn.state, self.conn.rest_open = State.ANSWERING, not whole
+        self.conn.state, self.conn.rest_open = ConnectionState.ANSWERING, not whole
         return not whole or not self.head.keep_alive or self.conn.must_end()
 
     def _rest_is_here(self) -> bool:
@@ -161,8 +162,8 @@
         self.server, self.wire, self.peer = server, wire, peer
         self.number, self.opened = number, time.monotonic()
         self.parser = RequestParser(server.limits)
-        self.state = State.NEW
-        self.cause: Cause | None = None
+        self.state = ConnectionState.NEW
+        self.cause: CloseCause | None = None
         self.exchange: Exchange | None = None  # the request in hand, or the last one
         self.used = False  # it has carried a whole request's head
         self.until = math.inf  # by when the request being read must be whole
@@ -228,22 +229,22 @@
                 if exchange is None:
                     return
                 self._handle(exchange)
-            self.note_cause(Cause.ANSWERED)
+            self.note_cause(CloseCause.ANSWERED)
         except ClientLeft:
-            self.note_cause(Cause.PEER_END)
+            self.note_cause(CloseCause.PEER_CLOSED)
         except TimeoutError:
-            self.note_cause(Cause.DEADLINE)
+            self.note_cause(CloseCause.DEADLINE)
         except OSError:
-            self.note_cause(Cause.RESET)
+            self.note_cause(CloseCause.RESET)
         except gevent.GreenletExit:
-            self.note_cause(Cause.KILLED)
+            self.note_cause(CloseCause.KILLED)
             self._answer_owed()
         finally:
             self.server.note_end(self)
-            self.state = State.CLOSING
+            self.state = ConnectionState.CLOSING
             self._close()
 
-    def note_cause(self, cause: Cause) -> None:
+    def note_cause(self, cause: CloseCause) -> None:
         """The first cause counts."""
         if self.cause is None:
             self.cause = cause
@@ -252,8 +253,14 @@
         """Read up to a request's head. None: there is none, and the connection ends."""
         server, events = self.server, self.parser.events
         self.exchange = None
-        self.state = State.READING if self.parser.in_head or events else State.IDLE if self.used else State.NEW
-        began = time.monotonic() if self.state is State.READING else 0.0
+        self.state = (
+            ConnectionState.READING
+            if self.parser.in_head or events
+            else ConnectionState.IDLE
+            if self.used
+            else ConnectionState.NEW
+        )
+        began = time.monotonic() if self.state is ConnectionState.READING else 0.0
         try:
             while not events:
                 if began:
@@ -262,13 +269,13 @@
                     data, came = self._first_bytes()
                 if not data:
                     self.peer_closed = True
-                    self.note_cause(Cause.PEER_END)
+                    self.note_cause(CloseCause.PEER_CLOSED)
                     return None
                 began = began or came
-                self.state = State.READING
+                self.state = ConnectionState.READING
                 self.parser.feed(data)
         except TimeoutError:
-            self.note_cause(Cause.SHUTDOWN if server.leaving else Cause.DEADLINE)
+            self.note_cause(CloseCause.SHUTDOWN if server.leaving else CloseCause.DEADLINE)
             self._answer_owed()
             return None
         except BadMessage as bad:
@@ -276,7 +283,7 @@
             return None
         head = events.popleft()
         if not isinstance(head, Head):
-            self.note_cause(Cause.BAD_MESSAGE)
+            self.note_cause(CloseCause.BAD_MESSAGE)
             return None
         return self._begin(head, began or time.monotonic())
 
@@ -292,7 +299,7 @@
         if server.turnstile is not None:
             server.turnstile.enter(server.due(head, came))
         exchange.read_all = whole
-        self.state = State.IN_HAND if whole else State.READING
+        self.state = ConnectionState.HANDLING if whole else ConnectionState.READING
         return exchange
 
     def _first_bytes(self) -> tuple[bytes, float]:
@@ -315,17 +322,19 @@
         except BadMessage as bad:
             self._complain(bad)
         except TimeoutError:
-            self.note_cause(Cause.SHUTDOWN if self.server.closing_until <= time.monotonic() else Cause.DEADLINE)
+            self.note_cause(
+                CloseCause.SHUTDOWN if self.server.closing_until <= time.monotonic() else CloseCause.DEADLINE
+            )
             self._answer_owed()
         except ClientLeft:
-            self.note_cause(Cause.PEER_END)
+            self.note_cause(CloseCause.PEER_CLOSED)
             self.closing = True
         except Exception as bad:
             if isinstance(bad, OSError) and self.wire.is_broken():
-                self.note_cause(Cause.RESET)
+                self.note_cause(CloseCause.RESET)
             else:
                 self.server.on_error(bad)
-                self.note_cause(Cause.OWN_ERROR)
+                self.note_cause(CloseCause.INTERNAL_ERROR)
             self._answer_owed()
         if not exchange.answered and not self.closing:
             exchange.respond(500, [JSON], error_body("failed", "unanswered"), close=True)
@@ -336,13 +345,14 @@
     def _answer_owed(self) -> None:
         """The connection ends; a request that was read in part or whole and has no answer yet gets one."""
         self.closing = True
-        due = owed(self.state, self.cause or Cause.KILLED)
-        if due is not Owed.NOTHING:
-            self._send_error(due.value, "refused" if due is Owed.REFUSED else "failed", _WORDS[due])
+        status = owed_status(self.state, self.cause or CloseCause.KILLED)
+        if status is not None:
+            word = "refused" if status is HTTPStatus.SERVICE_UNAVAILABLE else "failed"
+            self._send_error(status, word, _WORDS[status])
 
     def _complain(self, bad: BadMessage) -> None:
         """A clear answer to a message whose framing is in doubt; the connection closes behind it."""
-        self.note_cause(Cause.BAD_MESSAGE)
+        self.note_cause(CloseCause.BAD_MESSAGE)
         self.closing = True
         self.server.on_bad(bad)
         self._send_error(bad.status, "bad-request", bad.text)
@@ -353,7 +363,7 @@
             if exchange.answered:
                 return
             exchange.answered = True
-        self.state, self.rest_open = State.ANSWERING, exchange is None or not exchange.read_all
+        self.state, self.rest_open = ConnectionState.ANSWERING, exchange is None or not exchange.read_all
         body = error_body(word, reason)
         try:
             self.send(head_bytes(status, [JSON], len(body), True) + body)
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -18,8 +18,9 @@
 from gevent import socket
 from gevent.hub import get_hub
 
-from fawnspool.connections.decide import Kind, crowded, makes_room
-from fawnspool.connections.states import Cause
+from fawnspool.connections.descriptor_limits import is_crowded
+from fawnspool.connections.eviction import WaitingKind, kind_to_evict
+from fawnspool.connections.states import CloseCause
 from fawnspool.net.connection import LINGER_S, ClientLeft, Connection, Exchange
 from fawnspool.net.http import BadMessage, Head, Limits
 from fawnspool.net.listener import address, bind, has_queued, listen, refuse_connections
@@ -42,7 +43,7 @@
     connection must begin its first request (None: idle_close). evicts: a whole request must come within
     piece_timeout, where `most` connections are open the one that has waited longest without a request makes room,
     and a client that sends over READ_AHEAD bytes behind a request in hand counts as gone. crowd: with so many
-    connections open an answer ends its own; 0: never."""
+    connections open an answer ends its own; None: never."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         due: Callable[[Head, float], float] | None = None,
         silent_close: float | None = None,
         evicts: bool = False,
-        crowd: int = 0,
+        crowd: int | None = None,
     ) -> None:
         self.handler, self.limits = handler, limits or Limits()
         self.idle_close, self.piece_timeout, self.most = idle_close, piece_timeout, most
@@ -131,24 +132,24 @@
     def evict_idle(self) -> bool:
         """Close the connection that has waited longest, of the kind that makes room; False: none waits. One whose
         request has come and is only not read yet does not wait."""
-        kind = makes_room(len(self.idle), len(self.silent))
+        kind = kind_to_evict(len(self.idle), len(self.silent))
         if kind is None:
             return False
-        first, then = (self.silent, self.idle) if kind is Kind.SILENT else (self.idle, self.silent)
+        first, then = (self.silent, self.idle) if kind is WaitingKind.NEW else (self.idle, self.silent)
         for conn in [*islice(first, LOOKS), *islice(then, LOOKS)]:
             if conn.wire.unread():
                 continue
             self.idle.pop(conn, None)
             self.silent.pop(conn, None)
             self.open.pop(conn, None)
-            conn.cause = Cause.EVICTION
+            conn.cause = CloseCause.EVICTION
             conn.wire.close()
             return True
         return False
 
     def last_answer(self) -> bool:
         """Must a connection end with its answer? Its client is told, and sends nothing more on it."""
-        return self.leaving or crowded(len(self.open), self.crowd)
+        return self.leaving or is_crowded(len(self.open), self.crowd)
 
     def stop_accepting(self, until: float) -> None:
         """Refuse new connections from now on, and close the listener once those that the system has accepted are
@@ -180,11 +181,11 @@
 
     def note_end(self, conn: Connection) -> None:
         """Count a connection's end by state and cause; tell of a request that it leaves unanswered."""
-        cause = conn.cause or Cause.OWN_ERROR
+        cause = conn.cause or CloseCause.INTERNAL_ERROR
         key = (conn.state.value, cause.value)
         self.closings[key] = self.closings.get(key, 0) + 1
         exchange = conn.exchange
-        if exchange is not None and not exchange.answered and cause not in (Cause.PEER_END, Cause.RESET):
+        if exchange is not None and not exchange.answered and cause not in (CloseCause.PEER_CLOSED, CloseCause.RESET):
             self.on_unanswered(conn)
 
     def states(self) -> dict[str, int]:
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fawnspool.connections.decide import believes_older, watch_times
 from fawnspool.connections.start_times import StartTimes
+from fawnspool.connections.watch_timeouts import accepts_older_snapshot, watch_timeouts
 from fawnspool.gateway.watch_client import ListLink
 from fawnspool.scheduling import interface
 
@@ -41,13 +41,13 @@
         log: Any,
         free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        times = watch_times(HEARTBEAT_S)
-        super().__init__(address, times.call, times.silence, tell, log, free_descriptor)
+        times = watch_timeouts(HEARTBEAT_S)
+        super().__init__(address, times.call_s, times.silence_s, tell, log, free_descriptor)
         self.zones, self.kinds = zones, kinds
         self.nodes: dict[int, Shelf] = {}
         self.numbers: dict[str, int] = {}
         self.starts = StartTimes()
-        self.starts.look(time.time(), time.monotonic())
+        self.starts.observe_clocks(time.time(), time.monotonic())
         self.last = 0
         self.older = 0  # lists older than what is held, in a row
         self.confirmed = False  # has the service said anything of the list that is held?
@@ -98,7 +98,7 @@
             if not whole:
                 return  # heard before
             self.older += 1
-            if not believes_older(self.older):
+            if not accepts_older_snapshot(self.older):
                 raise ValueError(f"a list of {version}, older than {self.version}")
         self.older = 0
         self._apply(told, interface.UpdateKind.SNAPSHOT if whole else interface.UpdateKind.DELTA)
@@ -108,7 +108,7 @@
         if not isinstance(rows, list):
             raise ValueError("hosts: expected a list")
         now = time.monotonic()
-        self.starts.look(time.time(), now)
+        self.starts.observe_clocks(time.time(), now)
         if kind is not interface.UpdateKind.DELTA:
             self.nodes = {}
         entries = []
@@ -127,7 +127,7 @@
                 self.nodes[entry.node] = shelf
         if kind is not interface.UpdateKind.DELTA:
             self.numbers = {shelf.name: node for node, shelf in self.nodes.items()}
-            self.starts.keep(set(self.numbers))
+            self.starts.retain(set(self.numbers))
         self.version, self.confirmed = version, kind is not interface.UpdateKind.CACHED
         self.tell(interface.EndpointUpdate(kind, version, tuple(entries)))
 
@@ -157,7 +157,7 @@
             cell,
             phase,
             share,
-            self.starts.started(name, born / 1000, now),
+            self.starts.started_at(name, born / 1000, now),
         ), shelf
 
 
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -13,7 +13,10 @@
 import gevent
 from gevent.event import Event
 
-from fawnspool.connections.decide import COOLDOWN, IDLE_SHARE, ending, places, reads_again
+from fawnspool.connections.config_reload import retry_delay_s
+from fawnspool.connections.descriptor_limits import divide_descriptors
+from fawnspool.connections.idle_timeouts import NODE_COOLDOWN_S, NODE_IDLE_FRACTION
+from fawnspool.connections.shutdown import shutdown_schedule
 from fawnspool.gateway.core import Core, PoolBounds
 from fawnspool.relay.config import ConfigError, RelayConfig, load
 from fawnspool.relay.discovery import Discovery
@@ -37,17 +40,17 @@
         self.config, self.path, self.environ = config, path, environ
         self.log = logs.get(head=config.name)
         s = config.settings
-        bounds = places(config.sockets, s.shard_count)
+        bounds = divide_descriptors(config.sockets, s.shard_count)
         self.core = Core(
             s,
             Scheduler(s, config.seed),
             ShelfSpeech(s),
             PoolBounds(
-                bounds.node,
+                bounds.per_node,
                 s.connect_timeout_s or 0.25,
-                IDLE_SHARE * config.idle_close,
+                NODE_IDLE_FRACTION * config.idle_close,
                 lenient=True,
-                cooldown=COOLDOWN,
+                cooldown=NODE_COOLDOWN_S,
             ),
             Sums(),
             self.log,
@@ -136,21 +139,22 @@
         if self.front.until < math.inf:
             return  # told before: a second signal gives no more time
         told, server = time.monotonic(), self.front.server
-        end = ending(told, NEW_S, MORE_S + min(COUNTED_S, max(c.deadline_s for c in self.config.settings.classes)))
-        self.front.until = end.answered
-        server.crowd = 0  # new connections end soon: from now on every kept one is needed
+        longest = max(c.deadline_s for c in self.config.settings.classes)
+        end = shutdown_schedule(told, NEW_S, MORE_S + min(COUNTED_S, longest))
+        self.front.until = end.answered_by
+        server.crowd = None  # new connections end soon: from now on every kept one is needed
         self._log_step("ending")
-        _wait_until(end.refuse, lambda: time.monotonic() >= end.unused and not server.open)
+        _wait_until(end.refuse_at, lambda: time.monotonic() >= end.unused_from and not server.open)
         server.leaving = True
         self._log_step("new connections are refused")
-        server.stop_accepting(end.close)
-        _wait_until(end.close, lambda: not server.open)
+        server.stop_accepting(end.close_idle_at)
+        _wait_until(end.close_idle_at, lambda: not server.open)
         self._log_step("idle connections are closed")
-        server.closing_down(end.answered)
-        _wait_until(end.answered, lambda: not server.open)
+        server.closing_down(end.answered_by)
+        _wait_until(end.answered_by, lambda: not server.open)
         self.front.end_all()
         server.finish()
-        _wait_until(end.gone, lambda: not server.open)
+        _wait_until(end.exit_by, lambda: not server.open)
         self._log_step("ended", after_s=round(time.monotonic() - told, 2))
         self.ended.set()
 
@@ -191,7 +195,7 @@
             if bad.no_descriptor and free_descriptor():
                 continue
             tries += 1
-            pause = reads_again(tries) if bad.not_whole else None
+            pause = retry_delay_s(tries) if bad.not_whole else None
             if pause is None:
                 raise
             gevent.sleep(pause)
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -11,7 +11,9 @@
 import re
 import time
 
-from fawnspool.connections.decide import KEPT, QUIET, Places, takes_long
+from fawnspool.connections.body_limits import admits_long_body
+from fawnspool.connections.descriptor_limits import ConnectionLimits
+from fawnspool.connections.idle_timeouts import CLIENT_IDLE_TIMEOUT_S, REQUEST_TIMEOUT_S
 from fawnspool.gateway.core import Core
 from fawnspool.gateway.request_state import Body, Kind, Pending
 from fawnspool.net.http import BadMessage, Limits
@@ -33,7 +35,9 @@
 class Front:
     """Serves the platform's clients on `listen`."""
 
-    def __init__(self, core: Core, settings: Settings, listen: tuple[str, int], places: Places, memory: int) -> None:
+    def __init__(
+        self, core: Core, settings: Settings, listen: tuple[str, int], limits: ConnectionLimits, memory: int
+    ) -> None:
         """memory: bytes that the head may use in all."""
         self.core, self.settings, self.memory = core, settings, memory
         self.long = dict[Exchange, int]()  # bytes of bodies over the usual size in hand
@@ -46,16 +50,16 @@
             listen,
             self.handle,
             limits=Limits(HEAD_BYTES, HEAD_FIELDS),
-            idle_close=KEPT,
-            silent_close=QUIET,
-            piece_timeout=QUIET,
-            most=places.clients,
+            idle_close=CLIENT_IDLE_TIMEOUT_S,
+            silent_close=REQUEST_TIMEOUT_S,
+            piece_timeout=REQUEST_TIMEOUT_S,
+            most=limits.clients,
             on_error=self._error,
             on_bad=self._bad,
             turn=TURN,
             due=self._due,
             evicts=True,
-            crowd=places.crowd,
+            crowd=limits.crowded_from,
         )
         self.server.on_unanswered = self._unanswered
 
@@ -90,7 +94,7 @@
     def _due(self, head: MessageHead, came: float) -> float:
         """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
         raw = head.headers.get(b"request-timeout-ms", b"")
-        return came + (int(raw) / 1000 if _COUNT.fullmatch(raw) else QUIET)
+        return came + (int(raw) / 1000 if _COUNT.fullmatch(raw) else REQUEST_TIMEOUT_S)
 
     # ------------------------------------------------------------ one request
 
@@ -111,7 +115,7 @@
         """Room for a body of `size` bytes, if that is over the usual. Raises BadMessage."""
         more = size - self.long.get(exchange, 0)
         if size > BODY_USUAL and more > 0:
-            if not takes_long(more, self.held, self.memory):
+            if not admits_long_body(more, self.held, self.memory):
                 raise BadMessage(503, "too many long bodies at once")
             self.long[exchange] = size
             self.held += more
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -24,7 +24,7 @@
 import pytest
 from gevent.event import Event
 
-from fawnspool.connections.decide import watch_times
+from fawnspool.connections.watch_timeouts import watch_timeouts
 from fawnspool.gateway.watch_client import ObjectSplitter
 from fawnspool.net import client as net_client
 from fawnspool.net import server as net_server
@@ -620,8 +620,8 @@
 
 def test_the_silence_of_the_platform_leaves_time_for_calls() -> None:
     """6 s from when a watch fell silent: its last beat may be as old then as nothing, so the whole silence counts."""
-    times = watch_times(HEARTBEAT_S)
-    assert times.silence > HEARTBEAT_S and times.silence + times.call <= 6.0
+    times = watch_timeouts(HEARTBEAT_S)
+    assert times.silence_s > HEARTBEAT_S and times.silence_s + times.call_s <= 6.0
 
 
 def test_an_object_may_stand_on_several_lines(rig: RelayRig) -> None:
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -241,7 +241,7 @@
             assert c.ask("GET", "/read", **headers(f"r{k}")).status == 200
             assert len(rig.program.front.server.open) <= crowd + 1
         assert c.sock.recv(1) == b""
-        rig.program.front.server.crowd = 0
+        rig.program.front.server.crowd = None
         c = rig.client()
         for k in range(2):
             assert c.ask("GET", "/read", **headers(f"k{k}")).status == 200
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -21,8 +21,8 @@
 import gevent
 import pytest
 
-from fawnspool.connections.decide import LAST, SPARE
-from fawnspool.connections.states import Cause, Owed, State, owed
+from fawnspool.connections.shutdown import KILL_MARGIN_S, LAST_RESPONSES_S
+from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
 from fawnspool.net.connection import Exchange
 from fawnspool.net.server import Server
 from fawnspool.net.socket_stream import Wire
@@ -200,7 +200,7 @@
         kept = plain_sock(rig.listen, text("/read", headers("kept")))
         wait_for(lambda: "kept" in rig.asked())
         process.send_signal(signal.SIGTERM)
-        gevent.sleep(2.0 + 0.7 - SPARE - LAST - 0.08)
+        gevent.sleep(2.0 + 0.7 - KILL_MARGIN_S - LAST_RESPONSES_S - 0.08)
         process.send_signal(signal.SIGSTOP)
         queued = [plain_sock(rig.listen, text("/read", headers(f"q{k}", volume=f"{k:x}"))) for k in range(30)]
         gevent.sleep(0.15)
@@ -290,9 +290,11 @@
     assert answer(sock).startswith(b"HTTP/1.1 500")
 
 
-@pytest.mark.parametrize("cause", Cause)
-@pytest.mark.parametrize("state", State)
-def test_an_answer_is_owed_for_what_was_read_unless_its_client_has_gone(state: State, cause: Cause) -> None:
-    is_owed = owed(state, cause) is not Owed.NOTHING
-    gone = cause in (Cause.PEER_END, Cause.RESET)
-    assert is_owed == (state in (State.READING, State.IN_HAND) and not gone)
+@pytest.mark.parametrize("cause", CloseCause)
+@pytest.mark.parametrize("state", ConnectionState)
+def test_an_answer_is_owed_for_what_was_read_unless_its_client_has_gone(
+    state: ConnectionState, cause: CloseCause
+) -> None:
+    is_owed = owed_status(state, cause) is not None
+    gone = cause in (CloseCause.PEER_CLOSED, CloseCause.RESET)
+    assert is_owed == (state in (ConnectionState.READING, ConnectionState.HANDLING) and not gone)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.connections.start_times import OFFSETS_MOST, StartTimes
+from fawnspool.connections.start_times import MAX_OFFSETS, StartTimes
 from fawnspool.net.arrival_clock import ArrivalClock
 
 WALL = 1.7e9
@@ -64,14 +64,14 @@
 
 def test_a_start_is_told_on_the_monotonic_clock_and_once() -> None:
     starts = StartTimes()
-    starts.look(WALL, 100.0)
-    assert starts.started("a", 0, 100.0) == 0.0
-    assert starts.started("a", WALL - 3.0, 100.0) == pytest.approx(97.0)
-    starts.look(WALL + 10 + 3600, 110.0)
-    assert starts.started("a", WALL - 3.0, 110.0) == pytest.approx(97.0)
-    starts.keep(set())
-    starts.look(WALL + 20, 120.0)
-    assert starts.started("a", WALL + 18.0, 120.0) == pytest.approx(118.0)
+    starts.observe_clocks(WALL, 100.0)
+    assert starts.started_at("a", 0, 100.0) == 0.0
+    assert starts.started_at("a", WALL - 3.0, 100.0) == pytest.approx(97.0)
+    starts.observe_clocks(WALL + 10 + 3600, 110.0)
+    assert starts.started_at("a", WALL - 3.0, 110.0) == pytest.approx(97.0)
+    starts.retain(set())
+    starts.observe_clocks(WALL + 20, 120.0)
+    assert starts.started_at("a", WALL + 18.0, 120.0) == pytest.approx(118.0)
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -79,11 +79,11 @@
 def test_no_cold_node_is_taken_for_a_warm_one_where_the_clock_was_set(step: float, whose: str) -> None:
     """It started 2 s ago. Its start may be named in the new time or in the old one."""
     starts = StartTimes()
-    starts.look(WALL, 100.0)
-    starts.look(WALL + 50 + step, 150.0)
+    starts.observe_clocks(WALL, 100.0)
+    starts.observe_clocks(WALL + 50 + step, 150.0)
     named = WALL + 58.0 + (step if whose == "everyone's" else 0.0)
-    starts.look(WALL + 60 + step, 160.0)
-    got = starts.started("a", named, 160.0)
+    starts.observe_clocks(WALL + 60 + step, 160.0)
+    got = starts.started_at("a", named, 160.0)
     assert 158.0 - 1e-3 <= got <= 160.0
 
 
@@ -91,7 +91,7 @@
 def test_what_is_remembered_is_bounded(offsets: list[float]) -> None:
     starts = StartTimes()
     for k, offset in enumerate(offsets):
-        starts.look(WALL + offset, 1.0)
-        starts.started(f"n{k}", WALL + 1, 1.0)
-        starts.keep({f"n{k}"})
-    assert len(starts._offsets) <= OFFSETS_MOST and len(starts._known) <= 1
+        starts.observe_clocks(WALL + offset, 1.0)
+        starts.started_at(f"n{k}", WALL + 1, 1.0)
+        starts.retain({f"n{k}"})
+    assert len(starts._offsets) <= MAX_OFFSETS and len(starts._known) <= 1
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,59 +1,112 @@
-"""Decisions on connections: whatever the limits, sums fit, floods drive out their own kind, ends come in order."""
+"""Decisions on connections: sums fit whatever the limits, floods evict their own kind, shutdowns keep their order."""
 
 from __future__ import annotations
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.connections.decide import (
-    LONG_PART,
-    OWN_FILES,
-    Kind,
-    crowded,
-    ending,
-    makes_room,
-    places,
-    reads_again,
-    takes_long,
-)
+from fawnspool.connections.body_limits import LONG_BODY_DIVISOR, admits_long_body
+from fawnspool.connections.config_reload import retry_delay_s
+from fawnspool.connections.descriptor_limits import RESERVED_DESCRIPTORS, divide_descriptors, is_crowded
+from fawnspool.connections.eviction import WaitingKind, kind_to_evict
+from fawnspool.connections.incarnations import MAX_INCARNATIONS, IncarnationFilter
+from fawnspool.connections.shutdown import shutdown_schedule
+from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
+from fawnspool.connections.watch_timeouts import accepts_older_snapshot, reopens_at_once, watch_timeouts
 
 
 @given(st.integers(128, 4096), st.integers(1, 20))
-def test_places_fit_the_limit_and_leave_clients_their_third(descriptors: int, cells: int) -> None:
-    p = places(descriptors, cells)
-    assert p.clients + p.node * cells + OWN_FILES <= descriptors or p.node == 4
-    assert p.clients >= descriptors // 3 or descriptors < 3 * OWN_FILES + 64
-    assert p.crowd < descriptors / 3 and p.crowd <= p.clients
+def test_connection_limits_fit_the_descriptors_and_leave_clients_their_third(descriptors: int, shards: int) -> None:
+    limits = divide_descriptors(descriptors, shards)
+    assert limits.clients + limits.per_node * shards + RESERVED_DESCRIPTORS <= descriptors or limits.per_node == 4
+    assert limits.clients >= descriptors // 3 or descriptors < 3 * RESERVED_DESCRIPTORS + 64
+    assert limits.crowded_from < descriptors / 3 and limits.crowded_from <= limits.clients
 
 
 @given(st.integers(0, 1000), st.integers(0, 1000))
-def test_the_more_numerous_kind_makes_room_and_never_an_empty_one(kept: int, silent: int) -> None:
-    kind = makes_room(kept, silent)
-    assert (kind is None) == (kept == silent == 0)
+def test_the_more_numerous_kind_is_evicted_and_never_an_empty_one(idle: int, new: int) -> None:
+    kind = kind_to_evict(idle, new)
+    assert (kind is None) == (idle == new == 0)
     if kind is not None:
-        assert {Kind.KEPT: kept, Kind.SILENT: silent}[kind] == max(kept, silent)
+        assert {WaitingKind.IDLE: idle, WaitingKind.NEW: new}[kind] == max(idle, new)
 
 
-def test_a_crowd_begins_at_its_figure_and_nowhere_without_one() -> None:
-    assert [crowded(n, 64) for n in (0, 63, 64, 200)] == [False, False, True, True]
-    assert not crowded(1000, 0)
+def test_a_server_is_crowded_from_its_limit_on_and_never_without_one() -> None:
+    assert [is_crowded(count, 64) for count in (0, 63, 64, 200)] == [False, False, True, True]
+    assert not is_crowded(1000, None)
 
 
 @given(st.floats(0, 1e6), st.floats(0, 2), st.floats(0, 10))
-def test_an_end_comes_in_order_and_before_the_kill(told: float, new_for: float, killed_after: float) -> None:
-    e = ending(told, new_for, killed_after)
-    assert told <= e.refuse <= e.close <= e.answered <= e.gone <= told + killed_after
-    assert e.unused >= told
+def test_a_shutdown_keeps_its_order_and_ends_before_the_kill(
+    signalled_at: float, new_connections_s: float, killed_after_s: float
+) -> None:
+    schedule = shutdown_schedule(signalled_at, new_connections_s, killed_after_s)
+    assert signalled_at <= schedule.refuse_at <= schedule.close_idle_at <= schedule.answered_by
+    assert schedule.answered_by <= schedule.exit_by <= signalled_at + killed_after_s
+    assert schedule.unused_from >= signalled_at
 
 
 @given(st.lists(st.integers(1, 1 << 20), max_size=200), st.integers(16 << 20, 1 << 30))
 def test_long_bodies_never_hold_more_than_their_part(sizes: list[int], memory: int) -> None:
     held = 0
     for size in sizes:
-        held += size * takes_long(size, held, memory)
-    assert held <= memory // LONG_PART and takes_long(1 << 20, 0, memory)
+        if admits_long_body(size, held, memory):
+            held += size
+    assert held <= memory // LONG_BODY_DIVISOR and admits_long_body(1 << 20, 0, memory)
 
 
 def test_a_configuration_is_read_again_for_a_while_only() -> None:
-    pauses = [reads_again(k) for k in range(1, 20)]
-    assert pauses[0] and pauses[-1] is None and 0.5 < sum(p for p in pauses if p) < 2.0
+    delays = [retry_delay_s(failed) for failed in range(1, 20)]
+    assert delays[0] and delays[-1] is None and 0.5 < sum(delay for delay in delays if delay) < 2.0
+
+
+@pytest.mark.parametrize("heartbeat_s", [0.1, 0.4, 5.0])
+def test_a_silence_and_a_call_fit_into_three_heartbeats(heartbeat_s: float) -> None:
+    timeouts = watch_timeouts(heartbeat_s)
+    assert heartbeat_s < timeouts.silence_s and heartbeat_s < timeouts.call_s
+    assert timeouts.silence_s + timeouts.call_s <= 3 * heartbeat_s * (1 + 1e-9)
+
+
+@pytest.mark.parametrize("established", [False, True])
+@pytest.mark.parametrize("timed_out", [False, True])
+def test_only_an_established_watch_that_fell_silent_reopens_at_once(established: bool, timed_out: bool) -> None:
+    assert reopens_at_once(established, timed_out) == (established and timed_out)
+
+
+def test_an_older_snapshot_is_accepted_the_third_time_in_a_row() -> None:
+    assert [accepts_older_snapshot(count) for count in (1, 2, 3, 4)] == [False, False, True, True]
+
+
+def test_a_filter_remembers_few_incarnations() -> None:
+    datagrams = IncarnationFilter()
+    assert all(datagrams.accept(incarnation, 1, 0.0) for incarnation in range(100))
+    assert len(datagrams._windows) == MAX_INCARNATIONS
+
+
+@given(st.permutations(range(40)))
+def test_each_datagram_of_an_incarnation_is_accepted_once_in_any_order(order: list[int]) -> None:
+    datagrams = IncarnationFilter()
+    assert all(datagrams.accept(7, sequence, 1.0) for sequence in order)
+    assert not any(datagrams.accept(7, sequence, 1.0) for sequence in order)
+
+
+@pytest.mark.parametrize(
+    ("state", "cause", "status"),
+    [
+        (ConnectionState.READING, CloseCause.DEADLINE, 408),
+        (ConnectionState.READING, CloseCause.SHUTDOWN, 503),
+        (ConnectionState.READING, CloseCause.INTERNAL_ERROR, 500),
+        (ConnectionState.READING, CloseCause.PEER_CLOSED, None),
+        (ConnectionState.HANDLING, CloseCause.DEADLINE, 408),
+        (ConnectionState.HANDLING, CloseCause.SHUTDOWN, 500),
+        (ConnectionState.HANDLING, CloseCause.KILLED, 500),
+        (ConnectionState.HANDLING, CloseCause.RESET, None),
+        (ConnectionState.IDLE, CloseCause.SHUTDOWN, None),
+        (ConnectionState.ANSWERING, CloseCause.DEADLINE, None),
+    ],
+)
+def test_a_connection_that_ends_owes_the_status_of_its_table(
+    state: ConnectionState, cause: CloseCause, status: int | None
+) -> None:
+    assert owed_status(state, cause) == status
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.duties_walks import terms, walk
-from fawnspool.connections.incarnations import QUIET, Seen
+from fawnspool.connections.incarnations import TAKEOVER_SILENCE_S, IncarnationFilter
 from fawnspool.gateway.acceptor_log import VoteFile
 from fawnspool.leases import ballot
 from fawnspool.leases.acceptor import Keep, Memory, Say, Voter
@@ -333,8 +333,8 @@
 
 
 def test_numbers_seen_are_told_apart_by_life_and_window() -> None:
-    seen = Seen()
-    assert [seen.first(5, n, 0.0) for n in (1, 2, 2, 4, 3, 3, 2000, 900, 2000)] == [
+    seen = IncarnationFilter()
+    assert [seen.accept(5, n, 0.0) for n in (1, 2, 2, 4, 3, 3, 2000, 900, 2000)] == [
         True,
         True,
         False,
@@ -345,26 +345,26 @@
         False,
         False,
     ]
-    assert seen.first(6, 1, 0.0) and not seen.first(5, 3000, 0.0)
+    assert seen.accept(6, 1, 0.0) and not seen.accept(5, 3000, 0.0)
 
 
 def test_a_head_whose_clock_was_set_back_is_heard_again_and_nothing_counts_twice() -> None:
-    seen = Seen()
-    assert seen.first(100, 1, 0.0) and seen.first(100, 2, 1.0)
-    assert not seen.first(40, 1, 1.0 + QUIET / 2)  # an earlier life's, late
-    assert seen.first(40, 1, 1.0 + QUIET) and not seen.first(40, 1, 1.1 + QUIET)
-    assert not seen.first(100, 3, 1.2 + QUIET)  # of the life before, late
-    assert seen.first(40, 2, 1.3 + QUIET)
-    assert seen.first(41, 1, 1.3 + QUIET)  # restarted once more: at once
-    assert not seen.first(100, 2, 9.0 + 2 * QUIET)  # heard before
+    seen = IncarnationFilter()
+    assert seen.accept(100, 1, 0.0) and seen.accept(100, 2, 1.0)
+    assert not seen.accept(40, 1, 1.0 + TAKEOVER_SILENCE_S / 2)  # an earlier life's, late
+    assert seen.accept(40, 1, 1.0 + TAKEOVER_SILENCE_S) and not seen.accept(40, 1, 1.1 + TAKEOVER_SILENCE_S)
+    assert not seen.accept(100, 3, 1.2 + TAKEOVER_SILENCE_S)  # of the life before, late
+    assert seen.accept(40, 2, 1.3 + TAKEOVER_SILENCE_S)
+    assert seen.accept(41, 1, 1.3 + TAKEOVER_SILENCE_S)  # restarted once more: at once
+    assert not seen.accept(100, 2, 9.0 + 2 * TAKEOVER_SILENCE_S)  # heard before
     for life in range(200, 210):
-        assert seen.first(life, 1, 30.0)
-    assert len(seen.lives) <= 4
+        assert seen.accept(life, 1, 30.0)
+    assert len(seen._windows) <= 4
 
 
 def test_a_number_far_ahead_costs_nothing() -> None:
-    seen = Seen()
-    assert seen.first(1, 1, 0.0) and seen.first(1, 2**64 - 1, 0.0) and not seen.first(1, 1, 0.0)
+    seen = IncarnationFilter()
+    assert seen.accept(1, 1, 0.0) and seen.accept(1, 2**64 - 1, 0.0) and not seen.accept(1, 1, 0.0)
 
 
 # ---------------------------------------------------------------- many heads, simulated time
