--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -24,8 +24,9 @@
 from fawnspool.gateway.extent_directory import PlacesError
 from fawnspool.gateway.gateway import Head
 from fawnspool.gateway.request_state import Answer, Body, Kind, Pending
-from fawnspool.net.http import BadMessage, Limits
+from fawnspool.net.exceptions import HttpError
 from fawnspool.net.http import Head as MessageHead
+from fawnspool.net.http import Limits
 from fawnspool.net.node_headers import MOVED, read_moved, target
 from fawnspool.net.server import Exchange, Server, address
 
@@ -98,7 +99,7 @@
     def _error(self, bad: Exception) -> None:
         self.head.log.error("the API raised", error=str(bad), exc_info=bad)
 
-    def _bad(self, bad: BadMessage) -> None:
+    def _bad(self, bad: HttpError) -> None:
         counts = self.head.metrics.bad_requests
         counts[bad.status] = counts.get(bad.status, 0) + 1
 
@@ -109,7 +110,7 @@
         try:
             self._route(exchange)
         except ApiError as bad:
-            self._bad(BadMessage(bad.status, bad.text))
+            self._bad(HttpError(bad.status, bad.text))
             self._say(exchange, bad.status, bad.word, bad.text)
 
     def _route(self, exchange: Exchange) -> None:
@@ -384,7 +385,7 @@
             for piece in pieces:
                 seen += len(piece)
                 if seen > largest:
-                    raise BadMessage(413, f"a body has {largest} bytes at most")
+                    raise HttpError(413, f"a body has {largest} bytes at most")
                 yield piece
 
         return Body(b"".join(start), head.length, rest())
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -17,8 +17,8 @@
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.leased_work import DRAIN
 from fawnspool.gateway.migrator import Mover
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.server import address
 
 
@@ -44,7 +44,7 @@
             if status.code != 200:
                 fail(f"the node list at {where} answered {status.code}", UNREACHED)
             rows = msgspec.json.decode(data, type=Told).entries
-        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
+        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
         return {r.cell: address(r.address) for r in rows if r.phase != "gone"}
 
--- a/fawnspool/cli/status.py
+++ b/fawnspool/cli/status.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from fawnspool.cli.common import EXIT_CODES, UNREACHED, fail, print_json, table
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.server import address
 
 
@@ -22,7 +22,7 @@
         said: dict[str, Any] = msgspec.json.decode(body, type=dict)
     except ValueError:
         fail(f"expected an address such as 127.0.0.1:8480, found {where!r}")
-    except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError) as bad:
+    except (ConnectError, ConnectionLostError, HttpError, TimeoutError) as bad:
         fail(f"{where}: can't be reached: {bad or type(bad).__name__}", UNREACHED)
     if status.code != 200:
         fail(f"{where}: answered {status.code}", UNREACHED)
--- a/fawnspool/drill/fleet.py
+++ b/fawnspool/drill/fleet.py
@@ -16,8 +16,8 @@
 import gevent
 from gevent.subprocess import Popen
 
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
 
 class DrillError(Exception):
@@ -116,7 +116,7 @@
     pool = Pool(("127.0.0.1", port), 1, 1.0, 1.0)
     try:
         status, body = call(pool, b"POST", target.encode(), time.monotonic() + 2.0, json.dumps(value).encode())
-    except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError) as bad:
+    except (ConnectError, ConnectionLostError, HttpError, TimeoutError) as bad:
         raise DrillError(f"port {port}{target}: {bad or type(bad).__name__}") from None
     finally:
         pool.close_idle()
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -9,9 +9,18 @@
 
 from fawnspool.gateway.attempt_results import Ending
 from fawnspool.gateway.request_state import Answer, Attempt, Pending, State
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Link, Pool, PoolExhausted
-from fawnspool.net.http import BadMessage, Status
-from fawnspool.net.server import ClientLeft
+from fawnspool.net.client import Link, Pool
+from fawnspool.net.exceptions import (
+    ClientDisconnectedError,
+    ConnectError,
+    ConnectionClosedError,
+    ConnectionLostError,
+    ConnectTimeoutError,
+    HttpError,
+    PoolExhaustedError,
+    TrailingDataError,
+)
+from fawnspool.net.http import Status
 
 
 @dataclass(slots=True)
@@ -113,14 +122,20 @@
 def _connect(attempt: Attempt, pool: Pool) -> Link:
     try:
         return pool.take(attempt.write_until)
-    except ConnectFailed as bad:
+    except ConnectError as bad:
         if attempt.called_off:
             raise _Lost(Ending.CALLED_OFF_UNSENT) from None
         if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
             raise _Lost(Ending.OUT_OF_TIME) from None
-        if isinstance(bad, PoolExhausted):
-            raise _Lost(Ending.NO_PLACE) from None
-        raise _Lost(Ending.CONNECT_TIMEOUT if "timed out" in str(bad) else Ending.REFUSED) from None
+        raise _Lost(_unconnected(bad)) from None
+
+
+def _unconnected(error: ConnectError) -> Ending:
+    if isinstance(error, PoolExhaustedError):
+        return Ending.NO_PLACE
+    if isinstance(error, ConnectTimeoutError):
+        return Ending.CONNECT_TIMEOUT
+    return Ending.REFUSED
 
 
 def _write(pending: Pending, attempt: Attempt, link: Link, speech: Speech) -> None:
@@ -139,7 +154,7 @@
         while True:
             try:
                 piece = next(body.rest, None)
-            except (ClientLeft, BadMessage, TimeoutError, OSError) as bad:
+            except (ClientDisconnectedError, HttpError, TimeoutError, OSError) as bad:
                 body.error = bad
                 raise _Lost(Ending.BODY_LOST) from None
             if piece is None:
@@ -149,7 +164,7 @@
             link.send(b"0\r\n\r\n", until)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_TIMEOUT) from None
-    except ConnectionBroken:
+    except ConnectionLostError:
         raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_RESET) from None
 
 
@@ -162,18 +177,22 @@
         return link.begin_answer(attempt.deadline)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except ConnectionBroken as bad:
+    except ConnectionLostError as bad:
         if attempt.called_off:
             raise _Lost(Ending.CALLED_OFF) from None
         if link.parser.in_head:
             raise _Lost(Ending.HALF_ANSWER) from None
-        raise _Lost(Ending.CLOSED if "closed" in str(bad) and not link.fresh else Ending.RESET) from None
-    except BadMessage as bad:
+        if isinstance(bad, ConnectionClosedError) and not link.fresh:
+            raise _Lost(Ending.CLOSED) from None
+        raise _Lost(Ending.RESET) from None
+    except HttpError as bad:
         raise _Lost(_misformed(bad)) from None
 
 
-def _misformed(bad: BadMessage) -> Ending:
-    return Ending.WRONG_LENGTH if "behind" in bad.text else Ending.MALFORMED
+def _misformed(bad: HttpError) -> Ending:
+    if isinstance(bad, TrailingDataError):
+        return Ending.WRONG_LENGTH
+    return Ending.MALFORMED
 
 
 def _answer(
@@ -193,10 +212,10 @@
         body = link.body(attempt.deadline, speech.hold_most)
     except TimeoutError:
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except ConnectionBroken:
+    except ConnectionLostError:
         cut = Ending.CUT_WITHOUT_LENGTH if link.until_close else Ending.HALF_ANSWER
         raise _Lost(Ending.CALLED_OFF if attempt.called_off else cut) from None
-    except BadMessage as bad:
+    except HttpError as bad:
         raise _Lost(_misformed(bad)) from None
     ending = speech.ending(status)
     if ending is not Ending.ANSWERED:
@@ -221,7 +240,7 @@
         while True:
             try:
                 piece = link.piece(pending.deadline)
-            except (TimeoutError, ConnectionBroken, BadMessage):
+            except (TimeoutError, ConnectionLostError, HttpError):
                 exchange.finish(False)
                 raise _Lost(Ending.HALF_ANSWER) from None
             if piece is None:
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -19,8 +19,8 @@
 from fawnspool.gateway.map_store import MapFile, read
 from fawnspool.gateway.watch_client import ListLink
 from fawnspool.leases.fencing import Fenced
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.records.background_writer import BackgroundWriter
 
 SILENT_BEATS = 2.5  # of a watch, in its beats, before it counts as broken
@@ -72,7 +72,7 @@
             if status.code not in (200, 404, 409):
                 raise PlacesError(f"the map service answered {status.code}")
             return status.code, None if status.code == 404 else msgspec.msgpack.decode(body, type=kind)
-        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
+        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             raise PlacesError(f"the catalogue can't be reached: {bad or type(bad).__name__}") from None
 
     def fact(self, volume: str, key: str) -> Fact | None:
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -28,8 +28,8 @@
 from fawnspool.gateway.peers import Peers
 from fawnspool.gateway.request_state import Attempt, Body, Pending
 from fawnspool.gossip.health_evidence import doubts
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.node_headers import TOLD, read_told
 from fawnspool.net.server import address
 from fawnspool.records.background_writer import BackgroundWriter
@@ -282,11 +282,11 @@
                 )
                 load = read_told(status.headers.get(TOLD)).load or None
                 result = interface.Result.SERVED if status.code == 200 else interface.Result.ERROR
-            except ConnectFailed:
+            except ConnectError:
                 result = interface.Result.CONNECT_FAILED
             except TimeoutError:
                 result = interface.Result.TIMED_OUT
-            except (ConnectionBroken, BadMessage, ValueError):
+            except (ConnectionLostError, HttpError, ValueError):
                 result = interface.Result.RESET
         self.loop.tell(interface.Probed(node, result, time.monotonic() - began, load))
 
--- a/fawnspool/gateway/leased_work.py
+++ b/fawnspool/gateway/leased_work.py
@@ -22,8 +22,8 @@
 from fawnspool.gateway.migrator import Mover
 from fawnspool.leases.drain import Failures, Pace, shard_of, target
 from fawnspool.leases.inventory import compare
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.scheduling import interface
 
 ASK_EVERY = 1.0  # seconds between two looks at what operators want, of all duties of one head together
@@ -140,7 +140,7 @@
             if status.code != 200:
                 return None
             return [(row[0], row[1]) for row in msgspec.json.decode(body, type=list[tuple[str, str, int, str]])]
-        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError):
+        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError):
             return None
         finally:
             hold.check()
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -18,10 +18,10 @@
 from fawnspool.extents.replicas import Role
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.leases.fencing import Fenced
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.client import Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
-_BAD = (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError, PlacesError)
+_BAD = (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError, PlacesError)
 
 
 class _Refused(msgspec.Struct):
@@ -72,7 +72,7 @@
                     if fact.cell == to:
                         if self._serves(volume, extent, fact):
                             return Step.DONE
-                        raise ConnectFailed("its node is away or unsure")
+                        raise ConnectError("its node is away or unsure")
                     move = Move(fact.cell, to, fact.stamp.generation + 1)
                 step = self._once(move, volume, extent, undo)
             except _BAD:
@@ -151,7 +151,7 @@
     ) -> tuple[int, bytes]:
         where = self.where(cell)
         if where is None:
-            raise ConnectFailed(f"cell {cell} has no node")
+            raise ConnectError(f"cell {cell} has no node")
         pool = self.pools.setdefault(where, Pool(where, 8, self.timeout, 10.0))
         stamp = self.stamp() if effect else {}  # after every wait, and just before the step leaves
         target = f"{place}?{urlencode({'volume': volume, 'key': extent, **more, **stamp})}".encode()
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -13,7 +13,8 @@
 import gevent
 
 from fawnspool.connections.watch_timeouts import reopens_at_once
-from fawnspool.net.client import ConnectionBroken, Link, Pool, PoolExhausted, call
+from fawnspool.net.client import Link, Pool, call
+from fawnspool.net.exceptions import ConnectionClosedError, PoolExhaustedError
 from fawnspool.net.http import request_bytes
 from fawnspool.scheduling import interface
 
@@ -175,7 +176,7 @@
         while True:
             piece = link.piece(last + self.silence)
             if piece is None:
-                raise ConnectionBroken("the watch ended")
+                raise ConnectionClosedError("the watch ended")
             for whole in lines.feed(piece):
                 last = time.monotonic()
                 if whole:
@@ -189,7 +190,7 @@
         for _ in range(_EVICTIONS):
             try:
                 return work()
-            except PoolExhausted:
+            except PoolExhaustedError:
                 if not self.free_descriptor():
                     raise
         return work()
--- a/fawnspool/net/client.py
+++ b/fawnspool/net/client.py
@@ -10,32 +10,45 @@
 
 import gevent
 
-from fawnspool.net.http import END, BadMessage, Limits, ResponseParser, Status, request_bytes
+from fawnspool.net.exceptions import (
+    ConnectError,
+    ConnectionBrokenError,
+    ConnectionClosedError,
+    ConnectionLostError,
+    ConnectRefusedError,
+    ConnectTimeoutError,
+    DeadlineExceededError,
+    HttpError,
+    PoolExhaustedError,
+    StreamClosedError,
+)
+from fawnspool.net.http import END, Limits, ResponseParser, Status, request_bytes
 from fawnspool.net.socket_stream import Wire, connect
 
 READ = 262_144
 _LIMITS = Limits(head_bytes=32768, headers=64)
 
 
-class ConnectFailed(Exception):
-    """No connection could be made in time: nothing was sent."""
+def _lost(error: OSError, where: str, request_written: bool = True) -> ConnectionLostError:
+    """Return the error to raise where a connection's stream met `error`."""
+    if isinstance(error, StreamClosedError):
+        return ConnectionClosedError(f"{where}: {error}", request_written)
+    return ConnectionBrokenError(f"{where}: {error}", request_written)
 
 
-class PoolExhausted(ConnectFailed):
-    """This side has no connection left to give, or no descriptor: it says nothing of the other."""
-
-
-class ConnectionBroken(Exception):
-    """The connection ended before the answer was whole. `written`: was the whole request handed over?"""
-
-    def __init__(self, text: str, written: bool = True) -> None:
-        super().__init__(text)
-        self.written = written
+def _connect_error(error: OSError) -> ConnectError:
+    """Return the error to raise where a connect met `error`."""
+    if error.errno in (errno.EMFILE, errno.ENFILE):
+        return PoolExhaustedError("no descriptor is left")
+    text = str(error) or type(error).__name__
+    if isinstance(error, DeadlineExceededError):
+        return ConnectTimeoutError(text)
+    return ConnectRefusedError(text)
 
 
 class Link:
     """One connection; carries one request at a time. lenient: bytes behind a whole answer leave it whole and only
-    spoil the connection (`surplus`), else they raise BadMessage; and an answer that names no length is whole where its
+    spoil the connection (`surplus`), else they raise HttpError; and an answer that names no length is whole where its
     sender closes the connection (RFC 9112, 6.3), never where it breaks (`Wire` keeps a break that any look met), else
     it is never whole."""
 
@@ -48,21 +61,21 @@
         self.parser = ResponseParser(_LIMITS)
 
     def send(self, data: bytes, deadline: float) -> None:
-        """Raises TimeoutError past the deadline; ConnectionBroken(written=False) where the connection broke before
-        the kernel had taken all of `data`."""
+        """Raises TimeoutError past the deadline; ConnectionLostError (`request_written` False) where the connection
+        broke before the kernel had taken all of `data`."""
         try:
             self.wire.sendall(data, deadline)
         except TimeoutError:
             raise
         except OSError as bad:
-            raise ConnectionBroken(f"while sending: {bad}", written=False) from None
+            raise _lost(bad, "while sending", request_written=False) from None
 
     def begin_answer(self, deadline: float) -> Status:
-        """Read up to the answer's headers. Raises TimeoutError, ConnectionBroken, BadMessage."""
+        """Read up to the answer's headers. Raises TimeoutError, ConnectionLostError, HttpError."""
         self.parser.done = self.until_close = False
         head = self._event(deadline)
         if not isinstance(head, Status):
-            raise BadMessage(502, "no status line came")
+            raise HttpError(502, "no status line came")
         self.until_close = self.lenient and head.length is None and b"transfer-encoding" not in head.headers
         return head
 
@@ -74,15 +87,15 @@
             except TimeoutError:
                 raise
             except OSError as bad:
-                raise ConnectionBroken(f"while reading: {bad}") from None
+                raise _lost(bad, "while reading") from None
             if not data and self.until_close and not self.parser.in_head:
                 self.parser.done = self.surplus = True  # whole, and the connection's last
                 return END
             if not data:
-                raise ConnectionBroken("closed before the answer was whole")
+                raise ConnectionClosedError("closed before the answer was whole")
             try:
                 self.parser.feed(data)
-            except BadMessage:
+            except HttpError:
                 if not (self.lenient and self.parser.done and events):
                     raise
                 self.surplus = True
@@ -95,12 +108,12 @@
         return None if event is END else event
 
     def body(self, deadline: float, most: int | None = None) -> bytes:
-        """The whole body. Raises BadMessage as soon as it is known to be over `most` bytes."""
+        """The whole body. Raises HttpError as soon as it is known to be over `most` bytes."""
         parts, size = [], 0
         while (part := self.piece(deadline)) is not None:
             size += len(part)
             if most is not None and size > most:
-                raise BadMessage(502, f"a body of over {most} bytes")
+                raise HttpError(502, f"a body of over {most} bytes")
             parts.append(part)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
@@ -139,7 +152,7 @@
         )
 
     def take(self, deadline: float) -> Link:
-        """An idle link that is still whole, or a new one. Raises ConnectFailed (also where all are in use)."""
+        """An idle link that is still whole, or a new one. Raises ConnectError (also where all are in use)."""
         while self.idle:
             # The one used last, as the others may then be given back, but for those that still cool down.
             cool = time.monotonic() - self.cooldown
@@ -158,16 +171,14 @@
                 return link
             self.drop(link)
         if self.open >= self.most:
-            raise PoolExhausted(f"all {self.most} connections are in use")
+            raise PoolExhaustedError(f"all {self.most} connections are in use")
         self.open += 1
         try:
             wire = connect(self.address, min(deadline, time.monotonic() + self.connect_timeout))
         except BaseException as bad:
             self.open -= 1
-            if isinstance(bad, OSError) and bad.errno in (errno.EMFILE, errno.ENFILE):
-                raise PoolExhausted("no descriptor is left") from None
             if isinstance(bad, OSError):
-                raise ConnectFailed(str(bad) or type(bad).__name__) from None
+                raise _connect_error(bad) from None
             raise
         if self.on_open is not None:
             self.on_open()
@@ -209,7 +220,7 @@
     body: bytes = b"",
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> tuple[Status, bytes]:
-    """One request and its whole answer. Raises ConnectFailed, ConnectionBroken, BadMessage, TimeoutError.
+    """One request and its whole answer. Raises ConnectError, ConnectionLostError, HttpError, TimeoutError.
 
     A kept connection that broke is replaced once by a new one: for calls that are safe to repeat only."""
     host = b"%s:%d" % (pool.address[0].encode(), pool.address[1])
@@ -221,7 +232,7 @@
             data = link.body(deadline)
         except BaseException as bad:
             pool.drop(link)
-            if isinstance(bad, ConnectionBroken) and not link.fresh:
+            if isinstance(bad, ConnectionLostError) and not link.fresh:
                 continue
             raise
         if status.keep_alive:
--- a/fawnspool/net/connection.py
+++ b/fawnspool/net/connection.py
@@ -17,7 +17,8 @@
 import gevent
 
 from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
-from fawnspool.net.http import END, BadMessage, Head, RequestParser, head_bytes
+from fawnspool.net.exceptions import ClientDisconnectedError, HttpError
+from fawnspool.net.http import END, Head, RequestParser, head_bytes
 from fawnspool.net.socket_stream import Wire
 
 if TYPE_CHECKING:
@@ -37,10 +38,6 @@
 }
 
 
-class ClientLeft(Exception):
-    """The peer closed its side, or went silent for too long, in the middle of its request or of our answer."""
-
-
 class Exchange:
     """One request and its one answer."""
 
@@ -55,7 +52,7 @@
     def body(self) -> Iterator[bytes]:
         """The rest of the body, piece by piece; reading it slowly holds the client back.
 
-        Raises ClientLeft, BadMessage (framing), or TimeoutError where a piece takes too long."""
+        Raises ClientDisconnectedError, HttpError (framing), or TimeoutError where a piece takes too long."""
         conn = self.conn
         if self.head.expects and not self.answered and not self.seen:
             self.head.expects = False
@@ -179,7 +176,7 @@
         self.wire.sendall(data, time.monotonic() + self.server.piece_timeout)
 
     def next_event(self, size: int) -> Any:
-        """The next event of the request being read. Raises ClientLeft, TimeoutError, BadMessage."""
+        """The next event of the request being read. Raises ClientDisconnectedError, TimeoutError, HttpError."""
         events = self.parser.events
         while not events:
             try:
@@ -187,9 +184,9 @@
             except TimeoutError:
                 raise
             except OSError:
-                raise ClientLeft from None
+                raise ClientDisconnectedError from None
             if not data:
-                raise ClientLeft
+                raise ClientDisconnectedError
             if time.monotonic() > self.until:
                 raise TimeoutError
             self.parser.feed(data)
@@ -230,7 +227,7 @@
                     return
                 self._handle(exchange)
             self.note_cause(CloseCause.ANSWERED)
-        except ClientLeft:
+        except ClientDisconnectedError:
             self.note_cause(CloseCause.PEER_CLOSED)
         except TimeoutError:
             self.note_cause(CloseCause.DEADLINE)
@@ -278,7 +275,7 @@
             self.note_cause(CloseCause.SHUTDOWN if server.leaving else CloseCause.DEADLINE)
             self._answer_owed()
             return None
-        except BadMessage as bad:
+        except HttpError as bad:
             self._complain(bad)
             return None
         head = events.popleft()
@@ -319,14 +316,14 @@
     def _handle(self, exchange: Exchange) -> None:
         try:
             self.server.handler(exchange)
-        except BadMessage as bad:
+        except HttpError as bad:
             self._complain(bad)
         except TimeoutError:
             self.note_cause(
                 CloseCause.SHUTDOWN if self.server.closing_until <= time.monotonic() else CloseCause.DEADLINE
             )
             self._answer_owed()
-        except ClientLeft:
+        except ClientDisconnectedError:
             self.note_cause(CloseCause.PEER_CLOSED)
             self.closing = True
         except Exception as bad:
@@ -350,7 +347,7 @@
             word = "refused" if status is HTTPStatus.SERVICE_UNAVAILABLE else "failed"
             self._send_error(status, word, _WORDS[status])
 
-    def _complain(self, bad: BadMessage) -> None:
+    def _complain(self, bad: HttpError) -> None:
         """A clear answer to a message whose framing is in doubt; the connection closes behind it."""
         self.note_cause(CloseCause.BAD_MESSAGE)
         self.closing = True
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 framing without I/O: bytes in, events out. The grammar is httptools' (llhttp, strict mode).
 
-Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `BadMessage`; the connection it came
+Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `HttpError`; the connection it came
 on must then be closed, as nobody can tell where the next one begins.
 """
 
@@ -11,6 +11,8 @@
 
 import httptools
 
+from fawnspool.net.exceptions import HttpError, TrailingDataError
+
 REASONS = {
     100: b"Continue",
     200: b"OK",
@@ -41,19 +43,10 @@
     505: b"HTTP Version Not Supported",
 }
 STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
-_BEHIND = "bytes behind the answer's end"
 _OWS = b" \t"  # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
 _ONCE = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
 
 
-class BadMessage(Exception):
-    """A message that is not to be taken. `status`: what an HTTP peer is answered with."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status, self.text = status, text
-
-
 @dataclass(slots=True)
 class Limits:
     """Bounds of one message's head: bytes in all, number of header fields."""
@@ -97,7 +90,7 @@
     size: int = 0
     count: int = 0
     in_head: bool = False
-    bad: BadMessage | None = None
+    bad: HttpError | None = None
 
     def on_message_begin(self) -> None:
         self.url, self.headers, self.size, self.count, self.in_head = b"", {}, 0, 0, True
@@ -131,8 +124,8 @@
         if self.size > self.limits.head_bytes:
             raise self._no(status, f"over {self.limits.head_bytes} bytes before the body")
 
-    def _no(self, status: int, text: str) -> BadMessage:
-        self.bad = BadMessage(status, text)
+    def _no(self, status: int, text: str) -> HttpError:
+        self.bad = HttpError(status, text)
         return self.bad
 
 
@@ -164,15 +157,15 @@
         )
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; what they make stands in `events`. Raises BadMessage."""
+        """Take bytes; what they make stands in `events`. Raises HttpError."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadMessage(400, "no upgrades and no tunnels here") from None
+            raise HttpError(400, "no upgrades and no tunnels here") from None
         except httptools.HttpParserError as bad:
-            raise self.bad or BadMessage(400, f"not HTTP: {bad}") from None
+            raise self.bad or HttpError(400, f"not HTTP: {bad}") from None
         if self.in_head and not self.events and len(data) > self.limits.head_bytes:
-            raise BadMessage(431, f"over {self.limits.head_bytes} bytes before the body")
+            raise HttpError(431, f"over {self.limits.head_bytes} bytes before the body")
 
 
 class ResponseParser(_Gather):
@@ -187,7 +180,8 @@
 
     def on_message_begin(self) -> None:
         if self.done:
-            raise self._no(502, _BEHIND)
+            self.bad = TrailingDataError()
+            raise self.bad
         _Gather.on_message_begin(self)
 
     def on_status(self, text: bytes) -> None:
@@ -208,15 +202,15 @@
             self.done = True
 
     def feed(self, data: bytes) -> None:
-        """Take bytes. Raises BadMessage; bytes behind the message's end count as one."""
+        """Take bytes. Raises HttpError; bytes behind the message's end count as one."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadMessage(502, "an upgrade was answered") from None
+            raise HttpError(502, "an upgrade was answered") from None
         except httptools.HttpParserError as bad:
             if self.done:
-                raise BadMessage(502, _BEHIND) from None
-            raise self.bad or BadMessage(502, f"not HTTP: {bad}") from None
+                raise TrailingDataError from None
+            raise self.bad or HttpError(502, f"not HTTP: {bad}") from None
 
 
 def head_bytes(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool) -> bytes:
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -21,13 +21,14 @@
 from fawnspool.connections.descriptor_limits import is_crowded
 from fawnspool.connections.eviction import WaitingKind, kind_to_evict
 from fawnspool.connections.states import CloseCause
-from fawnspool.net.connection import LINGER_S, ClientLeft, Connection, Exchange
-from fawnspool.net.http import BadMessage, Head, Limits
+from fawnspool.net.connection import LINGER_S, Connection, Exchange
+from fawnspool.net.exceptions import HttpError
+from fawnspool.net.http import Head, Limits
 from fawnspool.net.listener import address, bind, has_queued, listen, refuse_connections
 from fawnspool.net.socket_stream import Wire
 from fawnspool.net.waits import AdmissionThrottle
 
-__all__ = ["ClientLeft", "Connection", "Exchange", "Server", "address", "bind"]
+__all__ = ["Connection", "Exchange", "Server", "address", "bind"]
 
 LOOKS = 64  # waiting connections looked at for one that may make room
 FULL_S = 0.01  # a full server looks again so soon
@@ -55,7 +56,7 @@
         piece_timeout: float = 10.0,
         most: int = 4096,
         on_error: Callable[[Exception], None] | None = None,
-        on_bad: Callable[[BadMessage], None] | None = None,
+        on_bad: Callable[[HttpError], None] | None = None,
         listener: Any = None,
         turn: int = 0,
         due: Callable[[Head, float], float] | None = None,
--- a/fawnspool/net/socket_stream.py
+++ b/fawnspool/net/socket_stream.py
@@ -10,6 +10,7 @@
 import time
 
 from fawnspool.net.arrival_clock import ArrivalClock
+from fawnspool.net.exceptions import StreamClosedError
 from fawnspool.net.listener import SO_TIMESTAMPNS
 from fawnspool.net.waits import Watch
 
@@ -123,7 +124,7 @@
             if self.closed or not self.at_end():
                 raise
         if self.closed:
-            raise OSError(errno.EBADF, "closed here")
+            raise StreamClosedError
 
     def sendall(self, data: bytes | memoryview, deadline: float) -> int:
         """Hand all of it to the kernel."""
@@ -136,7 +137,7 @@
         while view:
             self.writer.wait(deadline)
             if self.closed:
-                raise OSError(errno.EBADF, "closed here")
+                raise StreamClosedError
             view = view[self._send_now(view) :]
         return len(data)
 
--- a/fawnspool/net/waits.py
+++ b/fawnspool/net/waits.py
@@ -16,6 +16,8 @@
 from gevent import getcurrent
 from gevent.hub import get_hub
 
+from fawnspool.net.exceptions import DeadlineExceededError
+
 STEP = 0.002
 
 
@@ -201,7 +203,7 @@
             turn.drop(tick, self)
             self.greenlet = None
         if self.timed_out:
-            raise TimeoutError("timed out")
+            raise DeadlineExceededError
 
     def _ready(self) -> None:
         greenlet, self.greenlet = self.greenlet, None
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -16,8 +16,9 @@
 from fawnspool.connections.idle_timeouts import CLIENT_IDLE_TIMEOUT_S, REQUEST_TIMEOUT_S
 from fawnspool.gateway.core import Core
 from fawnspool.gateway.request_state import Body, Kind, Pending
-from fawnspool.net.http import BadMessage, Limits
+from fawnspool.net.exceptions import HttpError
 from fawnspool.net.http import Head as MessageHead
+from fawnspool.net.http import Limits
 from fawnspool.net.server import Connection, Exchange, Server
 from fawnspool.relay.node_client import BODY_MOST, BODY_USUAL
 from fawnspool.scheduling.interface import Idempotence, Request, Settings
@@ -74,7 +75,7 @@
     def _error(self, bad: Exception) -> None:
         self.core.log.error("the front raised", error=str(bad), exc_info=bad)
 
-    def _bad(self, bad: BadMessage) -> None:
+    def _bad(self, bad: HttpError) -> None:
         counts = self.core.metrics.bad_requests
         counts[bad.status] = counts.get(bad.status, 0) + 1
 
@@ -99,12 +100,12 @@
     # ------------------------------------------------------------ one request
 
     def handle(self, exchange: Exchange) -> None:
-        """One request, answered once. Raises BadMessage for what can't be taken."""
+        """One request, answered once. Raises HttpError for what can't be taken."""
         head = exchange.head
         if head.target == HEALTH:
             return exchange.respond(200, [_TEXT], b"ok\n")
         if head.length is not None and head.length > BODY_MOST:
-            raise BadMessage(413, f"a body has {BODY_MOST} bytes at most")
+            raise HttpError(413, f"a body has {BODY_MOST} bytes at most")
         try:
             self._hold(exchange, head.length or 0)
             self._request(exchange)
@@ -112,11 +113,11 @@
             self.held -= self.long.pop(exchange, 0)
 
     def _hold(self, exchange: Exchange, size: int) -> None:
-        """Room for a body of `size` bytes, if that is over the usual. Raises BadMessage."""
+        """Room for a body of `size` bytes, if that is over the usual. Raises HttpError."""
         more = size - self.long.get(exchange, 0)
         if size > BODY_USUAL and more > 0:
             if not admits_long_body(more, self.held, self.memory):
-                raise BadMessage(503, "too many long bodies at once")
+                raise HttpError(503, "too many long bodies at once")
             self.long[exchange] = size
             self.held += more
 
@@ -128,7 +129,7 @@
         forward: list[tuple[bytes, bytes]] = [(n, h[n]) for n in (b"request-id", b"idempotency-key") if n in h]
         body = self._body(exchange)
         if ident in self.open:
-            raise BadMessage(409, "a request of this id is open")
+            raise HttpError(409, "a request of this id is open")
         cls, plan = self.settings.classes[req.class_index], self.settings.plans[req.plan_index]
         margin = min(self.settings.answer_slack_s, patience / 4)
         pending = Pending(
@@ -155,33 +156,33 @@
         self._finish(pending, exchange)
 
     def _read(self, exchange: Exchange) -> tuple[Request, float]:
-        """The request for the module, and how long its client waits, seconds. Raises BadMessage."""
+        """The request for the module, and how long its client waits, seconds. Raises HttpError."""
         head, h = exchange.head, exchange.head.headers
         if not _IDENT.fullmatch(h.get(b"request-id", b"")):
-            raise BadMessage(400, "Request-Id is missing or does not read")
+            raise HttpError(400, "Request-Id is missing or does not read")
         name = head.target.partition(b"?")[0].split(b"/")[1:2]
         cls = self.classes.get(name[0] if name else b"")
         if cls is None:
-            raise BadMessage(404, "the first part of the path names no request class")
+            raise HttpError(404, "the first part of the path names no request class")
         if head.method not in (b"GET", b"PUT") or (head.method == b"GET" and self.settings.classes[cls].writes):
-            raise BadMessage(405, "a read is a GET, a write a PUT")
+            raise HttpError(405, "a read is a GET, a write a PUT")
         plan = self.plans.get(h.get(b"x-plan", b""))
         if plan is None:
-            raise BadMessage(400, "X-Plan names no plan")
+            raise HttpError(400, "X-Plan names no plan")
         extent, io = h.get(b"x-object", b""), _IO.fullmatch(h.get(b"x-io", b"").replace(b" ", b""))
         if not _OBJECT.fullmatch(extent):
-            raise BadMessage(400, "X-Object has up to 16 hex digits")
+            raise HttpError(400, "X-Object has up to 16 hex digits")
         if io is None:
-            raise BadMessage(400, "X-IO does not read: volume=HEX,units=N,shard=N,hosts=N")
+            raise HttpError(400, "X-IO does not read: volume=HEX,units=N,shard=N,hosts=N")
         units, cell, heads = int(io[2]), int(io[3]), int(io[4])
         if not 1 <= units <= self.settings.largest_units or cell >= self.settings.shard_count or heads < 1:
-            raise BadMessage(400, "X-IO: units, shard or hosts out of range")
+            raise HttpError(400, "X-IO: units, shard or hosts out of range")
         wait = h.get(b"request-timeout-ms", b"")
         if not _COUNT.fullmatch(wait):
-            raise BadMessage(400, "Request-Timeout-Ms is a whole number of milliseconds above 0")
+            raise HttpError(400, "Request-Timeout-Ms is a whole number of milliseconds above 0")
         spec = self.settings.classes[cls]
         if spec.idempotence is Idempotence.WITH_KEY and b"idempotency-key" not in h:
-            raise BadMessage(400, "this class needs an Idempotency-Key")
+            raise HttpError(400, "this class needs an Idempotency-Key")
         patience = min(int(wait) / 1000, spec.deadline_s)
         return Request(
             self.core.next_id(),
@@ -202,7 +203,7 @@
         for piece in exchange.body():
             parts.append(piece)
             if exchange.seen > BODY_MOST:
-                raise BadMessage(413, f"a body has {BODY_MOST} bytes at most")
+                raise HttpError(413, f"a body has {BODY_MOST} bytes at most")
             self._hold(exchange, exchange.seen)
         return b"".join(parts)
 
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -25,7 +25,7 @@
 from fawnspool.extents.map import shard_of
 from fawnspool.extents.records import Delta, Fact, Stamp, State
 from fawnspool.leases.fencing import Fence, Fenced
-from fawnspool.net.http import BadMessage
+from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server import Exchange
 from fawnspool.records.frames import MAGIC, Reader
 from fawnspool.standins.service import Service
@@ -366,7 +366,7 @@
             asked = msgspec.msgpack.decode(b"".join(exchange.body()))
             status, out = self._fenced(path, asked)
         except (KeyError, TypeError, ValueError, msgspec.DecodeError, lmdb.BadValsizeError) as bad:
-            raise BadMessage(400, f"the call does not read: {bad}") from None
+            raise HttpError(400, f"the call does not read: {bad}") from None
         exchange.respond(status, [], msgspec.msgpack.encode(out))
 
     def _fenced(self, path: str, a: dict[str, Any]) -> tuple[int, Any]:
@@ -458,5 +458,5 @@
         with suppress(ValueError):
             out.append((int(epoch), int(version)))
     if len(out) != shards or min(min(row) for row in out) < 0:
-        raise BadMessage(400, "told: expected epoch.version for each shard")
+        raise HttpError(400, "told: expected epoch.version for each shard")
     return out
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -22,8 +22,9 @@
 from fawnspool.days.day import Day
 from fawnspool.days.retry import pause_before_next
 from fawnspool.days.traffic import Op
-from fawnspool.net.client import ConnectionBroken, Link
-from fawnspool.net.http import BadMessage, request_bytes
+from fawnspool.net.client import Link
+from fawnspool.net.exceptions import ConnectionLostError, HttpError
+from fawnspool.net.http import request_bytes
 from fawnspool.net.socket_stream import connect
 
 _BLOCK = 1 << 16
@@ -185,10 +186,10 @@
             self._keep(op, n, head, link, answer.keep_alive)
         except TimeoutError:
             link.close()
-        except ConnectionBroken as bad:
-            how = "unreached" if not bad.written and not link.fresh else "closed" if how == "none" else "cut"
+        except ConnectionLostError as bad:
+            how = "unreached" if not bad.request_written and not link.fresh else "closed" if how == "none" else "cut"
             link.close()
-        except (BadMessage, OSError):
+        except (HttpError, OSError):
             how = "closed" if how == "none" else "cut"
             link.close()
         if watcher is not None:
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -33,10 +33,10 @@
 from fawnspool.extents.replicas import Answer as Allowed
 from fawnspool.extents.replicas import Role
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
-from fawnspool.net.http import BadMessage
+from fawnspool.net.exceptions import ClientDisconnectedError, HttpError
 from fawnspool.net.node_headers import MOVED, Call, Told, read_call, read_target
 from fawnspool.net.ranges import read_range, tag_matches
-from fawnspool.net.server import ClientLeft, Exchange, Server
+from fawnspool.net.server import Exchange, Server
 from fawnspool.records.frames import Writer
 from fawnspool.standins.clients import lag_meter
 from fawnspool.standins.moving import Gate, Sides
@@ -285,12 +285,12 @@
             return self._control(exchange)
         if self._hit(self.faults.hang_up):
             exchange.conn.wire.reset()
-            raise ClientLeft
+            raise ClientDisconnectedError
         try:
             volume, key, query = read_target(head.target)
             call = read_call(head.headers.get(b"fawn-call", b""))
         except ValueError as bad:
-            raise BadMessage(400, str(bad)) from None
+            raise HttpError(400, str(bad)) from None
         writes = head.method in (b"PUT", b"DELETE")
         draft = None
         if head.method == b"PUT":
@@ -519,12 +519,12 @@
             try:
                 self.set_faults(json.loads(raw))
             except (ValueError, TypeError) as bad:
-                raise BadMessage(400, str(bad)) from None
+                raise HttpError(400, str(bad)) from None
         elif exchange.head.method == b"GET" and exchange.head.target == b"/-/objects":
             rows = [[m.volume, m.key, m.size, m.etag] for _, m in self.store.index.values()]
             return exchange.respond(200, [], msgspec.json.encode(rows))
         elif exchange.head.target != b"/-/probe":
-            raise BadMessage(404, "no such place")
+            raise HttpError(404, "no such place")
         load = ",".join(f"{self.behaviour.load(name):.4g}" for name in self.load_fields)
         exchange.respond(200, [(b"Fawn-Told", f"0;;{load};0".encode())], b"{}")
 
@@ -551,7 +551,7 @@
             else:
                 done = True
         except (KeyError, ValueError, TypeError, msgspec.MsgspecError, struct.error) as bad:
-            raise BadMessage(400, f"a mover's call does not read: {bad}") from None
+            raise HttpError(400, f"a mover's call does not read: {bad}") from None
         s = self.sides.side(volume, key)
         exchange.respond(
             200 if done else 409,
--- a/fawnspool/standins/nodelist.py
+++ b/fawnspool/standins/nodelist.py
@@ -21,7 +21,7 @@
 import gevent
 from gevent.queue import Empty, Queue
 
-from fawnspool.net.http import BadMessage
+from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server import Exchange
 from fawnspool.standins.service import Service
 
@@ -114,7 +114,7 @@
             return self._tell(head, rows, began)
         if path == "/watch":
             return self._watch(exchange, head, int(asked.get("from", 0)))
-        raise BadMessage(404, "ask for /list or /watch")
+        raise HttpError(404, "ask for /list or /watch")
 
     def _watch(self, exchange: Exchange, head: int, version: int) -> None:
         queue: Queue[Any] = Queue()
--- a/fawnspool/standins/platform.py
+++ b/fawnspool/standins/platform.py
@@ -15,7 +15,7 @@
 from gevent.event import Event
 from gevent.queue import Empty, Queue
 
-from fawnspool.net.http import BadMessage
+from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server import Exchange, Server
 
 BEAT_S = 2.0
@@ -126,7 +126,7 @@
         if self.down:
             return exchange.respond(503, [])
         if not target.startswith("/catalog/members"):
-            raise BadMessage(404, "no such place")
+            raise HttpError(404, "no such place")
         if "stream=1" not in target:
             return exchange.respond(200, [], json.dumps(self.whole()).encode())
         queue: Queue[Any] = Queue()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,8 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Link, Pool, call
-from fawnspool.net.http import END, BadMessage, Head, Limits, RequestParser, ResponseParser, Status
+from fawnspool.net.client import Link, Pool, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError, PoolExhaustedError, TrailingDataError
+from fawnspool.net.http import END, Head, Limits, RequestParser, ResponseParser, Status
 from fawnspool.net.node_headers import Call, Told, read_call, read_target, read_told, target
 from fawnspool.net.ranges import read_range, tag_matches
 from fawnspool.net.server import Exchange, Server
@@ -56,7 +57,7 @@
         try:
             parser.feed(data)
             parser.feed(data)
-        except BadMessage as bad:
+        except HttpError as bad:
             assert 400 <= bad.status < 600
 
 
@@ -69,10 +70,10 @@
     parser.done = False
     parser.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert parser.done
-    with pytest.raises(BadMessage, match="behind"):
+    with pytest.raises(TrailingDataError, match="behind"):
         parser.feed(b"HTTP/1.1 200 OK\r\n")
     other = ResponseParser(Limits())
-    with pytest.raises(BadMessage, match="behind"):
+    with pytest.raises(TrailingDataError, match="behind"):
         other.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
 
 
@@ -229,14 +230,14 @@
     gevent.sleep(0.01)
     assert call(pool, b"GET", b"/", time.monotonic() + 2)[1] == b"hi" and pool.open == 1
     first, second = pool.take(time.monotonic() + 1), pool.take(time.monotonic() + 1)
-    with pytest.raises(ConnectFailed, match="in use"):
+    with pytest.raises(PoolExhaustedError, match="in use"):
         pool.take(time.monotonic() + 1)
     pool.give(first)
     pool.give(second)
     pool.close_idle()
     assert pool.open == 0
     server.stop()
-    with pytest.raises(ConnectFailed):
+    with pytest.raises(ConnectError):
         pool.take(time.monotonic() + 1)
     assert pool.open == 0
 
@@ -265,7 +266,7 @@
 
     server = Server(("127.0.0.1", 0), half)
     server.start()
-    with pytest.raises(ConnectionBroken):
+    with pytest.raises(ConnectionLostError):
         call(Pool(server.address, 1, 1.0, 1.0), b"GET", b"/", time.monotonic() + 2)
     server.stop()
 
@@ -327,7 +328,7 @@
     if lenient:
         assert link.body(time.monotonic() + 1) == b"all of it" and link.surplus
     else:
-        with pytest.raises(ConnectionBroken):
+        with pytest.raises(ConnectionLostError):
             link.body(time.monotonic() + 1)
     link.close()
 
@@ -364,7 +365,7 @@
     time.sleep(0.02)
     LOOKS[look](link.wire)
     for _ in range(3):
-        with pytest.raises(ConnectionBroken):
+        with pytest.raises(ConnectionLostError):
             link.piece(time.monotonic() + 1)
     assert link.wire.is_broken()
     link.close()
@@ -377,7 +378,7 @@
     time.sleep(0.02)
     LOOKS[look](link.wire)
     link.begin_answer(time.monotonic() + 1)
-    with pytest.raises(ConnectionBroken):
+    with pytest.raises(ConnectionLostError):
         link.body(time.monotonic() + 1)
     link.close()
 
@@ -389,7 +390,7 @@
     link.begin_answer(deadline)
     assert link.piece(deadline) == b"half"
     stall = gevent.spawn(lambda: (reset(peer), time.sleep(0.15)))
-    with pytest.raises(ConnectionBroken):
+    with pytest.raises(ConnectionLostError):
         link.piece(deadline)
     stall.join()
     link.close()
