--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -12,8 +12,9 @@
 
 import gevent
 
-from fawnspool.connections.decide import reopens
-from fawnspool.net.client import ConnectionBroken, Link, Pool, PoolExhausted, call
+from fawnspool.connections.watch_timeouts import reopens_at_once
+from fawnspool.net.client import Link, Pool, call
+from fawnspool.net.exceptions import ConnectionClosedError, PoolExhaustedError
 from fawnspool.net.http import request_bytes
 from fawnspool.scheduling import interface
 
@@ -143,7 +144,7 @@
                 link, began = self._open_watch(pool)
                 self._follow(link, began)
             except Exception as bad:
-                if self.watching is me and reopens(link is not None, isinstance(bad, TimeoutError)):
+                if self.watching is me and reopens_at_once(link is not None, isinstance(bad, TimeoutError)):
                     self.log.warning("a watch fell silent and is opened anew")
                     continue
                 if self.watching is me:
@@ -175,7 +176,7 @@
         while True:
             piece = link.piece(last + self.silence)
             if piece is None:
-                raise ConnectionBroken("the watch ended")
+                raise ConnectionClosedError("the watch ended")
             for whole in lines.feed(piece):
                 last = time.monotonic()
                 if whole:
@@ -189,7 +190,7 @@
         for _ in range(_EVICTIONS):
             try:
                 return work()
-            except PoolExhausted:
+            except PoolExhaustedError:
                 if not self.free_descriptor():
                     raise
         return work()
