--- a/fawnspool/extents/staleness.py
+++ b/fawnspool/extents/staleness.py
@@ -17,6 +17,8 @@
 
 from fawnspool.extents.map import ExtentMap, shard_of
 
+MIN_MEASURED_SPAN_S = 1e-6  # a rate over less than this may overflow; clocks do not resolve it either
+
 
 class Do(Enum):
     """With a request whose place is known."""
@@ -129,12 +131,13 @@
     # ------------------------------------------------------------ the service
 
     def told(self, now: float, shard: int, whole: bool, moves: int, extents: int, span: float) -> None:
-        """A delta or a sign of life: `whole`, nothing is missing behind it; `moves` of `extents` in `span` seconds."""
+        """A delta or a sign of life: `whole`, nothing is missing behind it; `moves` of `extents` in `span` seconds.
+        A span too short to measure leaves the rate of moves as it was."""
         s = self.shards[shard]
         s.heard, s.tries, s.next, s.since, s.lives = now, 0, -math.inf, -math.inf, True
         if whole:
             s.whole = now
-        if span > 0 and extents:
+        if span >= MIN_MEASURED_SPAN_S and extents:
             part = min(1.0, span / self.RATE)
             s.moves += part * (moves / extents / span - s.moves)
 
--- a/tests/test_stale.py
+++ b/tests/test_stale.py
@@ -12,7 +12,7 @@
 
 from fawnspool.extents.checkpointing import LOG_LEAST, RETRY_S, Keep, Write
 from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.staleness import Do, Staleness, Terms
+from fawnspool.extents.staleness import MIN_MEASURED_SPAN_S, Do, Staleness, Terms
 
 MAP = ExtentMap.empty(4)
 
@@ -141,6 +141,21 @@
         assert all(0 <= s.chance(now, k) <= 1 for k in range(4))
 
 
+@pytest.mark.parametrize("span_s", [5e-324, 1e-310, 1e-7])
+def test_a_span_too_short_to_measure_leaves_the_rate_of_moves_as_it_was(span_s: float) -> None:
+    s = Staleness(Terms(), 4, 3)
+    s.told(span_s, 1, True, 1, 100, span_s)
+    s.told(1.0, 1, False, 1, 100, 1.0)
+    assert s.shards[1].moves == pytest.approx(0.05 * 0.01)  # the second span alone counts
+    assert all(0 <= s.chance(1.0, shard) <= 1 for shard in range(4))
+
+
+def test_the_shortest_measured_span_counts() -> None:
+    s = Staleness(Terms(), 4, 3)
+    s.told(1.0, 1, True, 1, 100, MIN_MEASURED_SPAN_S)
+    assert s.shards[1].moves == pytest.approx(0.01 / s.RATE)
+
+
 def test_while_the_watch_is_lost_no_shard_is_asked_about_until_its_pause_is_over() -> None:
     s = knows(moves=50)
     pause = s.lost(20.0)
