--- a/benchmarks/extent_map.py
+++ b/benchmarks/extent_map.py
@@ -19,8 +19,8 @@
 import immutables
 import pyrsistent
 
-from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.records import Delta, Fact, Stamp
+from fawnspool.extents.map import ExtentMap, partition_of
+from fawnspool.extents.records import ExtentRecord, MapDelta, Stamp
 from fawnspool.gateway.map_store import read, write
 from fawnspool.standins.catalogue import Catalogue
 
@@ -100,12 +100,12 @@
 
 
 def made_of(keys: list[tuple[str, str]]) -> ExtentMap:
-    rows: dict[int, list[Fact]] = {k: [] for k in range(SHARDS)}
+    rows: dict[int, list[ExtentRecord]] = {k: [] for k in range(SHARDS)}
     for k, (v, x) in enumerate(keys):
-        rows[shard_of(v, SHARDS)].append(Fact(v, x, k % 45, Stamp(0, 1, 1)))
+        rows[partition_of(v, SHARDS)].append(ExtentRecord(v, x, k % 45, Stamp(0, 1, 1)))
     m = ExtentMap.empty(SHARDS)
     for shard, facts in rows.items():
-        m = m.apply(Delta(shard, 1, 0, 1, tuple(facts), whole=True))
+        m = m.apply(MapDelta(shard, 1, 0, 1, tuple(facts), is_snapshot=True))
     return m
 
 
@@ -148,9 +148,11 @@
     plain = dict.fromkeys(keys, 1)
     found, base = each(lambda k: m.find(k[0], k[1]), picks), each(plain.__getitem__, picks)
 
-    def moved(k: int, version: int) -> Delta:
+    def moved(k: int, version: int) -> MapDelta:
         v, x = picks[k]
-        return Delta(shard_of(v, SHARDS), 1, version - 1, version, (Fact(v, x, k % 45, Stamp(version, 1, version)),))
+        return MapDelta(
+            partition_of(v, SHARDS), 1, version - 1, version, (ExtentRecord(v, x, k % 45, Stamp(version, 1, version)),)
+        )
 
     deltas = [moved(k, 2 + k) for k in range(10_000)]
     one = each(m.apply, deltas[:2000])
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -311,7 +311,7 @@
     ) -> Pending:
         """Submit and wait; where nodes say that the extent has moved (nothing was done there), submit to where it went,
         or once more where it is about to open. Each is a request of its own to the module; the client gets one answer.
-        Raises ApiError where `extents/stale.py` ends it. once: its body can't be sent again."""
+        Raises ApiError where `extents/staleness.py` ends it. once: its body can't be sent again."""
         once |= self.config.class_[cls].ordered
         for turn in count():
             pending = submit(place)
@@ -323,7 +323,9 @@
             to = read_moved(answer.headers.get(MOVED)) if answer.status == 421 else None
             if to is not None:
                 place = self.head.places.moved(volume, key, *to)
-            pause = self.head.places.stale.follow(turn, to is not None, pending.deadline - time.monotonic(), once)
+            pause = self.head.places.stale.redirect_pause_s(
+                turn, to is not None, pending.deadline - time.monotonic(), once
+            )
             if pause is None:
                 break
             gevent.sleep(pause)
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -11,8 +11,8 @@
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.extents.migration import Step
-from fawnspool.extents.records import Fact
+from fawnspool.extents.migration import MigrationStep
+from fawnspool.extents.records import ExtentRecord
 from fawnspool.gateway.endpoint_client import Told
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.leased_work import DRAIN
@@ -48,7 +48,7 @@
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
         return {r.cell: address(r.address) for r in rows if r.phase != "gone"}
 
-    def fact(self, volume: str, key: str) -> Fact:
+    def fact(self, volume: str, key: str) -> ExtentRecord:
         if volume not in self.volumes:
             fail(f"there is no volume {volume!r}; known: {', '.join(sorted(self.volumes))}")
         try:
@@ -87,7 +87,7 @@
                 "cell": cell,
                 "role": seen.role.value,
                 "generation": seen.generation,
-                "to": seen.to,
+                "to": seen.successor,
                 "position": seen.position,
             }
         )
@@ -96,7 +96,7 @@
             {
                 "volume": volume,
                 "key": key,
-                "cell": fact.cell,
+                "cell": fact.shard,
                 "generation": fact.stamp.generation,
                 "epoch": fact.stamp.epoch,
                 "version": fact.stamp.version,
@@ -105,7 +105,7 @@
             }
         )
     click.echo(
-        f"{volume}/{key}: cell {fact.cell}, generation {fact.stamp.generation}, {fact.size} bytes; "
+        f"{volume}/{key}: cell {fact.shard}, generation {fact.stamp.generation}, {fact.size} bytes; "
         f"said in epoch {fact.stamp.epoch} as version {fact.stamp.version}"
     )
     names = ["cell", "role", "generation", "to", "position"]
@@ -125,9 +125,9 @@
     if to not in fleet.nodes:
         fail(f"cell {to} has no node in the list; cells with one: {', '.join(map(str, sorted(fleet.nodes)))}")
     end = fleet.mover().move(volume, key, to, time.monotonic() + within)
-    if end is Step.DONE:
+    if end is MigrationStep.DONE:
         return click.echo(f"{volume}/{key} lies in cell {to}")
-    if end is Step.LOST:
+    if end is MigrationStep.SUPERSEDED:
         fail("another move of it has won, or it has gone: see `fawnspool extents show`", BROKEN)
     fail(
         f"not done within {within:g} s: a node or the map service does not answer; the same again goes on from there",
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -25,8 +25,8 @@
 from fawnspool.days.worth import Served, Service, count
 from fawnspool.drill.fleet import DrillError, Process, free_ports, post
 from fawnspool.drill.links import Links, Weather
-from fawnspool.extents.records import Delta, Fact
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.records import LOG_START, ExtentRecord, MapDelta
+from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient
 from fawnspool.gateway.migrator import Mover
 from fawnspool.gossip import messages
@@ -505,8 +505,8 @@
         self._hear_flips()
 
     def _hear_flips(self) -> None:
-        def heard(delta: Delta) -> None:
-            for f in delta.facts:
+        def heard(delta: MapDelta) -> None:
+            for f in delta.records:
                 if f.stamp.generation > self.generations.get((f.volume, f.extent), 0):
                     self.generations[f.volume, f.extent] = f.stamp.generation
                     self.note("flip", vol=f.volume, key=f.extent, gen=f.stamp.generation)
@@ -599,7 +599,7 @@
         there = self._facts()
         for cell in cells:
             self.drained.add(cell.cell)
-            self.to_leave |= {(f.volume, f.extent) for f in there if f.cell == cell.cell}
+            self.to_leave |= {(f.volume, f.extent) for f in there if f.shard == cell.cell}
             self.catalogue.catalogue.wish(f"drain/{cell.cell}", "")
         self.event(f"cells {', '.join(str(c.cell) for c in cells)} are to be drained")
 
@@ -753,10 +753,10 @@
         for link in self.links.datagrams.values():
             link.weather.cut = False
 
-    def _facts(self) -> list[Fact]:
+    def _facts(self) -> list[ExtentRecord]:
         """All that the map holds."""
         c = self.catalogue.catalogue
-        return [f for k in range(c.shards) for d in c.since(k, (0, 0)) for f in d.facts if f.cell >= 0]
+        return [f for k in range(c.shards) for d in c.since(k, LOG_START) for f in d.records if f.shard >= 0]
 
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
@@ -768,13 +768,15 @@
         left = missing = twice = 0
         named = ""
         for f in self._facts():
-            left += f.cell in self.drained and (f.volume, f.extent) in self.to_leave
-            serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is Role.OWNER]
-            under_way = sides[f.cell].side(f.volume, f.extent)  # the day's end came in the middle of its move
-            missing += not serve and not (under_way.role is Role.FENCED and under_way.kept and f.cell in self.drained)
+            left += f.shard in self.drained and (f.volume, f.extent) in self.to_leave
+            serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is ReplicaRole.OWNER]
+            under_way = sides[f.shard].side(f.volume, f.extent)  # the day's end came in the middle of its move
+            missing += not serve and not (
+                under_way.role is ReplicaRole.FENCED and under_way.has_data and f.shard in self.drained
+            )
             twice += len(serve) > 1
             if len(serve) != 1 and not named:
-                named = f"{f.volume}/{f.extent} by the map in cell {f.cell}, served by {serve}"
+                named = f"{f.volume}/{f.extent} by the map in cell {f.shard}, served by {serve}"
         for s in sides.values():
             s.close()
         return {"left": left, "missing": missing, "twice": twice, "named": named}
--- a/fawnspool/extents/__init__.py
+++ b/fawnspool/extents/__init__.py
@@ -1,1 +1,4 @@
-"""Where extents lie: an immutable, versioned map, and what a head does when it may be old. No I/O, no clock."""
+"""Extent map: an immutable, versioned map from extents to shards, and the rules to use it while it may be stale.
+
+Nothing in this package does I/O or reads a clock.
+"""
--- a/fawnspool/extents/map.py
+++ b/fawnspool/extents/map.py
@@ -1,8 +1,9 @@
-"""The map: shards of an immutable table, each with how far it has been told.
+"""The extent map: partitions of an immutable table, each with the position up to which it is complete.
 
-Readers hold one `ExtentMap` while the next is built; `apply` gives a new one that shares all that did not change. Any
-order of the same deltas, repeats among them, ends in the same map: facts are joined by `later`, and what a snapshot
-leaves out is remembered by its number (`floor`), so that a late delta can't bring it back.
+Readers keep one `ExtentMap` while the next is built; `ExtentMap.apply` returns a new map that shares what did not
+change. The same deltas in any order, with repeats, end in the same map: records are joined by `later`, and positions
+covered by a snapshot are remembered (`Partition.snapshot_floors`), so that a late delta can't restore what the snapshot
+left out.
 """
 
 from __future__ import annotations
@@ -10,146 +11,204 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
 from functools import lru_cache
+from typing import NamedTuple
 
 import xxhash
 from immutables import Map
 
-from fawnspool.extents.records import Delta, Fact, State, check, later
+from fawnspool.extents.records import (
+    LOG_START,
+    ExtentRecord,
+    ExtentState,
+    LogPosition,
+    MapDelta,
+    check_delta,
+    later,
+)
 
-Key = tuple[str, str]
-Floor = tuple[tuple[int, int], ...]  # (epoch, version), by epoch
-_GONE = State.GONE
-EPOCHS = 16  # lives of the service whose floors are remembered
-GAPS = 64  # ranges of versions told ahead of a gap, remembered for each shard
+RecordKey = tuple[str, str]  # volume, extent
+Floors = tuple[LogPosition, ...]  # highest version known for each epoch, in order of the epochs
 
+MAX_EPOCHS = 16  # epochs of the service whose floors are remembered
+MAX_PENDING_RANGES = 64  # ranges of versions beyond a gap that are remembered for each partition
+_DELETED = ExtentState.DELETED
 
-@lru_cache(maxsize=65536)  # volumes are few beside extents, and hashing one costs as much as a look-up
-def shard_of(volume: str, shards: int) -> int:
-    """A volume lies in one shard, so that its list is told by one log."""
-    return xxhash.xxh3_64_intdigest(volume.encode()) % shards
 
+@lru_cache(maxsize=65536)  # there are few volumes beside extents, and hashing one costs as much as a lookup
+def partition_of(volume: str, partition_count: int) -> int:
+    """Return the partition of a volume; one partition holds all of a volume, so that one log lists it."""
+    return xxhash.xxh3_64_intdigest(volume.encode()) % partition_count
 
-@dataclass(frozen=True, slots=True)
-class Shard:
-    """told: (epoch, version) up to which nothing is missing; ahead: ranges told beyond a gap, of that epoch; floor: by
-    epoch, up to which version a snapshot was whole: what is not in the table and was said up to there is gone."""
 
-    table: Map[Key, Fact] = field(default_factory=Map)
-    told: tuple[int, int] = (0, 0)
-    ahead: tuple[tuple[int, int], ...] = ()
-    floor: Floor = ()
+class VersionRange(NamedTuple):
+    """Versions with `after` < version <= `up_to`."""
+
+    after: int
+    up_to: int
+
+
+@dataclass(frozen=True, slots=True)
+class Partition:
+    """Records of one partition, and how far its change log was received.
+
+    Attributes
+    ----------
+    records
+        The latest record of each extent.
+    complete_to
+        Position up to which no change is missing.
+    pending_ranges
+        Versions received beyond a gap, of the epoch of `complete_to`.
+    snapshot_floors
+        For each epoch, the version up to which a snapshot was complete: a record up to there that is not in the table
+        was deleted.
+    """
+
+    records: Map[RecordKey, ExtentRecord] = field(default_factory=Map)
+    complete_to: LogPosition = LOG_START
+    pending_ranges: tuple[VersionRange, ...] = ()
+    snapshot_floors: Floors = ()
 
     @property
-    def gap(self) -> tuple[int, int] | None:
-        """(after, before): versions that are missing, or None."""
-        return (self.told[1], self.ahead[0][0]) if self.ahead else None
+    def gap(self) -> VersionRange | None:
+        """First range of missing versions, or None."""
+        if not self.pending_ranges:
+            return None
+        return VersionRange(self.complete_to.version, self.pending_ranges[0].after)
 
 
 @dataclass(frozen=True, slots=True)
 class ExtentMap:
-    """All shards. Lookups never change it."""
+    """All partitions. Lookups never change it."""
 
-    shards: tuple[Shard, ...]
+    partitions: tuple[Partition, ...]
 
     @classmethod
-    def empty(cls, shards: int) -> ExtentMap:
-        return cls((Shard(),) * shards)
-
-    def find(self, volume: str, extent: str) -> Fact | None:
-        """The fact that holds, or None: not known, or gone."""
-        fact = self.shards[shard_of(volume, len(self.shards))].table.get((volume, extent))
-        return fact if fact is not None and fact.state is not _GONE else None
+    def empty(cls, partition_count: int) -> ExtentMap:
+        """Return a map that has received nothing yet."""
+        return cls((Partition(),) * partition_count)
+
+    def find(self, volume: str, extent: str) -> ExtentRecord | None:
+        """Return the record of an extent, or None if it is unknown or deleted."""
+        partition = self.partitions[partition_of(volume, len(self.partitions))]
+        record = partition.records.get((volume, extent))
+        if record is None or record.state is _DELETED:
+            return None
+        return record
 
     def __len__(self) -> int:
-        return sum(len(s.table) for s in self.shards)
-
-    def facts(self) -> Iterator[Fact]:
-        for shard in self.shards:
-            yield from shard.table.values()
-
-    def apply(self, delta: Delta) -> ExtentMap:
-        """The map after it. Raises DeltaError."""
-        check(delta, len(self.shards))
-        old = self.shards[delta.shard]
-        new = _snapshot(old, delta) if delta.whole else _change(old, delta)
-        if new is old:
+        return sum(len(partition.records) for partition in self.partitions)
+
+    def records(self) -> Iterator[ExtentRecord]:
+        """Iterate over all records, tombstones included."""
+        for partition in self.partitions:
+            yield from partition.records.values()
+
+    def apply(self, delta: MapDelta) -> ExtentMap:
+        """Return the map after a delta; the same object if nothing changed.
+
+        Raises
+        ------
+        DeltaError
+            If the delta contradicts itself or this map.
+        """
+        check_delta(delta, len(self.partitions))
+        current = self.partitions[delta.partition]
+        changed = _apply_snapshot(current, delta) if delta.is_snapshot else _apply_changes(current, delta)
+        if changed is current:
             return self
-        return ExtentMap((*self.shards[: delta.shard], new, *self.shards[delta.shard + 1 :]))
-
-    def hint(self, fact: Fact) -> ExtentMap:
-        """What a node said of itself (`moved`): joined like any fact, tells nothing of how far a shard was told."""
-        at = shard_of(fact.volume, len(self.shards))
-        old = self.shards[at]
-        table = _join(old, (fact,), old.floor)
-        if table is old.table:
+        return self._with_partition(delta.partition, changed)
+
+    def merge_record(self, record: ExtentRecord) -> ExtentMap:
+        """Return the map with a record that did not come by the change log: a node's redirect, or a lookup's answer.
+
+        It is joined like any other, and says nothing about how far the log was received.
+        """
+        number = partition_of(record.volume, len(self.partitions))
+        current = self.partitions[number]
+        records = _join(current, (record,))
+        if records is current.records:
             return self
-        return ExtentMap((*self.shards[:at], replace(old, table=table), *self.shards[at + 1 :]))
+        return self._with_partition(number, replace(current, records=records))
+
+    def _with_partition(self, number: int, partition: Partition) -> ExtentMap:
+        return ExtentMap((*self.partitions[:number], partition, *self.partitions[number + 1 :]))
 
 
-def _under(f: Fact, floor: Floor) -> bool:
-    """Did a snapshot know of this saying?"""
-    return any(f.stamp.epoch == epoch and f.stamp.version <= version for epoch, version in floor)
+def _is_covered(record: ExtentRecord, floors: Floors) -> bool:
+    """Did a snapshot with these floors know of the record?"""
+    return any(record.stamp.epoch == epoch and record.stamp.version <= version for epoch, version in floors)
 
 
-def _raise(a: Floor, b: Floor) -> Floor:
-    """The higher of both, epoch by epoch; the latest epochs are kept."""
-    both = dict(a)
-    for epoch, version in b:
-        both[epoch] = max(version, both.get(epoch, 0))
-    return tuple(sorted(both.items())[-EPOCHS:])
+def _merge_floors(first: Floors, second: Floors) -> Floors:
+    """Return the higher version of each epoch, for the latest epochs."""
+    versions = dict(first)
+    for epoch, version in second:
+        versions[epoch] = max(version, versions.get(epoch, 0))
+    return tuple(LogPosition(epoch, version) for epoch, version in sorted(versions.items())[-MAX_EPOCHS:])
 
 
-def _join(shard: Shard, facts: Iterable[Fact], floor: Floor) -> Map[Key, Fact]:
-    table, changed = shard.table, None
-    for f in facts:
-        key = (f.volume, f.extent)
-        had = table.get(key) if changed is None else changed.get(key)
-        if had is None and floor and _under(f, floor):
+def _join(partition: Partition, records: Iterable[ExtentRecord]) -> Map[RecordKey, ExtentRecord]:
+    """Return the partition's table joined with records; the same object if nothing changed."""
+    table = partition.records
+    floors = partition.snapshot_floors
+    changed = None
+    for record in records:
+        key = (record.volume, record.extent)
+        current = table.get(key) if changed is None else changed.get(key)
+        if current is None and floors and _is_covered(record, floors):
             continue  # a snapshot that knew of it left it out
-        holds = later(had, f)
-        if holds is not had:
+        winner = later(current, record)
+        if winner is not current:
             if changed is None:
                 changed = table.mutate()
-            changed[key] = holds
+            changed[key] = winner
     return table if changed is None else changed.finish()
 
 
-def _change(shard: Shard, delta: Delta) -> Shard:
-    table = _join(shard, delta.facts, shard.floor)
-    told, ahead = _progress(shard, delta.epoch, delta.after, delta.upto)
-    if table is shard.table and (told, ahead) == (shard.told, shard.ahead):
-        return shard
-    return Shard(table, told, ahead, shard.floor)
-
-
-def _progress(shard: Shard, epoch: int, after: int, upto: int) -> tuple[tuple[int, int], tuple[tuple[int, int], ...]]:
-    """How far nothing is missing, after a range of versions more. A later epoch begins anew: until its own snapshot or
-    its first change all of it is a gap; ranges of an earlier one tell nothing more."""
-    if epoch < shard.told[0]:
-        return shard.told, shard.ahead
-    have, ahead = (shard.told[1], shard.ahead) if epoch == shard.told[0] else (0, ())
-    ranges = sorted({*ahead, (after, upto)})
-    left: list[tuple[int, int]] = []
-    for low, high in ranges:
-        if low <= have:
-            have = max(have, high)
-        elif left and low <= left[-1][1]:
-            left[-1] = (left[-1][0], max(left[-1][1], high))
+def _apply_changes(partition: Partition, delta: MapDelta) -> Partition:
+    records = _join(partition, delta.records)
+    complete_to, pending = _advance(partition, delta.epoch, VersionRange(delta.after, delta.up_to))
+    position_unchanged = (complete_to, pending) == (partition.complete_to, partition.pending_ranges)
+    if records is partition.records and position_unchanged:
+        return partition
+    return Partition(records, complete_to, pending, partition.snapshot_floors)
+
+
+def _apply_snapshot(partition: Partition, delta: MapDelta) -> Partition:
+    covered = _merge_floors(delta.covered_epochs, (LogPosition(delta.epoch, delta.up_to),))
+    floors = _merge_floors(partition.snapshot_floors, covered)
+    listed = {(record.volume, record.extent) for record in delta.records}
+    # Joined under the floors of earlier snapshots only: a later snapshot that left out some of what this one lists
+    # still holds, but this one's own floors must not reject what it lists.
+    records = _join(partition, delta.records)
+    remaining = records.mutate()
+    for key, record in records.items():
+        if key not in listed and _is_covered(record, covered):
+            del remaining[key]
+    complete_to, pending = _advance(partition, delta.epoch, VersionRange(0, delta.up_to))
+    return Partition(remaining.finish(), complete_to, pending, floors)
+
+
+def _advance(partition: Partition, epoch: int, received: VersionRange) -> tuple[LogPosition, tuple[VersionRange, ...]]:
+    """Return the position up to which nothing is missing, and the ranges beyond a gap, after a range was received.
+
+    A later epoch starts over: until its snapshot or its first change comes, all of it is a gap. Ranges of an earlier
+    epoch change nothing.
+    """
+    if epoch < partition.complete_to.epoch:
+        return partition.complete_to, partition.pending_ranges
+    complete_to = 0
+    pending: tuple[VersionRange, ...] = ()
+    if epoch == partition.complete_to.epoch:
+        complete_to = partition.complete_to.version
+        pending = partition.pending_ranges
+    remaining: list[VersionRange] = []
+    for after, up_to in sorted({*pending, received}):
+        if after <= complete_to:
+            complete_to = max(complete_to, up_to)
+        elif remaining and after <= remaining[-1].up_to:
+            remaining[-1] = VersionRange(remaining[-1].after, max(remaining[-1].up_to, up_to))
         else:
-            left.append((low, high))
-    return (epoch, have), tuple(left[:GAPS])
-
-
-def _snapshot(shard: Shard, delta: Delta) -> Shard:
-    said = _raise(delta.covers, ((delta.epoch, delta.upto),))
-    floor = _raise(shard.floor, said)
-    listed = {(f.volume, f.extent) for f in delta.facts}
-    # What it lists was there at its time: a later snapshot that left some of it out still holds, so that one's floor
-    # goes before; its own can't shut out what it lists itself.
-    table = _join(shard, delta.facts, shard.floor)
-    out = table.mutate()
-    for key, f in table.items():
-        if key not in listed and _under(f, said):
-            del out[key]
-    told, ahead = _progress(shard, delta.epoch, 0, delta.upto)
-    return Shard(out.finish(), told, ahead, floor)
+            remaining.append(VersionRange(after, up_to))
+    return LogPosition(epoch, complete_to), tuple(remaining[:MAX_PENDING_RANGES])
--- a/fawnspool/extents/records.py
+++ b/fawnspool/extents/records.py
@@ -1,101 +1,179 @@
-"""What is said of an extent, and which of two sayings holds.
+"""Extent records, the deltas that carry them, and which of two records of an extent wins.
 
-A fact names an extent's cell at a generation. The generation counts the extent's moves and is kept with the data: a
-node takes a fence only for a higher one than its own, so two movers can't both reach the same. Facts travel in deltas
-of a shard, numbered by the map service: an epoch for each life of the service (one that comes back from an old backup
-has a new epoch and lower versions), a version for each change within it.
+A record names the shard that holds an extent at a generation. The generation counts the extent's migrations and is
+stored with its data: a node accepts a fence only for a higher generation than its own, so two migrators can't both
+reach the same one. Records travel in deltas of one partition of the map. The map service numbers them by epoch (one for
+each of its incarnations; a service restored from a backup has a new epoch and lower versions) and by version (one for
+each change within an epoch).
+
+The attributes' former names remain the field names of the encoded forms (watch, calls, log file, LMDB): each attribute
+that differs states its encoded name.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
+
+import msgspec
+
+NO_SHARD = -1  # shard of a deleted extent, as stored and sent
+
+
+class LogPosition(NamedTuple):
+    """A point in the change log of one partition."""
+
+    epoch: int
+    version: int
+
 
+LOG_START = LogPosition(0, 0)
 
-class State(IntEnum):
-    """Of an extent's copy at its cell."""
 
-    HELD = 0  # reads and writes go there
-    COPYING = 1  # as HELD; another cell is being filled
+class ExtentState(IntEnum):
+    """State of an extent at its shard."""
+
+    ACTIVE = 0  # reads and writes go there
+    MIGRATING = 1  # as ACTIVE, while another shard is being filled
     FENCED = 2  # its old node answers `moved`; the new one takes over
-    GONE = 3  # deleted: a tombstone, kept until a snapshot without it
+    DELETED = 3  # a tombstone, kept until a snapshot leaves it out
 
 
-@dataclass(frozen=True, slots=True, order=True)
-class Stamp:
-    """When a fact was said. The order of facts is the order of their stamps, and this is all of it:
+class Stamp(msgspec.Struct, frozen=True, order=True):
+    """Version stamp of a record. Stamps are compared field by field, and records by their stamps.
 
-    1. generation: how often the extent had moved. Data decides: a restored service may not know of a move that the
-       nodes know of, and must not win over them.
-    2. epoch: of two facts of one generation the one of the service's later life, as it has seen more or was told by
-       an operator.
-    3. version: within a life the later change.
+    Attributes
+    ----------
+    generation
+        How often the extent had migrated. It comes first because it is stored with the data: a restored service may
+        not know of a migration that the nodes know of, and must not override them.
+    epoch
+        Incarnation of the service that made the record. The later one has seen more, or an operator told it so.
+    version
+        Change within the epoch.
     """
 
     generation: int
     epoch: int
     version: int
 
-
-@dataclass(frozen=True, slots=True)
-class Fact:
-    """extent: a name within its volume. size: bytes, for reads' units."""
+    @property
+    def position(self) -> LogPosition:
+        """Position of the record in its partition's change log."""
+        return LogPosition(self.epoch, self.version)
+
+
+class ExtentRecord(msgspec.Struct, frozen=True):
+    """Which shard holds an extent.
+
+    Attributes
+    ----------
+    volume, extent
+        Name of the volume, and of the extent within it.
+    shard
+        Number of the shard, `NO_SHARD` for a tombstone.
+    stamp
+        Version stamp of the record.
+    state
+        State of the extent at its shard.
+    size
+        Bytes, from which the cost of a read is estimated.
+    """
 
     volume: str
     extent: str
-    cell: int
+    shard: int = msgspec.field(name="cell")
     stamp: Stamp
-    state: State = State.HELD
+    state: ExtentState = ExtentState.ACTIVE
     size: int = 0
 
 
-def later(a: Fact | None, b: Fact) -> Fact:
-    """The one that holds. Two facts of one stamp are the same saying; should they differ all the same (a service that
-    numbers twice), the greater by content holds, so that every head ends with the same one."""
-    if a is None or a.stamp < b.stamp:
-        return b
-    if b.stamp < a.stamp:
-        return a
-    return max(a, b, key=lambda f: (f.state, f.cell, f.size))
-
+def later(current: ExtentRecord | None, candidate: ExtentRecord) -> ExtentRecord:
+    """Return the record that wins.
 
-@dataclass(frozen=True, slots=True)
-class Delta:
-    """Changes `after` < version <= `upto` of a shard in one epoch. `whole`: a snapshot, all there is at `upto`; then
-    `covers` says up to which version this life of the service knows each earlier epoch (a restored one knows its
-    predecessor's up to the backup): what a snapshot leaves out is gone only if it knew of it."""
+    Two records with one stamp should be the same. If they differ all the same (a service that used a number twice), the
+    greater content wins, so that every gateway ends with the same record.
+    """
+    if current is None or current.stamp < candidate.stamp:
+        return candidate
+    if candidate.stamp < current.stamp:
+        return current
+    return max(current, candidate, key=lambda record: (record.state, record.shard, record.size))
+
+
+class MapDelta(msgspec.Struct, frozen=True):
+    """Changes of one partition within one epoch, or a snapshot of it.
+
+    Attributes
+    ----------
+    partition
+        Number of the partition.
+    epoch
+        Epoch of the changes.
+    after, up_to
+        The delta holds the changes with `after` < version <= `up_to`.
+    records
+        The changed records; of a snapshot, all records at version `up_to`.
+    is_snapshot
+        True if extents that are not listed do not exist, as far as the service knew them.
+    covered_epochs
+        Of a snapshot: up to which version this incarnation of the service knows each earlier epoch. A restored service
+        knows its predecessor's epoch only up to the backup, so what a snapshot leaves out is deleted only if the
+        service knew of it.
+    """
 
-    shard: int
+    partition: int = msgspec.field(name="shard")
     epoch: int
     after: int
-    upto: int
-    facts: tuple[Fact, ...]
-    whole: bool = False
-    covers: tuple[tuple[int, int], ...] = ()
+    up_to: int = msgspec.field(name="upto")
+    records: tuple[ExtentRecord, ...] = msgspec.field(name="facts")
+    is_snapshot: bool = msgspec.field(name="whole", default=False)
+    covered_epochs: tuple[LogPosition, ...] = msgspec.field(name="covers", default=())
 
 
 class DeltaError(Exception):
-    """A delta that can't be; the text names the shard and what is wrong."""
-
-
-def check(delta: Delta, shards: int) -> None:
-    """Raises DeltaError where numbers contradict each other: such a delta is not applied at all."""
-
-    def wrong(text: str) -> DeltaError:
-        return DeltaError(
-            f"delta of shard {delta.shard}, epoch {delta.epoch}, versions {delta.after} to {delta.upto}: {text}"
-        )
-
-    if not 0 <= delta.shard < shards:
-        raise wrong(f"there are {shards} shards")
-    if delta.epoch < 1 or delta.after < 0 or delta.upto < delta.after:
-        raise wrong("epochs begin at 1, versions at 0 and do not fall")
-    if delta.whole and delta.after:
-        raise wrong("a snapshot begins at 0")
-    if delta.covers and (not delta.whole or any(not 0 < e < delta.epoch for e, _ in delta.covers)):
-        raise wrong("only a snapshot covers earlier epochs, and only earlier ones")
-    for f in delta.facts:
-        if (f.stamp.epoch, f.stamp.version) > (delta.epoch, delta.upto):
-            raise wrong(f"holds a later fact of {f.volume}/{f.extent}: {f.stamp}")
-        if f.cell < 0 and f.state is not State.GONE:
-            raise wrong(f"{f.volume}/{f.extent} lies nowhere")
+    """A delta contradicts itself or the map; the text names the partition and the fault."""
+
+
+def check_delta(delta: MapDelta, partition_count: int) -> None:
+    """Check that the numbers of a delta are consistent; one that fails must not be applied, not even in part.
+
+    Raises
+    ------
+    DeltaError
+        If they are not.
+    """
+    _check_versions(delta, partition_count)
+    _check_covered_epochs(delta)
+    for record in delta.records:
+        _check_record(delta, record)
+
+
+def _check_versions(delta: MapDelta, partition_count: int) -> None:
+    if not 0 <= delta.partition < partition_count:
+        raise _error(delta, f"there are {partition_count} shards")
+    if delta.epoch < 1 or delta.after < 0 or delta.up_to < delta.after:
+        raise _error(delta, "epochs begin at 1, versions at 0 and do not fall")
+    if delta.is_snapshot and delta.after:
+        raise _error(delta, "a snapshot begins at 0")
+
+
+def _check_covered_epochs(delta: MapDelta) -> None:
+    if not delta.covered_epochs:
+        return
+    all_earlier = all(0 < epoch < delta.epoch for epoch, _ in delta.covered_epochs)
+    if not delta.is_snapshot or not all_earlier:
+        raise _error(delta, "only a snapshot covers earlier epochs, and only earlier ones")
+
+
+def _check_record(delta: MapDelta, record: ExtentRecord) -> None:
+    stamp = record.stamp
+    if (stamp.epoch, stamp.version) > (delta.epoch, delta.up_to):
+        raise _error(delta, f"holds a later fact of {record.volume}/{record.extent}: {stamp}")
+    if record.shard < 0 and record.state is not ExtentState.DELETED:
+        raise _error(delta, f"{record.volume}/{record.extent} lies nowhere")
+
+
+def _error(delta: MapDelta, fault: str) -> DeltaError:
+    versions = f"versions {delta.after} to {delta.up_to}"
+    return DeltaError(f"delta of shard {delta.partition}, epoch {delta.epoch}, {versions}: {fault}")
--- a/fawnspool/extents/replicas.py
+++ b/fawnspool/extents/replicas.py
@@ -1,17 +1,20 @@
-"""One node's copy of an extent: who may read and write it while it moves. No I/O, no clock.
-
-    fill     a node begins to take the extent in, for a generation that nobody has reached there
-    copy     objects and then the changes behind them come over, by position in the source's log of writes
-    fence    the source stops for good: only from the generation it is at, so of two movers one wins
-    open     the new node has everything up to the fence's position and serves
-    forget   the source's data go, its fence stays: it must answer `moved` to whoever still comes
-    cancel   a node that fills and has not opened never will, at that generation
-    reopen   a source whose new node was cancelled serves again, at a generation above the cancelled one
-
-A write lands on the side that serves it, or is refused: the source takes it before the fence, and then it is before the
-fence's position, which the new node must have to open; after it the source answers `moved`. So no acknowledged write is
-left behind, and none lands twice. A node that lost its memory of fences does not know whether it serves: it is unsure
-until the map service has told it the extent's generation.
+"""One node's replica of an extent, and who may read and write it during a migration. No I/O, no clock.
+
+A migration goes through these steps; `ReplicaCommand` (object_replica.py) has their names on the wire.
+
+    begin_filling   a node begins to receive the extent, for a generation that it has not reached before
+    append          writes come over, by position in the source's log
+    fence           the source stops for good; accepted only from the generation that it is at, so that of two migrators
+                    one wins
+    activate        the target has everything up to the fence and serves
+    discard_data    the source's data go; its fence stays, as it must redirect whoever still comes
+    cancel          a filling target that has not been activated never will be, at that generation
+    reactivate      a source whose target was cancelled serves again, at a generation above the cancelled one
+
+A write lands on the replica that serves or is refused. What the source accepts before its fence lies before the fence's
+position, which the target must have reached to be activated; after the fence the source redirects. So no acknowledged
+write is left behind and none is done twice. A node that lost its memory of fences does not know whether it serves: its
+replicas are unconfirmed until it is told the generation that the map service has for the extent.
 """
 
 from __future__ import annotations
@@ -20,237 +23,222 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-CLOSE = 8  # writes that may be missing when the source is fenced: what comes over while nobody is served
+MAX_WRITES_BEHIND_FENCE = 8  # the target may lack so many when the source is fenced; nobody is served until they come
 
+# Values of the stored rows and of the nodes' protocol for "none"; all are below any real value.
+NO_GENERATION = -1
+NO_SUCCESSOR = -1
+NO_FENCE = -1
+
+
+class ReplicaRole(Enum):
+    """What a node is for an extent."""
 
-class Role(Enum):
     ABSENT = "absent"
     FILLING = "filling"
     OWNER = "owner"
-    FENCED = "fenced"  # answers `moved`
-    CANCELLED = "cancelled"  # will never open at its generation
-    UNSURE = "unsure"  # came back without its memory
+    FENCED = "fenced"  # redirects to its successor
+    CANCELLED = "cancelled"  # will never be activated at its generation
+    UNCONFIRMED = "unsure"  # came back without its memory of fences
+
 
+class ReplicaResult(Enum):
+    """Result of a request or of a migration's step."""
 
-class Answer(Enum):
     DONE = "done"
-    MOVED = "moved"  # ask at `to`
-    NOT_YET = "not yet"  # it fills, or is unsure: try again soon
-    NO = "no"  # a step of a move that may not be taken here now
+    MOVED = "moved"  # the successor serves
+    NOT_YET = "not yet"  # filling or unconfirmed: try again soon
+    REFUSED = "no"  # the step may not be taken here now
+
+
+_ROLES_THAT_MAY_SERVE_SOON = (ReplicaRole.FILLING, ReplicaRole.UNCONFIRMED, ReplicaRole.CANCELLED)
 
 
 @dataclass(slots=True)
-class Write:
-    """A change in an extent's log. key: its idempotency key, by which a repeat is known; "" for none."""
+class LoggedWrite:
+    """A write in an extent's log; a repeat is known by its idempotency key, "" for none."""
 
     position: int
     name: str
     value: str
-    key: str = ""
+    idempotency_key: str = ""
 
 
 @dataclass(slots=True)
-class Copy:
-    """A node's side. log: its writes in order; position: of the last one it has; fence: the position at which it was
-    fenced, or up to which a filling copy must have come to open."""
-
-    role: Role = Role.ABSENT
-    generation: int = -1
-    to: int = -1
-    log: list[Write] = field(default_factory=list)
+class Replica:
+    """A node's replica of an extent.
+
+    Attributes
+    ----------
+    role, generation
+        What the node is for the extent, at which generation.
+    successor
+        Shard to which a fenced replica redirects.
+    log
+        Its writes in order.
+    position
+        Position of the last write that it has.
+    fence_position
+        Position at which it was fenced: the target must reach it to be activated.
+    """
+
+    role: ReplicaRole = ReplicaRole.ABSENT
+    generation: int = NO_GENERATION
+    successor: int = NO_SUCCESSOR
+    log: list[LoggedWrite] = field(default_factory=list)
     position: int = 0
-    fence: int = -1
+    fence_position: int = NO_FENCE
 
     # ------------------------------------------------------------ requests
 
-    def read(self, name: str) -> tuple[Answer, str]:
-        if self.role is Role.OWNER:
-            found = [w.value for w in self.log if w.name == name]
-            return Answer.DONE, found[-1] if found else ""
-        return self._other(), ""
-
-    def write(self, name: str, value: str, key: str = "") -> Answer:
-        """Taken once: a repeat by its key is done already, wherever its first was taken."""
-        if self.role is not Role.OWNER:
-            return self._other()
-        if not key or not any(w.key == key for w in self.log):
+    def read(self, name: str) -> tuple[ReplicaResult, str]:
+        """Return the last value written under a name, "" for none."""
+        if self.role is not ReplicaRole.OWNER:
+            return self._redirect(), ""
+        values = [write.value for write in self.log if write.name == name]
+        return ReplicaResult.DONE, values[-1] if values else ""
+
+    def write(self, name: str, value: str, idempotency_key: str = "") -> ReplicaResult:
+        """Write once: a repeat of a key is already done, whichever node took the first."""
+        if self.role is not ReplicaRole.OWNER:
+            return self._redirect()
+        is_repeat = idempotency_key and any(write.idempotency_key == idempotency_key for write in self.log)
+        if not is_repeat:
             self.position += 1
-            self.log.append(Write(self.position, name, value, key))
-        return Answer.DONE
-
-    def _other(self) -> Answer:
-        return (
-            Answer.MOVED
-            if self.role is Role.FENCED
-            else Answer.NOT_YET
-            if self.role in (Role.FILLING, Role.UNSURE, Role.CANCELLED)
-            else Answer.NO
-        )
-
-    # ------------------------------------------------------------ steps of a move
-
-    def own(self, generation: int) -> Answer:
-        """A new extent begins here."""
-        if self.role is not Role.ABSENT:
-            return Answer.NO
-        self.role, self.generation = Role.OWNER, generation
-        return Answer.DONE
-
-    def fill(self, generation: int) -> Answer:
-        """Begin to take it in; the same again is the same move, resumed."""
-        if self.role is Role.FILLING and self.generation == generation:
-            return Answer.DONE
-        if self.role in (Role.OWNER, Role.UNSURE) or self.generation >= generation:
-            return Answer.NO
-        self.role, self.generation, self.to = Role.FILLING, generation, -1
-        self.log, self.position, self.fence = [], 0, -1
-        return Answer.DONE
-
-    def since(self, position: int) -> list[Write]:
-        """What came after a position; of an owner or a fenced copy."""
-        return [w for w in self.log if w.position > position] if self.role in (Role.OWNER, Role.FENCED) else []
-
-    def take(self, generation: int, writes: Iterable[Write]) -> Answer:
-        """Writes of the source, in order; those it has are passed over, a gap is not jumped."""
-        if self.role is not Role.FILLING or self.generation != generation:
-            return Answer.NO
-        for w in writes:
-            if w.position == self.position + 1:
-                self.log.append(w)
-                self.position = w.position
-            elif w.position > self.position:
-                return Answer.NO
-        return Answer.DONE
-
-    def close(self, generation: int, to: int) -> tuple[Answer, int]:
-        """Fence for the move to `to`, which reaches `generation`. (answer, the position up to which all must come)."""
-        if self.role is Role.FENCED and (self.generation, self.to) == (generation, to):
-            return Answer.DONE, self.fence
-        if self.role is not Role.OWNER or generation != self.generation + 1:
-            return Answer.NO, -1
-        self.role, self.generation, self.to, self.fence = Role.FENCED, generation, to, self.position
-        return Answer.DONE, self.fence
-
-    def open(self, generation: int, fence: int) -> Answer:
-        """Serve, if all up to the fence has come."""
-        if self.role is Role.OWNER and self.generation == generation:
-            return Answer.DONE
-        if self.role is not Role.FILLING or self.generation != generation or self.position < fence:
-            return Answer.NO
-        self.role = Role.OWNER
-        return Answer.DONE
-
-    def forget(self, generation: int) -> Answer:
-        """The data go; the fence stays. Only once the new owner is known to serve: the caller has seen it open."""
-        if self.role is not Role.FENCED or self.generation != generation:
-            return Answer.NO
+            self.log.append(LoggedWrite(self.position, name, value, idempotency_key))
+        return ReplicaResult.DONE
+
+    def _redirect(self) -> ReplicaResult:
+        if self.role is ReplicaRole.FENCED:
+            return ReplicaResult.MOVED
+        if self.role in _ROLES_THAT_MAY_SERVE_SOON:
+            return ReplicaResult.NOT_YET
+        return ReplicaResult.REFUSED
+
+    # ------------------------------------------------------------ steps of a migration
+
+    def create(self, generation: int) -> ReplicaResult:
+        """Begin a new extent here."""
+        if self.role is not ReplicaRole.ABSENT:
+            return ReplicaResult.REFUSED
+        self.role = ReplicaRole.OWNER
+        self.generation = generation
+        return ReplicaResult.DONE
+
+    def begin_filling(self, generation: int) -> ReplicaResult:
+        """Begin to receive the extent; the same generation again resumes the same migration."""
+        if self._is_filling(generation):
+            return ReplicaResult.DONE
+        if self.role in (ReplicaRole.OWNER, ReplicaRole.UNCONFIRMED) or self.generation >= generation:
+            return ReplicaResult.REFUSED
+        self.role = ReplicaRole.FILLING
+        self.generation = generation
+        self.successor = NO_SUCCESSOR
+        self.log = []
+        self.position = 0
+        self.fence_position = NO_FENCE
+        return ReplicaResult.DONE
+
+    def writes_after(self, position: int) -> list[LoggedWrite]:
+        """Return an owner's or fenced replica's writes after a position."""
+        if self.role not in (ReplicaRole.OWNER, ReplicaRole.FENCED):
+            return []
+        return [write for write in self.log if write.position > position]
+
+    def append(self, generation: int, writes: Iterable[LoggedWrite]) -> ReplicaResult:
+        """Append the source's writes, in order; known ones are skipped, and a gap is refused."""
+        if not self._is_filling(generation):
+            return ReplicaResult.REFUSED
+        for write in writes:
+            if write.position == self.position + 1:
+                self.log.append(write)
+                self.position = write.position
+            elif write.position > self.position:
+                return ReplicaResult.REFUSED
+        return ReplicaResult.DONE
+
+    def fence(self, generation: int, successor: int) -> tuple[ReplicaResult, int]:
+        """Stop serving for the migration to `successor` that reaches `generation`.
+
+        Returns
+        -------
+        tuple[ReplicaResult, int]
+            The result, and the position that the target must reach.
+        """
+        if self.role is ReplicaRole.FENCED and (self.generation, self.successor) == (generation, successor):
+            return ReplicaResult.DONE, self.fence_position
+        if self.role is not ReplicaRole.OWNER or generation != self.generation + 1:
+            return ReplicaResult.REFUSED, NO_FENCE
+        self.role = ReplicaRole.FENCED
+        self.generation = generation
+        self.successor = successor
+        self.fence_position = self.position
+        return ReplicaResult.DONE, self.fence_position
+
+    def activate(self, generation: int, fence_position: int) -> ReplicaResult:
+        """Serve, if all writes up to the source's fence have come."""
+        if self.role is ReplicaRole.OWNER and self.generation == generation:
+            return ReplicaResult.DONE
+        if not self._is_filling(generation) or self.position < fence_position:
+            return ReplicaResult.REFUSED
+        self.role = ReplicaRole.OWNER
+        return ReplicaResult.DONE
+
+    def discard_data(self, generation: int) -> ReplicaResult:
+        """Drop the data and keep the fence; only after the caller has seen the target serve."""
+        if not self._is_fenced(generation):
+            return ReplicaResult.REFUSED
         self.log = []
-        return Answer.DONE
-
-    def cancel(self, generation: int) -> Answer:
-        """Never open at this generation. Fails where it has opened."""
-        if self.role is Role.OWNER or self.generation > generation:
-            return Answer.NO
-        self.role, self.generation, self.log, self.position = Role.CANCELLED, generation, [], 0
-        return Answer.DONE
-
-    def reopen(self, generation: int) -> Answer:
-        """Undo a fence whose new node was cancelled at that generation: serve again, one above it."""
-        if (
-            self.role is not Role.FENCED
-            or self.generation != generation
-            or self.fence > self.position
-            or not self.all_there()
-        ):
-            return Answer.NO
-        self.role, self.generation, self.to, self.fence = Role.OWNER, generation + 1, -1, -1
-        return Answer.DONE
-
-    def all_there(self) -> bool:
-        """Has it all that it took in, so that it could serve again?"""
+        return ReplicaResult.DONE
+
+    def cancel(self, generation: int) -> ReplicaResult:
+        """Never be activated at this generation; refused where it already was."""
+        if self.role is ReplicaRole.OWNER or self.generation > generation:
+            return ReplicaResult.REFUSED
+        self.role = ReplicaRole.CANCELLED
+        self.generation = generation
+        self.log = []
+        self.position = 0
+        return ReplicaResult.DONE
+
+    def reactivate(self, generation: int) -> ReplicaResult:
+        """Undo a fence whose target was cancelled at that generation: serve again, one generation above it."""
+        if not self._is_fenced(generation) or self.fence_position > self.position or not self.has_all_writes():
+            return ReplicaResult.REFUSED
+        self.role = ReplicaRole.OWNER
+        self.generation = generation + 1
+        self.successor = NO_SUCCESSOR
+        self.fence_position = NO_FENCE
+        return ReplicaResult.DONE
+
+    def has_all_writes(self) -> bool:
+        """Does it still have all that it accepted, so that it could serve again?"""
         return len(self.log) == self.position
 
-    # ------------------------------------------------------------ memory lost
+    def _is_filling(self, generation: int) -> bool:
+        return self.role is ReplicaRole.FILLING and self.generation == generation
 
-    def lost(self) -> None:
-        """Its node came back with the data of an older time, or without its fences."""
-        if self.role is not Role.ABSENT:
-            self.role = Role.UNSURE
-
-    def confirm(self, generation: int, mine: bool) -> Answer:
-        """The map service says the extent's generation and whether it lies here. What is older than the map's is
-        fenced, its data kept for a scrub; a node that has lost writes must be filled anew, which `mine` can't cure."""
-        if self.role is not Role.UNSURE:
-            return Answer.NO
-        if mine and generation == self.generation:
-            self.role = Role.OWNER
-        else:
-            self.role, self.generation = Role.FENCED, max(generation, self.generation)
-        return Answer.DONE
+    def _is_fenced(self, generation: int) -> bool:
+        return self.role is ReplicaRole.FENCED and self.generation == generation
 
+    # ------------------------------------------------------------ memory lost
 
-@dataclass(slots=True)
-class Side(Copy):
-    """A copy held as one object: `position` counts writes, and what is kept is the object itself."""
-
-    kept: bool = True
-
-    def all_there(self) -> bool:
-        return self.kept
-
-    def own(self, generation: int) -> Answer:
-        """The first position is so far on that a copy comes before a fence, however few writes there were."""
-        done = Copy.own(self, generation)
-        if done is Answer.DONE:
-            self.position = CLOSE + 1
-        return done
-
-    def fill(self, generation: int) -> Answer:
-        done = Copy.fill(self, generation)
-        if done is Answer.DONE and self.position == 0:
-            self.kept = True
-        return done
-
-    def whole(self, generation: int, position: int) -> Answer:
-        """The object as it was at a position of the source; an older one changes nothing."""
-        if self.role is not Role.FILLING or self.generation != generation:
-            return Answer.NO
-        self.position = max(self.position, position)
-        return Answer.DONE
-
-    def forget(self, generation: int) -> Answer:
-        done = Copy.forget(self, generation)
-        if done is Answer.DONE:
-            self.kept = False
-        return done
-
-    def step(self, step: str, generation: int, to: int, fence: int, position: int, mine: bool) -> bool:
-        """One step of a move by its name; False: it may not be taken. Raises ValueError for what is no step."""
-        if step == "own":
-            if self.role is not Role.OWNER or self.generation >= 0:
-                return self.role is Role.OWNER and self.generation == generation
-            self.role = Role.ABSENT  # it holds it, and never took part in a move
-            done = self.own(generation)
-        elif step == "fill":
-            done = self.fill(generation)
-        elif step == "whole":
-            done = self.whole(generation, position)
-        elif step == "close":
-            done = self.close(generation, to)[0]
-        elif step == "open":
-            done = self.open(generation, fence)
-        elif step == "forget":
-            done = self.forget(generation)
-        elif step == "cancel":
-            done = self.cancel(generation)
-        elif step == "reopen":
-            done = self.reopen(generation)
-        elif step == "confirm":
-            # Nothing of a move stands with the data: the node never fenced them.
-            self.generation = generation if self.generation < 0 and mine and self.kept else self.generation
-            done = self.confirm(generation, mine)
-            if done is Answer.DONE and self.role is Role.OWNER:
-                self.position = max(self.position, CLOSE + 1)
+    def lose_memory(self) -> None:
+        """Note that its node came back with data of an older time, or without its fences."""
+        if self.role is not ReplicaRole.ABSENT:
+            self.role = ReplicaRole.UNCONFIRMED
+
+    def confirm(self, generation: int, is_owner: bool) -> ReplicaResult:
+        """Take the map service's word on the extent's generation, and on whether it lies here.
+
+        Data older than the map's generation are fenced and kept for a scrub. A node that lost writes must be filled
+        anew, which `is_owner` can't replace.
+        """
+        if self.role is not ReplicaRole.UNCONFIRMED:
+            return ReplicaResult.REFUSED
+        if is_owner and generation == self.generation:
+            self.role = ReplicaRole.OWNER
         else:
-            raise ValueError(f"no step of a move: {step[:40]!r}")
-        return done is Answer.DONE
+            self.role = ReplicaRole.FENCED
+            self.generation = max(generation, self.generation)
+        return ReplicaResult.DONE
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -1,6 +1,7 @@
 """Where extents lie, as this head knows it: its map, kept up by a watch of the map service.
 
-Carries out what `extents/stale.py` decides of places that may be old, and what `extents/map.py` makes of what is told.
+Carries out what `extents/staleness.py` decides of places that may be old, and what `extents/map.py` makes of what is
+told.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 import gevent
 import msgspec
 
-from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.records import Delta, DeltaError, Fact, Stamp, State
-from fawnspool.extents.staleness import Do, Staleness, Terms
+from fawnspool.extents.map import ExtentMap, partition_of
+from fawnspool.extents.records import DeltaError, ExtentRecord, ExtentState, MapDelta, Stamp
+from fawnspool.extents.staleness import LookupChoice, MigrationObservation, Staleness, StalenessSettings
 from fawnspool.gateway.map_store import MapFile, read
 from fawnspool.gateway.watch_client import ListLink
 from fawnspool.leases.fencing import Fenced
@@ -35,13 +36,13 @@
 class Source(Protocol):
     """What knows all places: the service over HTTP, or one in this process."""
 
-    def fact(self, volume: str, key: str) -> Fact | None: ...
+    def fact(self, volume: str, key: str) -> ExtentRecord | None: ...
 
     def note(
         self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[Fact, bool]: ...
+    ) -> tuple[ExtentRecord, bool]: ...
 
-    def drop(self, volume: str, key: str) -> Fact | None: ...
+    def drop(self, volume: str, key: str) -> ExtentRecord | None: ...
 
     def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]: ...
 
@@ -75,26 +76,26 @@
         except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
             raise PlacesError(f"the catalogue can't be reached: {bad or type(bad).__name__}") from None
 
-    def fact(self, volume: str, key: str) -> Fact | None:
-        found: Fact | None = self._call(b"/find", Fact, volume=volume, key=key)[1]
+    def fact(self, volume: str, key: str) -> ExtentRecord | None:
+        found: ExtentRecord | None = self._call(b"/find", ExtentRecord, volume=volume, key=key)[1]
         return found
 
     def note(
         self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[Fact, bool]:
+    ) -> tuple[ExtentRecord, bool]:
         status, stands = self._call(
-            b"/put", Fact, volume=volume, key=key, cell=cell, size=size, new=new, generation=generation
+            b"/put", ExtentRecord, volume=volume, key=key, cell=cell, size=size, new=new, generation=generation
         )
         return stands, status == 200
 
-    def drop(self, volume: str, key: str) -> Fact | None:
-        gone: Fact | None = self._call(b"/drop", Fact | None, volume=volume, key=key)[1]
+    def drop(self, volume: str, key: str) -> ExtentRecord | None:
+        gone: ExtentRecord | None = self._call(b"/drop", ExtentRecord | None, volume=volume, key=key)[1]
         return gone
 
-    def flip(self, volume: str, key: str, cell: int, generation: int, **stamp: Any) -> Fact | None:
+    def flip(self, volume: str, key: str, cell: int, generation: int, **stamp: Any) -> ExtentRecord | None:
         """stamp: of a duty, see `duties/fence.py`. Raises Fenced."""
-        holds: Fact | None = self._call(
-            b"/flip", Fact, volume=volume, key=key, cell=cell, generation=generation, **stamp
+        holds: ExtentRecord | None = self._call(
+            b"/flip", ExtentRecord, volume=volume, key=key, cell=cell, generation=generation, **stamp
         )[1]
         return holds
 
@@ -161,7 +162,7 @@
 
     def watch_target(self) -> bytes:
         self.first = True
-        told = ",".join(f"{e}.{v}" for e, v in (s.told for s in self.places.map.shards))
+        told = ",".join(f"{e}.{v}" for e, v in (s.complete_to for s in self.places.map.partitions))
         return b"/watch?told=" + told.encode()
 
     def beat(self) -> None:
@@ -172,11 +173,11 @@
             if self.first:
                 self.first = False
                 return self.places.begins(msgspec.json.decode(data, type=_Shards).shards)
-            delta = msgspec.json.decode(data, type=Delta)
+            delta = msgspec.json.decode(data, type=MapDelta)
             self.places.told(delta)
         except (msgspec.MsgspecError, DeltaError) as bad:
             raise ValueError(str(bad)) from None
-        if len(delta.facts) >= LARGE:
+        if len(delta.records) >= LARGE:
             gevent.sleep(0)
 
     def _failed(self, bad: Exception) -> None:
@@ -191,7 +192,7 @@
     def __init__(
         self,
         source: Any,
-        terms: Terms,
+        terms: StalenessSettings,
         seed: int,
         log: Any,
         *,
@@ -205,7 +206,7 @@
         self.source, self.terms, self.seed, self.log = source, terms, seed, log
         self.map = ExtentMap.empty(1)
         self.stale = Staleness(terms, 1, seed)
-        self.link = _MapLink(address, timeout, terms.beat, self, log) if address is not None else None
+        self.link = _MapLink(address, timeout, terms.heartbeat_interval_s, self, log) if address is not None else None
         self.file = MapFile(folder, behind, self._unsaved) if folder is not None and behind is not None else None
         self.folder = folder
         self.hits = self.asked = self.wrong = 0
@@ -219,10 +220,10 @@
             if saved.why:
                 self.log.error("the saved map does not read", error=saved.why, used=saved.map is not None)
             if saved.map is not None:
-                self._shards(len(saved.map.shards))
+                self._shards(len(saved.map.partitions))
                 self.map = saved.map
                 if saved.whole_at > 0:
-                    self.stale.saved(time.monotonic(), max(0.0, time.time() - saved.whole_at))
+                    self.stale.restored(time.monotonic(), max(0.0, time.time() - saved.whole_at))
                 self.log.info("saved map", extents=len(self.map), age_s=round(self.age(), 1))
         self.watch()
 
@@ -239,7 +240,7 @@
 
     def age(self) -> float:
         """Seconds since the map was last known whole; inf: never."""
-        return 0.0 if self.link is None else self.stale.age(time.monotonic())
+        return 0.0 if self.link is None else self.stale.age_s(time.monotonic())
 
     def reachable(self) -> bool:
         return self.link is None or self.link.reachable
@@ -247,7 +248,7 @@
     def behind_by(self) -> float:
         """The age where it is worth telling: the watch has missed its beats. 0: the map is up to date."""
         age = self.age()
-        return age if age > 2 * self.terms.beat else 0.0
+        return age if age > 2 * self.terms.heartbeat_interval_s else 0.0
 
     # ------------------------------------------------------------ what the watch says
 
@@ -258,36 +259,41 @@
     def begins(self, count: int) -> None:
         if not 1 <= count <= SHARDS_MOST:
             raise ValueError(f"a map of {count} shards")
-        if count != len(self.map.shards):  # another map: of the one held nothing can be joined
+        if count != len(self.map.partitions):  # another map: of the one held nothing can be joined
             self._shards(count)
             if self.file is not None:
-                self.file.keep.anew()
+                self.file.keep.discard_checkpoint()
 
-    def told(self, delta: Delta) -> None:
+    def told(self, delta: MapDelta) -> None:
         old, now = self.map, time.monotonic()
         self.map = old.apply(delta)
         moves = (
-            sum(had.cell != f.cell for f in delta.facts if (had := old.find(f.volume, f.extent)) is not None)
-            if not delta.whole
+            sum(had.shard != f.shard for f in delta.records if (had := old.find(f.volume, f.extent)) is not None)
+            if not delta.is_snapshot
             else 0
         )
-        shard = self.map.shards[delta.shard]
-        span, self.last[delta.shard] = now - self.last[delta.shard], now
-        self.stale.told(now, delta.shard, shard.gap is None, moves, len(shard.table), 0.0 if delta.whole else span)
+        shard = self.map.partitions[delta.partition]
+        span, self.last[delta.partition] = now - self.last[delta.partition], now
+        self.stale.notified(
+            now,
+            delta.partition,
+            shard.gap is None,
+            MigrationObservation(moves, len(shard.records), 0.0 if delta.is_snapshot else span),
+        )
         if self.map is not old and self.file is not None:
             self.file.told(delta, self.map)
 
     def beaten(self) -> None:
         """The watch stands and has nothing to tell: what was told holds."""
         now = time.monotonic()
-        for number, shard in enumerate(self.map.shards):
-            self.stale.told(now, number, shard.gap is None, 0, 0, 0.0)
+        for number, shard in enumerate(self.map.partitions):
+            self.stale.notified(now, number, shard.gap is None)
         if self.file is not None:
             self.file.whole(self.map)
 
     def lost(self) -> float:
         """The watch ended: seconds until the next."""
-        return self.stale.lost(time.monotonic())
+        return self.stale.watch_lost(time.monotonic())
 
     def _unsaved(self, why: str) -> None:
         self.log.error("the map can't be saved: a restart will ask the service for more", error=why)
@@ -299,33 +305,33 @@
         found = None if fresh or self.link is None else self.map.find(volume, key)
         if found is None:  # not known here: it may have come into being a moment ago
             found = self._ask(volume, key, deadline)
-            return None if found is None else (found.cell, found.size)
+            return None if found is None else (found.shard, found.size)
         now = time.monotonic()
-        do = self.stale.choose(now, self.map, volume, key, deadline - now) if self.follow else Do.SEND
-        if do is Do.ASK_BESIDE:
-            gevent.spawn(self._ask_quietly, volume, key, now + self.stale.terms.least_s)
-        elif do is Do.ASK_FIRST:
-            came, answer = self._ask_quietly(volume, key, now + self.stale.first_within(deadline - now))
+        do = self.stale.choose(now, self.map, volume, key, deadline - now) if self.follow else LookupChoice.USE_RECORD
+        if do is LookupChoice.LOOK_UP_CONCURRENTLY:
+            gevent.spawn(self._ask_quietly, volume, key, now + self.stale.settings.min_backoff_s)
+        elif do is LookupChoice.LOOK_UP_FIRST:
+            came, answer = self._ask_quietly(volume, key, now + self.stale.lookup_timeout_s(deadline - now))
             if came:
-                return None if answer is None else (answer.cell, answer.size)
+                return None if answer is None else (answer.shard, answer.size)
         self.hits += 1
-        return found.cell, found.size
+        return found.shard, found.size
 
-    def _ask(self, volume: str, key: str, deadline: float) -> Fact | None:
+    def _ask(self, volume: str, key: str, deadline: float) -> ExtentRecord | None:
         self.asked += 1
-        began, shard = time.monotonic(), shard_of(volume, len(self.map.shards))
+        began, shard = time.monotonic(), partition_of(volume, len(self.map.partitions))
         try:
-            found: Fact | None = self._until(deadline).fact(volume, key)
+            found: ExtentRecord | None = self._until(deadline).fact(volume, key)
         except PlacesError:
-            self.stale.failed(time.monotonic(), shard, volume, key)
+            self.stale.lookup_failed(time.monotonic(), shard, volume, key)
             raise
         now = time.monotonic()
-        self.stale.answered(now, volume, key, now - began)
+        self.stale.lookup_answered(volume, key, now - began)
         if found is not None:
             self._hint(found)
         return found
 
-    def _ask_quietly(self, volume: str, key: str, deadline: float) -> tuple[bool, Fact | None]:
+    def _ask_quietly(self, volume: str, key: str, deadline: float) -> tuple[bool, ExtentRecord | None]:
         """Did an answer come, and which; if not, the last good map holds."""
         try:
             return True, self._ask(volume, key, deadline)
@@ -336,18 +342,18 @@
         source: Source = self.source if self.link is None else self.source.until(deadline)
         return source
 
-    def _hint(self, fact: Fact) -> None:
+    def _hint(self, fact: ExtentRecord) -> None:
         """What a call told, joined like any fact: the watch will say it too."""
         if self.link is None:
             return
-        old, self.map = self.map, self.map.hint(fact)
+        old, self.map = self.map, self.map.merge_record(fact)
         if self.map is not old and self.file is not None:
             self.file.told(fact, self.map)
 
     def sent(self, right: bool, cost: float) -> None:
         """A send found its extent, or not, after `cost` seconds."""
         self.wrong += not right
-        self.stale.sent(right, cost)
+        self.stale.record_send(right, cost)
 
     def generation(self, volume: str, key: str) -> int:
         """Of the place that the map has; -1: none."""
@@ -359,7 +365,7 @@
         had = self.map.find(volume, key)
         self.wrong += 1
         size = 0 if had is None else had.size
-        self._hint(Fact(volume, key, cell, Stamp(generation, 0, 0), State.HELD, size))
+        self._hint(ExtentRecord(volume, key, cell, Stamp(generation, 0, 0), ExtentState.ACTIVE, size))
         return cell, size
 
     def note(
@@ -368,7 +374,7 @@
         """A write left the object there, sent to the place of that generation; False: with `new`, another one came
         first. Raises PlacesError."""
         had = self.map.find(volume, key)
-        if had is not None and (had.cell, had.size) == (cell, size) and not self.behind_by():
+        if had is not None and (had.shard, had.size) == (cell, size) and not self.behind_by():
             return True
         stands, taken = self._until(deadline).note(volume, key, cell, size, new, generation)
         self._hint(stands)
@@ -387,11 +393,11 @@
         age = self.age()
         return {
             "extents": len(self.map),
-            "shards": len(self.map.shards),
+            "shards": len(self.map.partitions),
             "reachable": self.reachable(),
             "age_s": round(age, 2) if age < math.inf else None,
             "hits": self.hits,
             "asked": self.asked,
             "wrong_sends": self.wrong,
-            "not_asked": self.stale.refused,
+            "not_asked": self.stale.lookups_denied,
         }
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -16,7 +16,7 @@
 
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig, module_settings
-from fawnspool.extents.staleness import Terms
+from fawnspool.extents.staleness import StalenessSettings
 from fawnspool.gateway.attempts import Outcome
 from fawnspool.gateway.core import Core, PoolBounds
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
@@ -100,7 +100,9 @@
                 self.behind,
             )
         self.places = (
-            Places(source, Terms(heads=h.heads), h.seed, self.log) if source is not None else self._places(config)
+            Places(source, StalenessSettings(gateway_count=h.heads), h.seed, self.log)
+            if source is not None
+            else self._places(config)
         )
         self.peers: Peers | None = None
         self.duties: Duties | None = None
@@ -111,7 +113,7 @@
         where = address(k.address)
         return Places(
             MapClient(where, k.call_timeout),
-            Terms(heads=config.head.heads, peak=k.peak),
+            StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=k.peak),
             config.head.seed,
             self.log,
             address=where,
--- a/fawnspool/gateway/leased_work.py
+++ b/fawnspool/gateway/leased_work.py
@@ -14,9 +14,9 @@
 import gevent
 import msgspec
 
-from fawnspool.extents.migration import Step
-from fawnspool.extents.records import Fact
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.migration import MigrationStep
+from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError, Wishes
 from fawnspool.gateway.lease_runner import Duties, Hold
 from fawnspool.gateway.migrator import Mover
@@ -109,7 +109,7 @@
             if wishes is not None and not self._paused(hold, wishes):
                 held = {cell: self._held(hold, where) for cell, where in self._cells().items()}
                 report = compare(
-                    {(f.volume, f.extent): f.cell for f in self._facts(hold)}, held, hold.shard, hold.kind.shards
+                    {(f.volume, f.extent): f.shard for f in self._facts(hold)}, held, hold.shard, hold.kind.shards
                 )
                 self.log.info("inventories compared", duty=hold.name, report=str(report))
                 self._show(hold, str(report))
@@ -118,14 +118,14 @@
                 hold.sleep(ASK_EVERY)
                 self._wishes(hold)
 
-    def _facts(self, hold: Hold) -> list[Fact]:
+    def _facts(self, hold: Hold) -> list[ExtentRecord]:
         """Of this shard, as the head's map has them; others get their turn meanwhile."""
         out = []
-        for k, f in enumerate(self.places.map.facts()):
+        for k, f in enumerate(self.places.map.records()):
             if k % SLICE == SLICE - 1:
                 gevent.sleep(0)
                 hold.check()
-            if f.cell >= 0 and shard_of(f.volume, f.extent, hold.kind.shards) == hold.shard:
+            if f.shard >= 0 and shard_of(f.volume, f.extent, hold.kind.shards) == hold.shard:
                 out.append(f)
         return out
 
@@ -175,12 +175,12 @@
             if wishes is None or not cells or works._paused(hold, wishes):
                 hold.sleep(ASK_EVERY / 8)
                 continue
-            left = [f for f in works._facts(hold) if f.cell in cells]
+            left = [f for f in works._facts(hold) if f.shard in cells]
             self._say(len(left))
             began = self.moved
             for f in left:
                 wishes = works._wishes(hold)
-                if wishes is None or works._paused(hold, wishes) or f"{DRAIN}{f.cell}" not in wishes:
+                if wishes is None or works._paused(hold, wishes) or f"{DRAIN}{f.shard}" not in wishes:
                     break
                 self._move(f, cells)
             if self.moved == began:
@@ -202,37 +202,42 @@
         self.hold.check()
         return where in self.shown
 
-    def _move(self, f: Fact, drained: set[int]) -> None:
+    def _move(self, f: ExtentRecord, drained: set[int]) -> None:
         hold, key = self.hold, (f.volume, f.extent)
         if not self.failures.due(time.monotonic(), key):
             return
         fresh = self.works.places.map.find(*key)  # a move, or a delete, may have come meanwhile
-        if fresh is None or fresh.cell != f.cell:
+        if fresh is None or fresh.shard != f.shard:
             return
         while (wait := self.pace.wait(time.monotonic(), fresh.size, self.works.in_hand())) > 0:
             hold.sleep(wait)
         to = self._where(f, drained)
-        ready = [self._ready(cell) for cell in (f.cell, to) if cell is not None]
+        ready = [self._ready(cell) for cell in (f.shard, to) if cell is not None]
         hold.reached("any node", any(ready))  # one that is away is its own affair; all of them is this head's
         hold.check()
         if to is None or not all(ready):
             return self.failures.failed(time.monotonic(), key)
         end = self.mover.move(f.volume, f.extent, to, time.monotonic() + min(hold.left(), 2 * self.works.timeout))
         hold.check()
-        if end is Step.DONE:
+        if end is MigrationStep.DONE:
             self.moved += 1
             self.failures.done(key)
             hold.reached("any node", True)
         else:
-            if self.mover.look(f.cell, *key) is None and self.mover.look(to, *key) is None:
+            if self.mover.look(f.shard, *key) is None and self.mover.look(to, *key) is None:
                 hold.reached("any node", False)
                 hold.check()
             self.failures.failed(time.monotonic(), key)
 
-    def _where(self, f: Fact, drained: set[int]) -> int | None:
+    def _where(self, f: ExtentRecord, drained: set[int]) -> int | None:
         """To which cell: a predecessor's choice where it has fenced the extent for it, else the draw's."""
-        seen = self.mover.look(f.cell, f.volume, f.extent)
-        if seen is not None and seen.role is Role.FENCED and seen.to >= 0 and seen.generation == f.stamp.generation + 1:
-            return seen.to
+        seen = self.mover.look(f.shard, f.volume, f.extent)
+        if (
+            seen is not None
+            and seen.role is ReplicaRole.FENCED
+            and seen.successor >= 0
+            and seen.generation == f.stamp.generation + 1
+        ):
+            return seen.successor
         takes = {known.cell for known in self.works.nodes().values() if known.phase is interface.Phase.READY}
         return target(f.volume, f.extent, takes - drained)
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -24,16 +24,16 @@
 import msgspec
 from immutables import Map
 
-from fawnspool.extents.checkpointing import Keep, Write
-from fawnspool.extents.map import ExtentMap, Key, Shard
-from fawnspool.extents.records import Delta, Fact, Stamp, State
+from fawnspool.extents.checkpointing import CheckpointAction, CheckpointPolicy
+from fawnspool.extents.map import ExtentMap, Partition, RecordKey, VersionRange
+from fawnspool.extents.records import ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Reader, Writer
 
 FORM = 1
 PIECE = 1000  # facts in one frame
 _FACT_BYTES = 120  # of a fact in the queue, roughly
-_STATES = {s.value: s for s in State}
+_STATES = {s.value: s for s in ExtentState}
 
 
 @dataclass(frozen=True)
@@ -61,9 +61,9 @@
         reader = Reader(folder / "map.log.rec")
         for kind, value in reader:
             if kind == 4:
-                found = found.apply(msgspec.convert(value, Delta))
+                found = found.apply(msgspec.convert(value, MapDelta))
             elif kind == 5:
-                found = found.hint(msgspec.convert(value, Fact))
+                found = found.merge_record(msgspec.convert(value, ExtentRecord))
             elif kind == 6:
                 at = max(at, float(value))
         why = reader.torn
@@ -95,22 +95,22 @@
         raise ValueError(f"{path.name}: {reader.torn or 'holds no map'}")
     if head[1] != FORM:
         raise ValueError(f"{path.name}: of form {head[1]}, this program reads {FORM}")
-    shards, at = [Shard()] * int(head[2]), float(head[3])
-    here, table, state = -1, Map[Key, Fact]().mutate(), Shard()
+    shards, at = [Partition()] * int(head[2]), float(head[3])
+    here, table, state = -1, Map[RecordKey, ExtentRecord]().mutate(), Partition()
     for row in rows:
         if row[0] == 2:
             for volume, extent, cell, generation, epoch, version, how, size in row[1]:
-                table[volume, extent] = Fact(
+                table[volume, extent] = ExtentRecord(
                     volume, extent, cell, Stamp(generation, epoch, version), _STATES[how], size
                 )
             continue
         if here >= 0:
-            shards[here] = Shard(table.finish(), state.told, state.ahead, state.floor)
+            shards[here] = Partition(table.finish(), state.complete_to, state.pending_ranges, state.snapshot_floors)
         if row[0] == 3:
             return ExtentMap(tuple(shards)), at, ""
         here, table, state = (
             int(row[1]),
-            Map[Key, Fact]().mutate(),
+            Map[RecordKey, ExtentRecord]().mutate(),
             msgspec.convert({"told": row[2], "ahead": row[3], "floor": row[4]}, _State).shard(),
         )
     return None, 0.0, f"{path.name}: {reader.torn or 'its end is missing'}"
@@ -121,8 +121,12 @@
     ahead: tuple[tuple[int, int], ...]
     floor: tuple[tuple[int, int], ...]
 
-    def shard(self) -> Shard:
-        return Shard(told=self.told, ahead=self.ahead, floor=self.floor)
+    def shard(self) -> Partition:
+        return Partition(
+            complete_to=LogPosition(*self.told),
+            pending_ranges=tuple(VersionRange(*row) for row in self.ahead),
+            snapshot_floors=tuple(LogPosition(*row) for row in self.floor),
+        )
 
 
 def write(path: Path, m: ExtentMap, whole_at: float) -> None:
@@ -130,13 +134,13 @@
     draft = path.with_suffix(".draft")
     writer = Writer(draft)
     try:
-        writer.put([0, FORM, len(m.shards), whole_at])
-        for number, shard in enumerate(m.shards):
-            writer.add([1, number, shard.told, shard.ahead, shard.floor])
+        writer.put([0, FORM, len(m.partitions), whole_at])
+        for number, shard in enumerate(m.partitions):
+            writer.add([1, number, shard.complete_to, shard.pending_ranges, shard.snapshot_floors])
             piece = list[Any]()
-            for f in shard.table.values():
+            for f in shard.records.values():
                 s = f.stamp
-                piece.append((f.volume, f.extent, f.cell, s.generation, s.epoch, s.version, f.state.value, f.size))
+                piece.append((f.volume, f.extent, f.shard, s.generation, s.epoch, s.version, f.state.value, f.size))
                 if len(piece) == PIECE:
                     writer.put([2, piece])
                     piece = []
@@ -153,35 +157,35 @@
 
     def __init__(self, folder: Path, behind: BackgroundWriter, log: Callable[[str], None]) -> None:
         self.folder, self.behind, self.log = folder, behind, log
-        self.keep = Keep()
+        self.keep = CheckpointPolicy()
         self.writer: Writer | None = None
         self.problem = ""  # set by the thread
 
-    def told(self, value: Delta | Fact, m: ExtentMap) -> None:
+    def told(self, value: MapDelta | ExtentRecord, m: ExtentMap) -> None:
         """`m` is the map with it."""
-        count = len(value.facts) if isinstance(value, Delta) else 1
-        self._append([4 if isinstance(value, Delta) else 5, value], count, m)
+        count = len(value.records) if isinstance(value, MapDelta) else 1
+        self._append([4 if isinstance(value, MapDelta) else 5, value], count, m)
 
     def whole(self, m: ExtentMap) -> None:
         """The map is whole now; noted now and then."""
-        if self.keep.time_due(time.monotonic()):
+        if self.keep.complete_mark_due(time.monotonic()):
             self._append([6, time.time()], 1, m)
 
     def _append(self, row: list[Any], count: int, m: ExtentMap) -> None:
         if self.problem:
             self.log(self.problem)
             self.problem = ""
-            self.keep.failed(time.monotonic())
-        what = self.keep.what(time.monotonic(), count, len(m))
-        if what is Write.NOTHING:
+            self.keep.write_failed(time.monotonic())
+        what = self.keep.next_action(time.monotonic(), count, len(m))
+        if what is CheckpointAction.SKIP:
             return
-        if what is Write.WHOLE:
+        if what is CheckpointAction.FULL_MAP:
             work, size = functools.partial(self._write_whole, m, time.time()), 0  # it shares the map's memory
         else:
             work, size = functools.partial(self._write_row, row), count * _FACT_BYTES
         if not self.behind.put(work, size):
             self.log("the disk is too slow")
-            self.keep.failed(time.monotonic())
+            self.keep.write_failed(time.monotonic())
 
     # ------------------------------------------------------------ in the thread
 
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -1,4 +1,4 @@
-"""Carries out moves: looks at both nodes and the map, takes the step that `extents/moves.py` finds, looks again.
+"""Carries out moves: looks at both nodes and the map, takes the step that `extents/migration.py` finds, looks again.
 
 It keeps nothing that it needs: one that was killed is resumed by calling `move` again, here or elsewhere.
 """
@@ -13,9 +13,16 @@
 import gevent
 import msgspec
 
-from fawnspool.extents.migration import Move, Seen, Step, next_step, pause, tell_first
-from fawnspool.extents.records import Fact
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.migration import (
+    Migration,
+    MigrationStep,
+    ReplicaReport,
+    next_step,
+    poll_pause_s,
+    required_notice,
+)
+from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.leases.fencing import Fenced
 from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
@@ -48,7 +55,7 @@
         where: Callable[[int], tuple[str, int] | None],
         places: MapClient,
         timeout: float = 2.0,
-        taken: Callable[[Step], None] = lambda step: None,
+        taken: Callable[[MigrationStep], None] = lambda step: None,
         stamp: Callable[[], dict[str, Any]] = dict,
         left: Callable[[], float] = lambda: float("inf"),
     ) -> None:
@@ -57,72 +64,74 @@
         self.pools: dict[tuple[str, int], Pool] = {}
 
     def move(
-        self, volume: str, extent: str, to: int, deadline: float, undo: bool = False, last: Move | None = None
-    ) -> Step:
+        self, volume: str, extent: str, to: int, deadline: float, undo: bool = False, last: Migration | None = None
+    ) -> MigrationStep:
         """Bring the extent to a cell, or give that up where that is still safe: DONE, LOST (another move has won, or
         there is nothing to move), or WAIT where the deadline (monotonic) came first. last: a move that was begun."""
         move, looks = last, 0
         while time.monotonic() < deadline:
-            step = Step.WAIT
+            step = MigrationStep.WAIT
             try:
                 if move is None:
                     fact = self.places.fact(volume, extent)
                     if fact is None:
-                        return Step.LOST
-                    if fact.cell == to:
+                        return MigrationStep.SUPERSEDED
+                    if fact.shard == to:
                         if self._serves(volume, extent, fact):
-                            return Step.DONE
+                            return MigrationStep.DONE
                         raise ConnectFailed("its node is away or unsure")
-                    move = Move(fact.cell, to, fact.stamp.generation + 1)
+                    move = Migration(fact.shard, to, fact.stamp.generation + 1)
                 step = self._once(move, volume, extent, undo)
             except _BAD:
                 pass  # a node or the service is away: look again
-            if step in (Step.DONE, Step.LOST):
+            if step in (MigrationStep.DONE, MigrationStep.SUPERSEDED):
                 return step
-            if step is Step.WAIT:
-                gevent.sleep(max(0.0, min(pause(looks), deadline - time.monotonic())))
-            looks = looks + 1 if step is Step.WAIT else 0
-        return Step.WAIT
+            if step is MigrationStep.WAIT:
+                gevent.sleep(max(0.0, min(poll_pause_s(looks), deadline - time.monotonic())))
+            looks = looks + 1 if step is MigrationStep.WAIT else 0
+        return MigrationStep.WAIT
 
-    def _serves(self, volume: str, extent: str, fact: Fact) -> bool:
+    def _serves(self, volume: str, extent: str, fact: ExtentRecord) -> bool:
         """Does the node serve what the map says lies there? One that is unsure is told."""
-        seen = self.look(fact.cell, volume, extent)
-        if seen is not None and seen.role is Role.UNSURE:
-            return self._step(fact.cell, volume, extent, "confirm", fact.stamp.generation, mine=True)
-        return seen is not None and seen.role is Role.OWNER
+        seen = self.look(fact.shard, volume, extent)
+        if seen is not None and seen.role is ReplicaRole.UNCONFIRMED:
+            return self._step(fact.shard, volume, extent, "confirm", fact.stamp.generation, mine=True)
+        return seen is not None and seen.role is ReplicaRole.OWNER
 
-    def _once(self, move: Move, volume: str, extent: str, undo: bool) -> Step:
+    def _once(self, move: Migration, volume: str, extent: str, undo: bool) -> MigrationStep:
         fact = self.places.fact(volume, extent)
         mapped = move.generation if fact is None else fact.stamp.generation  # deleted: nobody needs the flip
-        source, dest = self.look(move.source, volume, extent), self.look(move.to, volume, extent)
-        if fact is not None and (tell := tell_first(move, source, dest, mapped, fact.cell)) is not None:
-            self._step(tell.cell, volume, extent, tell.step, tell.generation, mine=tell.mine)
-            return Step.COPY
+        source, dest = self.look(move.source, volume, extent), self.look(move.target, volume, extent)
+        if fact is not None and (tell := required_notice(move, source, dest, mapped, fact.shard)) is not None:
+            self._step(tell.shard, volume, extent, tell.command.value, tell.generation, mine=tell.is_owner)
+            return MigrationStep.COPY
         step = next_step(move, source, dest, mapped, undo)
-        if fact is None and step is Step.LOST:
+        if fact is None and step is MigrationStep.SUPERSEDED:
             return step
         self.taken(step)
         self._take(step, move, volume, extent, source)
         return step
 
-    def _take(self, step: Step, move: Move, volume: str, extent: str, source: Seen | None) -> None:
+    def _take(
+        self, step: MigrationStep, move: Migration, volume: str, extent: str, source: ReplicaReport | None
+    ) -> None:
         g = move.generation
-        if step is Step.FILL:
-            self._step(move.to, volume, extent, "fill", g)
-        elif step in (Step.COPY, Step.CATCH_UP):
+        if step is MigrationStep.BEGIN_FILLING:
+            self._step(move.target, volume, extent, "fill", g)
+        elif step in (MigrationStep.COPY, MigrationStep.CATCH_UP):
             self._copy(move, volume, extent)
-        elif step is Step.FENCE:
-            self._step(move.source, volume, extent, "close", g, to=move.to)
-        elif step is Step.OPEN:
+        elif step is MigrationStep.FENCE:
+            self._step(move.source, volume, extent, "close", g, to=move.target)
+        elif step is MigrationStep.ACTIVATE:
             assert source is not None
-            self._step(move.to, volume, extent, "open", g, fence=source.fence)
-        elif step is Step.FLIP:
-            self._flip(volume, extent, move.to, g)
-        elif step is Step.FORGET:
+            self._step(move.target, volume, extent, "open", g, fence=source.fence_position)
+        elif step is MigrationStep.UPDATE_MAP:
+            self._flip(volume, extent, move.target, g)
+        elif step is MigrationStep.DISCARD_SOURCE:
             self._step(move.source, volume, extent, "forget", g)
-        elif step is Step.CANCEL:
-            self._step(move.to, volume, extent, "cancel", g)
-        elif step is Step.REOPEN and self._step(move.source, volume, extent, "reopen", g):
+        elif step is MigrationStep.CANCEL:
+            self._step(move.target, volume, extent, "cancel", g)
+        elif step is MigrationStep.REACTIVATE and self._step(move.source, volume, extent, "reopen", g):
             self._flip(volume, extent, move.source, g + 1)
 
     def _flip(self, volume: str, extent: str, cell: int, generation: int) -> None:
@@ -161,14 +170,14 @@
             raise Fenced(told.fenced, told.newest)
         return status.code, data
 
-    def look(self, cell: int, volume: str, extent: str) -> Seen | None:
+    def look(self, cell: int, volume: str, extent: str) -> ReplicaReport | None:
         """The node's side of the extent; None: it does not answer."""
         try:
             code, data = self._call(cell, b"GET", "/-/extent", volume, extent)
             if code != 200:
                 return None
             t = msgspec.json.decode(data, type=_Told)
-            return Seen(Role(t.role), t.generation, t.position, t.to, t.fence, t.kept)
+            return ReplicaReport(ReplicaRole(t.role), t.generation, t.position, t.to, t.fence, t.kept)
         except (*_BAD, ValueError):
             return None
 
@@ -176,7 +185,9 @@
         asked = msgspec.json.encode({"step": step, "generation": generation, **more})
         return self._call(cell, b"POST", "/-/extent", volume, extent, asked, effect=True)[0] == 200
 
-    def _copy(self, move: Move, volume: str, extent: str) -> None:
+    def _copy(self, move: Migration, volume: str, extent: str) -> None:
         code, data = self._call(move.source, b"GET", "/-/extent/data", volume, extent)
         if code == 200:
-            self._call(move.to, b"PUT", "/-/extent/data", volume, extent, data, effect=True, generation=move.generation)
+            self._call(
+                move.target, b"PUT", "/-/extent/data", volume, extent, data, effect=True, generation=move.generation
+            )
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -11,7 +11,6 @@
 import time
 from collections.abc import Callable, Iterator
 from contextlib import suppress
-from dataclasses import replace
 from pathlib import Path
 from typing import Any
 from urllib.parse import parse_qs
@@ -20,10 +19,11 @@
 import lmdb
 import msgspec
 from gevent.queue import Empty, Queue
+from msgspec.structs import replace
 
-from fawnspool.extents.change_log import Past, Way
-from fawnspool.extents.map import shard_of
-from fawnspool.extents.records import Delta, Fact, Stamp, State
+from fawnspool.extents.change_log import CatchUpMethod, ChangeLogState
+from fawnspool.extents.map import partition_of
+from fawnspool.extents.records import LOG_START, NO_SHARD, ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
 from fawnspool.leases.fencing import Fence, Fenced
 from fawnspool.net.http import BadMessage
 from fawnspool.net.server import Exchange
@@ -68,11 +68,11 @@
             kept = txn.get(b"shards", db=self.meta)
             self.shards = int(kept) if kept else shards  # a file keeps the number that it began with
             txn.put(b"shards", b"%d" % self.shards, db=self.meta)
-            self.past = [self._past(txn, k).begin(clock_ms()) for k in range(self.shards)]
+            self.past = [self._past(txn, k).with_new_epoch(clock_ms()) for k in range(self.shards)]
             for k, past in enumerate(self.past):
                 self._keep(txn, k, past)
             self.fence = Fence((row.duty, row.token, row.who) for row in self.holders(txn))
-        self.watchers: dict[object, Callable[[Delta], None]] = {}
+        self.watchers: dict[object, Callable[[MapDelta], None]] = {}
         for volume, key, cell, size in old:
             self.put(volume, key, cell, size)
 
@@ -91,62 +91,64 @@
 
     # ------------------------------------------------------------ tables
 
-    def _past(self, txn: Any, shard: int) -> Past:
+    def _past(self, txn: Any, shard: int) -> ChangeLogState:
         raw = txn.get(b"past-%d" % shard, db=self.meta)
-        return msgspec.msgpack.decode(raw, type=Past) if raw else Past()
+        return msgspec.msgpack.decode(raw, type=ChangeLogState) if raw else ChangeLogState()
 
-    def _keep(self, txn: Any, shard: int, past: Past) -> None:
+    def _keep(self, txn: Any, shard: int, past: ChangeLogState) -> None:
         txn.put(b"past-%d" % shard, msgspec.msgpack.encode(past), db=self.meta)
         self.past[shard] = past
 
-    def _fact(self, txn: Any, volume: str, extent: str) -> Fact | None:
-        raw = txn.get(_fact_key(shard_of(volume, self.shards), volume, extent), db=self.facts)
-        return msgspec.msgpack.decode(raw, type=Fact) if raw else None
+    def _fact(self, txn: Any, volume: str, extent: str) -> ExtentRecord | None:
+        raw = txn.get(_fact_key(partition_of(volume, self.shards), volume, extent), db=self.facts)
+        return msgspec.msgpack.decode(raw, type=ExtentRecord) if raw else None
 
-    def fact(self, volume: str, extent: str) -> Fact | None:
+    def fact(self, volume: str, extent: str) -> ExtentRecord | None:
         """What holds of an extent; None: there is none."""
         with self.env.begin() as txn:
             found = self._fact(txn, volume, extent)
-        return found if found is not None and found.state is not State.GONE else None
+        return found if found is not None and found.state is not ExtentState.DELETED else None
 
-    def _change(self, volume: str, extent: str, choose: Callable[[Fact | None, Stamp], Fact | None]) -> Fact | None:
+    def _change(
+        self, volume: str, extent: str, choose: Callable[[ExtentRecord | None, Stamp], ExtentRecord | None]
+    ) -> ExtentRecord | None:
         """One change in one transaction. `choose(what holds, the next stamp of its generation)` gives the new fact, or
         None: nothing changes. Watchers are told once it stands."""
-        shard = shard_of(volume, self.shards)
+        shard = partition_of(volume, self.shards)
         with self.env.begin(write=True) as txn:
             had = self._fact(txn, volume, extent)
-            past = self.past[shard].change()
-            generation = had.stamp.generation if had is not None else past.born
-            made = choose(had, Stamp(generation, past.epoch, past.version))
+            past = self.past[shard].with_change()
+            generation = had.stamp.generation if had is not None else past.first_generation
+            made = choose(had, Stamp(generation, *past.position))
             if made is None:
                 return None
             raw = msgspec.msgpack.encode(made)
             txn.put(_fact_key(shard, volume, extent), raw, db=self.facts)
-            txn.put(_log_key(shard, past.epoch, past.version), raw, db=self.log)
-            there = (made.state is not State.GONE) - (had is not None and had.state is not State.GONE)
-            self._keep(txn, shard, self._compact(txn, shard, replace(past, extents=past.extents + there)))
-        delta = Delta(shard, made.stamp.epoch, made.stamp.version - 1, made.stamp.version, (made,))
+            txn.put(_log_key(shard, *past.position), raw, db=self.log)
+            there = (made.state is not ExtentState.DELETED) - (had is not None and had.state is not ExtentState.DELETED)
+            self._keep(txn, shard, self._compact(txn, shard, replace(past, extent_count=past.extent_count + there)))
+        delta = MapDelta(shard, made.stamp.epoch, made.stamp.version - 1, made.stamp.version, (made,))
         for tell in list(self.watchers.values()):
             tell(delta)
         return made
 
-    def _compact(self, txn: Any, shard: int, past: Past) -> Past:
+    def _compact(self, txn: Any, shard: int, past: ChangeLogState) -> ChangeLogState:
         """Drop the oldest changes of a log that is too long, two at the most: the work of a change stays bounded. With
         a tombstone's change goes the tombstone, and new extents begin above its generation."""
         cursor = txn.cursor(db=self.log)
         for _ in range(2):
-            if not past.too_long() or not cursor.set_range(_log_key(shard, 0, 0)):
+            if not past.needs_truncation() or not cursor.set_range(_log_key(shard, 0, 0)):
                 break
             key, gone = cursor.item()
-            gone = msgspec.msgpack.decode(gone, type=Fact)
-            stamp, born = gone.stamp, past.born
-            if gone.state is State.GONE:
+            gone = msgspec.msgpack.decode(gone, type=ExtentRecord)
+            stamp, born = gone.stamp, past.first_generation
+            if gone.state is ExtentState.DELETED:
                 place = _fact_key(shard, gone.volume, gone.extent)
                 if txn.get(place, db=self.facts) == msgspec.msgpack.encode(gone):
                     txn.delete(place, db=self.facts)
                     born = max(born, stamp.generation + 1)
             txn.delete(key, db=self.log)
-            past = replace(past, cut=(stamp.epoch, stamp.version), born=born, logged=past.logged - 1)
+            past = replace(past, truncated_at=stamp.position, first_generation=born, change_count=past.change_count - 1)
         return past
 
     # ------------------------------------------------------------ what heads and movers ask
@@ -154,46 +156,48 @@
     def find(self, volume: str, key: str) -> tuple[int, int] | None:
         """(cell, size in bytes) or None."""
         found = self.fact(volume, key)
-        return None if found is None else (found.cell, found.size)
+        return None if found is None else (found.shard, found.size)
 
     def note(
         self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[Fact, bool]:
+    ) -> tuple[ExtentRecord, bool]:
         """A write left the extent there: (what holds now, was it taken?). With `new` the first place stands.
         generation: that of the place to which the write was sent, -1: it had none. Where a move has overtaken it, the
         move took the write along: only its size is noted."""
-        stands: list[Fact] = []
+        stands: list[ExtentRecord] = []
 
-        def choose(had: Fact | None, stamp: Stamp) -> Fact | None:
-            there = had if had is not None and had.state is not State.GONE else None
-            if there is not None and ((new and there.cell != cell) or (there.cell, there.size) == (cell, size)):
+        def choose(had: ExtentRecord | None, stamp: Stamp) -> ExtentRecord | None:
+            there = had if had is not None and had.state is not ExtentState.DELETED else None
+            if there is not None and ((new and there.shard != cell) or (there.shard, there.size) == (cell, size)):
                 stands.append(there)
                 return None
             if there is not None and 0 <= generation < there.stamp.generation:
                 return replace(there, stamp=stamp, size=size)
             # A write of a later generation says that a move has come so far, before its mover does.
             stamp = replace(stamp, generation=max(stamp.generation, generation))
-            return Fact(volume, key, cell, stamp, State.HELD, size)
+            return ExtentRecord(volume, key, cell, stamp, ExtentState.ACTIVE, size)
 
         made = self._change(volume, key, choose)
-        return (made, True) if made is not None else (stands[0], stands[0].cell == cell)
+        return (made, True) if made is not None else (stands[0], stands[0].shard == cell)
 
     def put(self, volume: str, key: str, cell: int, size: int, new: bool = False) -> tuple[int, int] | None:
         """None: noted. With `new`, the place that was there before it and stands."""
         stands, taken = self.note(volume, key, cell, size, new)
-        return None if taken else (stands.cell, stands.size)
+        return None if taken else (stands.shard, stands.size)
 
-    def drop(self, volume: str, key: str) -> Fact | None:
+    def drop(self, volume: str, key: str) -> ExtentRecord | None:
         """The extent is deleted. Its tombstone, or None where there was nothing."""
         return self._change(
             volume,
             key,
             lambda had, stamp: (
-                None if had is None or had.state is State.GONE else Fact(volume, key, -1, stamp, State.GONE)
+                None
+                if had is None or had.state is ExtentState.DELETED
+                else ExtentRecord(volume, key, NO_SHARD, stamp, ExtentState.DELETED)
             ),
         )
 
-    def flip(self, volume: str, key: str, cell: int, generation: int) -> Fact | None:
+    def flip(self, volume: str, key: str, cell: int, generation: int) -> ExtentRecord | None:
         """A move has reached `generation` at `cell`: what holds then. It holds once, whoever tells it how often; one
         that another move has overtaken changes nothing."""
         self._change(
@@ -201,8 +205,10 @@
             key,
             lambda had, stamp: (
                 None
-                if had is None or had.state is State.GONE or had.stamp.generation >= generation
-                else Fact(volume, key, cell, Stamp(generation, stamp.epoch, stamp.version), State.HELD, had.size)
+                if had is None or had.state is ExtentState.DELETED or had.stamp.generation >= generation
+                else ExtentRecord(
+                    volume, key, cell, Stamp(generation, stamp.epoch, stamp.version), ExtentState.ACTIVE, had.size
+                )
             ),
         )
         return self.fact(volume, key)
@@ -244,8 +250,8 @@
         """(extents, bytes) that lie in a cell. Looks at all there are: for operators, now and then."""
         extents = size = 0
         for _, raw in self._rows(self.facts, b"\0"):
-            f = msgspec.msgpack.decode(raw, type=Fact)
-            if f.cell == cell and f.state is not State.GONE:
+            f = msgspec.msgpack.decode(raw, type=ExtentRecord)
+            if f.shard == cell and f.state is not ExtentState.DELETED:
                 extents, size = extents + 1, size + f.size
         return extents, size
 
@@ -257,43 +263,47 @@
             if cursor.set_range(first):
                 yield from cursor
 
-    def since(self, shard: int, told: tuple[int, int]) -> list[Delta]:
+    def since(self, shard: int, told: LogPosition) -> list[MapDelta]:
         """What brings a head up to now that was told so far: changes by life, or a snapshot, whichever is less."""
         past = self.past[shard]
-        rows = list[Fact]()
-        if past.reaches(told):
+        rows = list[ExtentRecord]()
+        if past.reaches_back_to(told):
             end = shard.to_bytes(2, "big") + _END * 16
             for key, raw in self._rows(self.log, _log_key(shard, told[0], told[1] + 1)):
-                if key > end or len(rows) > past.extents:
+                if key > end or len(rows) > past.extent_count:
                     break
-                rows.append(msgspec.msgpack.decode(raw, type=Fact))
-        if past.way(told, len(rows)) is Way.SNAPSHOT:
+                rows.append(msgspec.msgpack.decode(raw, type=ExtentRecord))
+        if past.catch_up_method(told, len(rows)) is CatchUpMethod.SNAPSHOT:
             prefix = shard.to_bytes(2, "big")
             all_there = []
             for key, raw in self._rows(self.facts, prefix):
                 if not key.startswith(prefix):
                     break
-                found = msgspec.msgpack.decode(raw, type=Fact)
-                if found.state is not State.GONE:
+                found = msgspec.msgpack.decode(raw, type=ExtentRecord)
+                if found.state is not ExtentState.DELETED:
                     all_there.append(found)
-            return [Delta(shard, past.epoch, 0, past.version, tuple(all_there), True, past.covers)]
+            return [
+                MapDelta(
+                    shard, past.position.epoch, 0, past.position.version, tuple(all_there), True, past.covered_epochs
+                )
+            ]
         out = []
-        for epoch, upto in past.lives:
+        for epoch, upto in past.epochs:
             after = told[1] if epoch == told[0] else 0
-            if epoch < told[0] or (epoch == told[0] and after == upto and epoch != past.epoch):
+            if epoch < told[0] or (epoch == told[0] and after == upto and epoch != past.position.epoch):
                 continue
-            out.append(Delta(shard, epoch, min(after, upto), upto, tuple(f for f in rows if f.stamp.epoch == epoch)))
+            out.append(MapDelta(shard, epoch, min(after, upto), upto, tuple(f for f in rows if f.stamp.epoch == epoch)))
         return out
 
     def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]:
         """Keys in order with their sizes, and whether there are more."""
-        shard, out = shard_of(volume, self.shards), list[tuple[str, int]]()
+        shard, out = partition_of(volume, self.shards), list[tuple[str, int]]()
         first = _fact_key(shard, volume, max(prefix, after))
         for place, raw in self._rows(self.facts, first):
             if not place.startswith(_fact_key(shard, volume, prefix)):
                 break
-            found = msgspec.msgpack.decode(raw, type=Fact)
-            if found.state is State.GONE or (after and found.extent <= after):
+            found = msgspec.msgpack.decode(raw, type=ExtentRecord)
+            if found.state is ExtentState.DELETED or (after and found.extent <= after):
                 continue
             if len(out) == min(limit, LIST_MOST):
                 return out, True
@@ -424,7 +434,7 @@
         """All that the head was not told, then each change as it comes. Where it can't keep up, the watch ends."""
         c = self.catalogue
         told = read_told(parse_qs(query).get("told", [""])[0], c.shards)
-        queue: Queue[Delta] = Queue()
+        queue: Queue[MapDelta] = Queue()
         key = object()
         c.watchers[key] = queue.put
         try:
@@ -447,16 +457,16 @@
         exchange.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text), time.monotonic() + 5.0)
 
 
-def read_told(text: str, shards: int) -> list[tuple[int, int]]:
+def read_told(text: str, shards: int) -> list[LogPosition]:
     """How far a head was told, `epoch.version` a shard; nothing where it knows another number of shards."""
     parts = text.split(",") if text else []
     if len(parts) != shards:
-        return [(0, 0)] * shards
+        return [LOG_START] * shards
     out = []
     for part in parts:
         epoch, _, version = part.partition(".")
         with suppress(ValueError):
-            out.append((int(epoch), int(version)))
+            out.append(LogPosition(int(epoch), int(version)))
     if len(out) != shards or min(min(row) for row in out) < 0:
         raise BadMessage(400, "told: expected epoch.version for each shard")
     return out
--- a/fawnspool/standins/moving.py
+++ b/fawnspool/standins/moving.py
@@ -1,4 +1,4 @@
-"""A node's side of moves: which extents it serves, kept over a restart. The rules are `extents/copies.py`'s.
+"""A node's side of moves: which extents it serves, kept over a restart. The rules are `extents/replicas.py`'s.
 
 An extent that never took part in a move has no row: the node serves what it stores. A row is written before what it
 says is done, so a kill in between leaves the node more careful, never less: a position may count a write that did not
@@ -15,7 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from fawnspool.extents.replicas import Answer, Role, Side
+from fawnspool.extents.object_replica import CommandArguments, ObjectReplica, ReplicaCommand
+from fawnspool.extents.replicas import ReplicaResult, ReplicaRole
 from fawnspool.leases.fencing import Fence, Fenced
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.store import Store
@@ -30,11 +31,11 @@
         self.store, self.path, mark = store, folder / "moves.rec", folder / "moves.begun"
         folder.mkdir(parents=True, exist_ok=True)
         self.forgot = mark.exists() and not self.path.exists()
-        self.rows: dict[tuple[str, str], Side] = {}
+        self.rows: dict[tuple[str, str], ObjectReplica] = {}
         count = 0
         if self.path.exists():
             for volume, extent, role, generation, to, position, fence, kept in Reader(self.path):
-                self.rows[volume, extent] = Side(Role(role), generation, to, [], position, fence, kept)
+                self.rows[volume, extent] = ObjectReplica(ReplicaRole(role), generation, to, [], position, fence, kept)
                 count += 1
         if count > 2 * len(self.rows) + LONG:
             draft = folder / "moves.draft"
@@ -48,37 +49,39 @@
         mark.touch()
 
     @staticmethod
-    def _row(name: tuple[str, str], s: Side) -> list[Any]:
-        return [*name, s.role.value, s.generation, s.to, s.position, s.fence, s.kept]
+    def _row(name: tuple[str, str], s: ObjectReplica) -> list[Any]:
+        return [*name, s.role.value, s.generation, s.successor, s.position, s.fence_position, s.has_data]
 
-    def side(self, volume: str, extent: str) -> Side:
+    def side(self, volume: str, extent: str) -> ObjectReplica:
         """As it is; one without a row is made, not kept."""
         found = self.rows.get((volume, extent))
         if found is not None:
             return found
         meta = self.store.find(volume, extent)
         if not self.forgot:
-            return Side(Role.OWNER if meta is not None else Role.ABSENT)
+            return ObjectReplica(ReplicaRole.OWNER if meta is not None else ReplicaRole.ABSENT)
         if meta is None:
-            return Side(Role.UNSURE, kept=False)
+            return ObjectReplica(ReplicaRole.UNCONFIRMED, has_data=False)
         generation, to, fence = meta.side
-        return Side(Role.UNSURE if to < 0 else Role.FENCED, generation, to, [], max(fence, 0), fence)
+        return ObjectReplica(
+            ReplicaRole.UNCONFIRMED if to < 0 else ReplicaRole.FENCED, generation, to, [], max(fence, 0), fence
+        )
 
-    def answer(self, volume: str, extent: str) -> Answer:
+    def answer(self, volume: str, extent: str) -> ReplicaResult:
         """May a request be done here? What the node never heard of is served, as a new one begins that way."""
         found = self.rows.get((volume, extent))
         if found is None:
             if not self.forgot:
-                return Answer.DONE
+                return ReplicaResult.DONE
             found = self.side(volume, extent)
-        if found.role in (Role.OWNER, Role.ABSENT):
-            return Answer.DONE
-        return Answer.MOVED if found.role is Role.FENCED else Answer.NOT_YET
+        if found.role in (ReplicaRole.OWNER, ReplicaRole.ABSENT):
+            return ReplicaResult.DONE
+        return ReplicaResult.MOVED if found.role is ReplicaRole.FENCED else ReplicaResult.NOT_YET
 
     def writes(self, volume: str, extent: str) -> None:
         """A write is about to be done."""
         found = self.rows.get((volume, extent))
-        if found is not None and found.role is Role.OWNER:
+        if found is not None and found.role is ReplicaRole.OWNER:
             found.position += 1
             self._row_of(volume, extent, found)
 
@@ -95,19 +98,22 @@
     ) -> bool:
         """One step of a move; False: it may not be taken. Raises ValueError for what is no step."""
         s = self.side(volume, extent)
-        if not s.step(step, generation, to, fence, position, mine):
+        arguments = CommandArguments(generation, to, fence, position, mine)
+        if not s.execute(ReplicaCommand.parse(step), arguments):
             return False
         self._keep(volume, extent, s)
         return True
 
-    def _keep(self, volume: str, extent: str, s: Side) -> None:
+    def _keep(self, volume: str, extent: str, s: ObjectReplica) -> None:
         """With the data first: should the row be lost, they say no less than it."""
-        if s.role in (Role.OWNER, Role.FENCED):
-            fenced = s.role is Role.FENCED
-            self.store.mark(volume, extent, (s.generation, s.to if fenced else -1, s.fence if fenced else -1))
+        if s.role in (ReplicaRole.OWNER, ReplicaRole.FENCED):
+            fenced = s.role is ReplicaRole.FENCED
+            self.store.mark(
+                volume, extent, (s.generation, s.successor if fenced else -1, s.fence_position if fenced else -1)
+            )
         self._row_of(volume, extent, s)
 
-    def _row_of(self, volume: str, extent: str, s: Side) -> None:
+    def _row_of(self, volume: str, extent: str, s: ObjectReplica) -> None:
         self.rows[volume, extent] = s
         if self.writer is not None:
             self.writer.put(self._row((volume, extent), s))
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -30,8 +30,7 @@
 import msgspec
 from gevent.event import AsyncResult
 
-from fawnspool.extents.replicas import Answer as Allowed
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.replicas import ReplicaResult, ReplicaRole
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
 from fawnspool.net.http import BadMessage
 from fawnspool.net.node_headers import MOVED, Call, Told, read_call, read_target
@@ -326,7 +325,7 @@
             if self._hit(self.faults.error):
                 return self._answer(exchange, call, volume, 500, [], b"")
             # Looked at here and not on arrival: from here to the effect nothing else runs, and no fence comes between.
-            if (where := self.sides.answer(volume, key)) is not Allowed.DONE:
+            if (where := self.sides.answer(volume, key)) is not ReplicaResult.DONE:
                 return self._elsewhere(exchange, call, volume, key, where, came)
             if head.method == b"PUT":
                 assert draft is not None
@@ -339,14 +338,22 @@
             if draft is not None:
                 draft.drop()
 
-    def _elsewhere(self, exchange: Exchange, call: Call, volume: str, key: str, where: Allowed, came: float) -> None:
+    def _elsewhere(
+        self, exchange: Exchange, call: Call, volume: str, key: str, where: ReplicaResult, came: float
+    ) -> None:
         """Nothing was done: another node serves the extent (421), or none does yet (425)."""
         side = self.sides.side(volume, key)
-        moved = where is Allowed.MOVED and side.to >= 0
+        moved = where is ReplicaResult.MOVED and side.successor >= 0
         self.note("elsewhere", head=call.head, came=came, vol=volume, key=key, gen=side.generation if moved else -1)
         if moved:
             return self._answer(
-                exchange, call, volume, 421, [(MOVED, b"%d;%d" % (side.to, side.generation))], b"", how="elsewhere"
+                exchange,
+                call,
+                volume,
+                421,
+                [(MOVED, b"%d;%d" % (side.successor, side.generation))],
+                b"",
+                how="elsewhere",
             )
         self._answer(exchange, call, volume, 425, [], b"", how="elsewhere")
 
@@ -561,9 +568,9 @@
                     "role": s.role.value,
                     "generation": s.generation,
                     "position": s.position,
-                    "to": s.to,
-                    "fence": s.fence,
-                    "kept": s.kept,
+                    "to": s.successor,
+                    "fence": s.fence_position,
+                    "kept": s.has_data,
                 }
             ),
         )
@@ -578,7 +585,7 @@
         """The object for the node that takes it over, with its idempotency keys. The position is read first: what is
         newer than it comes again."""
         side, meta = self.sides.side(volume, key), self.store.find(volume, key)
-        if side.role not in (Role.OWNER, Role.FENCED) or not side.kept:
+        if side.role not in (ReplicaRole.OWNER, ReplicaRole.FENCED) or not side.has_data:
             return exchange.respond(409, [], b"")
         size = 0 if meta is None else meta.size
         if size > MOVED_MOST:
@@ -592,7 +599,7 @@
         (length,) = struct.unpack_from(">I", raw)
         told, data = msgspec.msgpack.decode(raw[4 : 4 + length], type=Moved), raw[4 + length :]
         side = self.sides.side(volume, key)
-        if side.role is not Role.FILLING or side.generation != generation:
+        if side.role is not ReplicaRole.FILLING or side.generation != generation:
             return False
         if told.position < side.position:
             return True  # a copy that was under way when a newer one came
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -15,7 +15,8 @@
 
 from fawnspool.extents import checkpointing
 from fawnspool.extents.map import ExtentMap
-from fawnspool.extents.staleness import Terms
+from fawnspool.extents.records import LOG_START
+from fawnspool.extents.staleness import StalenessSettings
 from fawnspool.gateway import map_store
 from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError
 from fawnspool.gateway.map_store import read, write
@@ -36,12 +37,12 @@
         self.service = CatalogueServer(("127.0.0.1", 0), catalogue or Catalogue(shards=4))
         self.catalogue = self.service.catalogue
 
-    def head(self, name: str = "", heads: int = 1, **terms: float) -> Places:
+    def head(self, name: str = "", gateway_count: int = 1, **terms: float) -> Places:
         behind = BackgroundWriter()
         at = self.service.address
         made = Places(
             MapClient(at, 0.3),
-            Terms(heads=heads, beat=terms.pop("beat", 1.0), **terms),
+            StalenessSettings(gateway_count=gateway_count, **terms),
             len(self.made),
             logs.get(),
             address=at,
@@ -78,7 +79,7 @@
 
 def cell(places: Places, key: str) -> int | None:
     found = places.map.find("v", key)
-    return None if found is None else found.cell
+    return None if found is None else found.shard
 
 
 def test_all_heads_hear_of_a_change_and_send_without_asking(heads: Heads) -> None:
@@ -108,7 +109,7 @@
 
 
 def test_a_service_that_is_away_leaves_the_last_good_map_and_says_so(heads: Heads) -> None:
-    a = heads.head(beat=0.1)
+    a = heads.head(heartbeat_interval_s=0.1)
     heads.catalogue.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
     heads.service.gone()
@@ -124,9 +125,9 @@
 
 def test_heads_that_lost_the_service_come_back_spread(heads: Heads) -> None:
     """40 heads, 20 calls a second borne: their watches come back over two seconds and more, not at once."""
-    made = [heads.head(gateway_count=40, peak=20.0) for _ in range(40)]
+    made = [heads.head(gateway_count=40, service_calls_per_s=20.0) for _ in range(40)]
     wait_for(lambda: all(p.reachable() for p in made))
-    pauses = sorted(p.stale.lost(time.monotonic()) for p in made)
+    pauses = sorted(p.stale.watch_lost(time.monotonic()) for p in made)
     assert pauses[0] >= 2.0 and pauses[-1] - pauses[0] > 2.0
     assert max(sum(x <= p < x + 1 for p in pauses) for x in pauses) <= 25
 
@@ -156,8 +157,8 @@
     other.put("v", "z", 2, 1)
     heads.replace(other)
     wait_for(lambda: cell(a, "z") == 2)
-    assert cell(a, "k") is None and len(a.map.shards) == 7
-    wait_for(lambda: len(read(heads.tmp / "disk").map.shards) == 7)  # type: ignore[union-attr]
+    assert cell(a, "k") is None and len(a.map.partitions) == 7
+    wait_for(lambda: len(read(heads.tmp / "disk").map.partitions) == 7)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -224,7 +225,7 @@
     heads.service.start()
     before = heads.service.calls
     wait_for(lambda: cell(b, "x1") == 9)
-    assert heads.service.calls > before and b.map.shards[0].gap is None
+    assert heads.service.calls > before and b.map.partitions[0].gap is None
 
 
 def saved(folder: Path, count: int = 2500, more: int = 5) -> ExtentMap:
@@ -233,7 +234,7 @@
     for k in range(count):
         c.put(f"v{k % 3}", f"x{k}", k % 5, k)
     for k in range(4):
-        for delta in c.since(k, (0, 0)):
+        for delta in c.since(k, LOG_START):
             m = m.apply(delta)
     folder.mkdir(parents=True)
     write(folder / "map.rec", m, time.time() - 60)
@@ -241,7 +242,7 @@
     for k in range(more):
         c.put("v0", f"y{k}", 1, 1)
         for shard in range(4):
-            for delta in c.since(shard, m.shards[shard].told):
+            for delta in c.since(shard, m.partitions[shard].complete_to):
                 m = m.apply(delta)
                 writer.put([4, delta])
     writer.put([6, time.time() - 7])
@@ -252,12 +253,13 @@
 
 def same(a: ExtentMap | None, b: ExtentMap) -> bool:
     def table(m: ExtentMap) -> dict[tuple[str, str], Any]:
-        return {(f.volume, f.extent): f for f in m.facts()}
+        return {(f.volume, f.extent): f for f in m.records()}
 
     return (
         a is not None
         and table(a) == table(b)
-        and [(s.told, s.ahead, s.floor) for s in a.shards] == [(s.told, s.ahead, s.floor) for s in b.shards]
+        and [(s.complete_to, s.pending_ranges, s.snapshot_floors) for s in a.partitions]
+        == [(s.complete_to, s.pending_ranges, s.snapshot_floors) for s in b.partitions]
     )
 
 
@@ -309,14 +311,14 @@
     problems: list[str] = []
     assert a.file is not None
     a.file.log = problems.append
-    monkeypatch.setattr(checkpointing, "RETRY_S", 0.05)
+    monkeypatch.setattr(checkpointing, "RETRY_DELAY_S", 0.05)
     real = map_store.write
 
     def full(path: Path, m: Any, at: float) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(map_store, "write", full)
-    a.file.keep.anew()
+    a.file.keep.discard_checkpoint()
     heads.catalogue.put("v", "a", 1, 1)
     wait_for(lambda: cell(a, "a") == 1 and a.file is not None and a.file.problem)
     heads.catalogue.put("v", "b", 2, 1)
@@ -329,7 +331,7 @@
 
 
 def test_the_log_does_not_outgrow_the_map(heads: Heads, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(checkpointing, "LOG_LEAST", 50)
+    monkeypatch.setattr(checkpointing, "MIN_LOG_CAPACITY", 50)
     a = heads.head("disk")
     wait_for(a.reachable)
     for n in range(400):
@@ -374,7 +376,12 @@
 
     process, port = start(0)
     places = Places(
-        MapClient(("127.0.0.1", port), 2.0), Terms(), 1, logs.get(), address=("127.0.0.1", port), timeout=2.0
+        MapClient(("127.0.0.1", port), 2.0),
+        StalenessSettings(),
+        1,
+        logs.get(),
+        address=("127.0.0.1", port),
+        timeout=2.0,
     )
     try:
         places.start()
@@ -392,7 +399,7 @@
         again = MapClient(("127.0.0.1", port), 2.0)
         for k in range(done):
             fact = again.fact("v", f"x{k}")
-            assert fact is not None and fact.cell == k % 7
+            assert fact is not None and fact.shard == k % 7
         wait_for(places.reachable)
         assert again.flip("v", "x0", 9, 1) is not None
         wait_for(lambda: cell(places, "x0") == 9)
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -14,8 +14,8 @@
 
 from fawnspool.cli.main import main
 from fawnspool.config.render import render
-from fawnspool.extents.migration import Move, Step
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.migration import Migration, MigrationStep
+from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient
 from fawnspool.gateway.migrator import Mover
 from fawnspool.net.node_headers import Call
@@ -39,10 +39,10 @@
     made.stop()
 
 
-def mover(rig: Rig, until: Step | None = None) -> Mover:
+def mover(rig: Rig, until: MigrationStep | None = None) -> Mover:
     """One that is killed just before a step."""
 
-    def taken(step: Step) -> None:
+    def taken(step: MigrationStep) -> None:
         if step is until:
             raise Killed
 
@@ -62,7 +62,11 @@
 
 
 def owners(rig: Rig, key: str = "k") -> list[int]:
-    return [k for k, n in enumerate(rig.nodes) if n.sides.side("v", key).role is Role.OWNER and n.store.find("v", key)]
+    return [
+        k
+        for k, n in enumerate(rig.nodes)
+        if n.sides.side("v", key).role is ReplicaRole.OWNER and n.store.find("v", key)
+    ]
 
 
 def read(rig: Rig, key: str = "k") -> bytes:
@@ -75,18 +79,18 @@
     at = put(rig, body=b"x" * 5000)
     tag = rig.nodes[at].store.find("v", "k").etag  # type: ignore[union-attr]
     for to in ((at + 1) % 3, (at + 2) % 3, at):
-        assert mover(rig).move("v", "k", to, soon()) is Step.DONE
+        assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
         assert owners(rig) == [to] and read(rig) == b"x" * 5000
         assert rig.nodes[to].store.find("v", "k").etag == tag  # type: ignore[union-attr]
-    assert mover(rig).move("v", "k", at, soon()) is Step.DONE  # it lies there
-    assert mover(rig).move("v", "none", 1, soon()) is Step.LOST
+    assert mover(rig).move("v", "k", at, soon()) is MigrationStep.DONE  # it lies there
+    assert mover(rig).move("v", "none", 1, soon()) is MigrationStep.SUPERSEDED
     assert [n.store.find("v", "k") is not None for n in rig.nodes] == [k == at for k in range(3)]
 
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
     assert read(rig) == b"first" and rig.head.places.wrong == 1
     assert read(rig) == b"first" and rig.head.places.wrong == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
@@ -94,16 +98,29 @@
     assert rig.catalogue.catalogue.fact("v", "k").stamp.generation == 1  # type: ignore[union-attr]
 
 
-@pytest.mark.parametrize("until", [Step.FILL, Step.COPY, Step.FENCE, Step.CATCH_UP, Step.OPEN, Step.FLIP, Step.FORGET])
-def test_a_mover_that_dies_before_a_step_is_resumed_by_another(rig: Rig, until: Step) -> None:
+@pytest.mark.parametrize(
+    "until",
+    [
+        MigrationStep.BEGIN_FILLING,
+        MigrationStep.COPY,
+        MigrationStep.FENCE,
+        MigrationStep.CATCH_UP,
+        MigrationStep.ACTIVATE,
+        MigrationStep.UPDATE_MAP,
+        MigrationStep.DISCARD_SOURCE,
+    ],
+)
+def test_a_mover_that_dies_before_a_step_is_resumed_by_another(rig: Rig, until: MigrationStep) -> None:
     at = put(rig)
     to = (at + 1) % 3
-    seen: list[Step] = []
+    seen: list[MigrationStep] = []
     dies = mover(rig, until)
     stop = dies.taken
 
-    def write_late(step: Step) -> None:
-        if step is Step.FENCE and Step.FENCE not in seen:  # a write between the copy and the fence: to catch up
+    def write_late(step: MigrationStep) -> None:
+        if (
+            step is MigrationStep.FENCE and MigrationStep.FENCE not in seen
+        ):  # a write between the copy and the fence: to catch up
             assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
         seen.append(step)
         stop(step)
@@ -112,19 +129,28 @@
     with pytest.raises(Killed):
         dies.move("v", "k", to, soon())
     assert len(owners(rig)) <= 1
-    assert mover(rig).move("v", "k", to, soon()) is Step.DONE
-    assert owners(rig) == [to] and read(rig) == (b"late" if Step.FENCE in seen else b"first")
+    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
+    assert owners(rig) == [to] and read(rig) == (b"late" if MigrationStep.FENCE in seen else b"first")
 
 
-@pytest.mark.parametrize("until", [Step.FILL, Step.COPY, Step.FENCE, Step.CATCH_UP, Step.OPEN])
-def test_a_move_is_undone_as_long_as_the_new_node_has_not_opened(rig: Rig, until: Step) -> None:
+@pytest.mark.parametrize(
+    "until",
+    [
+        MigrationStep.BEGIN_FILLING,
+        MigrationStep.COPY,
+        MigrationStep.FENCE,
+        MigrationStep.CATCH_UP,
+        MigrationStep.ACTIVATE,
+    ],
+)
+def test_a_move_is_undone_as_long_as_the_new_node_has_not_opened(rig: Rig, until: MigrationStep) -> None:
     at = put(rig)
     to = (at + 1) % 3
     dies = mover(rig, until)
-    if until is Step.CATCH_UP:
+    if until is MigrationStep.CATCH_UP:
 
-        def late(step: Step) -> None:
-            if step is Step.FENCE:
+        def late(step: MigrationStep) -> None:
+            if step is MigrationStep.FENCE:
                 assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
             if step is until:
                 raise Killed
@@ -132,10 +158,10 @@
         dies.taken = late
     with pytest.raises(Killed):
         dies.move("v", "k", to, soon())
-    assert mover(rig).move("v", "k", to, soon(), undo=True, last=Move(at, to, 1)) is Step.LOST
-    assert owners(rig) == [at] and read(rig) == (b"late" if until is Step.CATCH_UP else b"first")
+    assert mover(rig).move("v", "k", to, soon(), undo=True, last=Migration(at, to, 1)) is MigrationStep.SUPERSEDED
+    assert owners(rig) == [at] and read(rig) == (b"late" if until is MigrationStep.CATCH_UP else b"first")
     assert rig.client().ask("PUT", PLACE + "k", b"after").status == 200 and read(rig) == b"after"
-    assert mover(rig).move("v", "k", to, soon()) is Step.DONE and read(rig) == b"after"
+    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE and read(rig) == b"after"
 
 
 def test_two_movers_of_one_extent_cannot_both_win(rig: Rig) -> None:
@@ -144,8 +170,8 @@
     jobs = [gevent.spawn(mover(rig).move, "v", "k", to, soon(3)) for to in (a, b)]
     gevent.joinall(jobs, timeout=10)
     ends = [job.value for job in jobs]
-    assert ends.count(Step.DONE) == 1 and Step.LOST in ends
-    assert owners(rig) == [a if ends[0] is Step.DONE else b] and read(rig) == b"first"
+    assert ends.count(MigrationStep.DONE) == 1 and MigrationStep.SUPERSEDED in ends
+    assert owners(rig) == [a if ends[0] is MigrationStep.DONE else b] and read(rig) == b"first"
 
 
 def test_reads_and_writes_go_on_through_many_moves_and_nothing_acknowledged_is_lost(rig: Rig) -> None:
@@ -175,7 +201,7 @@
 
     jobs = [gevent.spawn(write), gevent.spawn(look), gevent.spawn(look)]
     for n in range(1, 31):
-        assert mover(rig).move("v", "k", (at + n) % 3, soon()) is Step.DONE
+        assert mover(rig).move("v", "k", (at + n) % 3, soon()) is MigrationStep.DONE
         gevent.sleep(0.02)
     done = True
     gevent.joinall(jobs, timeout=10, raise_error=True)
@@ -188,10 +214,10 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, Step.FENCE).move("v", "k", to, soon())
+        mover(rig, MigrationStep.FENCE).move("v", "k", to, soon())
     assert rig.client().ask("DELETE", PLACE + "k").status == 204
     assert rig.client().ask("GET", PLACE + "k").status == 404
-    mover(rig).move("v", "k", to, soon(1), last=Move(at, to, 1))
+    mover(rig).move("v", "k", to, soon(1), last=Migration(at, to, 1))
     assert rig.client().ask("GET", PLACE + "k").status == 404 and owners(rig) == []
     assert rig.client().ask("PUT", PLACE + "k", b"again").status == 201 and read(rig) == b"again"
 
@@ -203,7 +229,7 @@
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
     assert got.status == 200
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
     assert rig.client().ask("PUT", PLACE + "k", b"third").status == 200
     got = rig.client().ask("PUT", PLACE + "k", b"second", **key)  # its client never saw the first answer
     assert got.status == 200 and got.getheader("ETag") == tag and read(rig) == b"third"
@@ -213,16 +239,16 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, Step.OPEN).move("v", "k", to, soon())  # fenced, and its data are still there
+        mover(rig, MigrationStep.ACTIVATE).move("v", "k", to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
-    assert rig.nodes[at].sides.side("v", "k").role is Role.FENCED
+    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
     rig.nodes[at].stop()
     (rig.tmp / f"n{at}" / "moves.rec").unlink()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     got: Any = rig.client().ask("GET", PLACE + "k", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"  # it does not know whether it serves
-    assert mover(rig).move("v", "k", to, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"first"
 
 
@@ -242,7 +268,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, Step.FLIP).move("v", "k", to, soon())  # open, and the map does not know yet
+        mover(rig, MigrationStep.UPDATE_MAP).move("v", "k", to, soon())  # open, and the map does not know yet
     if noted:
         assert rig.client().ask("PUT", PLACE + "k", b"at the new one").status == 200
     else:
@@ -250,25 +276,25 @@
         assert Client(rig.nodes[to].address).ask("PUT", "/o/v/k", b"at the new one", Fawn_Call=call).status == 200
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
-    assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is Role.FENCED
-    assert mover(rig).move("v", "k", to, soon()) is Step.DONE
+    assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
+    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"at the new one"
 
 
 def test_a_node_that_forgot_takes_no_write_of_what_may_lie_elsewhere(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
-    assert rig.nodes[at].sides.side("v", "k").role is Role.UNSURE
+    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.UNCONFIRMED
 
 
 def test_an_older_copy_that_comes_late_changes_nothing(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, Step.FENCE).move("v", "k", (at + 1) % 3, soon())
+        mover(rig, MigrationStep.FENCE).move("v", "k", (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), rig.nodes[(at + 1) % 3]
     old: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
@@ -288,10 +314,10 @@
     m = mover(rig)
     jobs = [gevent.spawn(m.move, "v", key, (drained + 1) % 3, soon(20)) for key in mine]
     gevent.joinall(jobs, timeout=30)
-    assert mine and all(job.value is Step.DONE for job in jobs)
+    assert mine and all(job.value is MigrationStep.DONE for job in jobs)
     assert not [key for key in mine if rig.nodes[drained].store.find("v", key)]
     assert all(read(rig, key) == key.encode() for key in keys)
-    wait_for(lambda: all(rig.head.places.map.find("v", key).cell != drained for key in mine))  # type: ignore[union-attr]
+    wait_for(lambda: all(rig.head.places.map.find("v", key).shard != drained for key in mine))  # type: ignore[union-attr]
     wrong = rig.head.places.wrong
     assert all(read(rig, key) == key.encode() for key in keys) and rig.head.places.wrong == wrong
 
@@ -301,7 +327,7 @@
     try:
         at = put(rig)
         rig.catalogue.catalogue.watchers.clear()
-        assert mover(rig).move("v", "k", 1 - at, soon()) is Step.DONE
+        assert mover(rig).move("v", "k", 1 - at, soon()) is MigrationStep.DONE
         got: Any = rig.client().ask("PUT", PLACE + "k", b"y" * 50_000)
         assert got.status == 503 and json.loads(got.data)["error"] == "moving" and got.getheader("Retry-After")
         assert rig.client().ask("PUT", PLACE + "k", b"y" * 50_000).status == 200
@@ -340,7 +366,7 @@
     writer = Client(rig.address)
     writer.sock.sendall(f"PUT {PLACE}k HTTP/1.1\r\nHost: t\r\nContent-Length: 6\r\n\r\nsec".encode())
     gevent.sleep(0.05)
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
     assert (
         rig.nodes[at].store.find("v", "k") is None and "answering" in rig.nodes[at].server.states()
     )  # still being read
@@ -353,7 +379,7 @@
 def test_a_request_that_keeps_an_order_is_not_sent_on_behind_later_ones(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is Step.DONE
+    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"
     assert rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"}).status == 200
@@ -365,7 +391,7 @@
     try:
         at = put(rig)
         assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
-        assert mover(rig).move("v", "k", 1 - at, soon()) is Step.DONE
+        assert mover(rig).move("v", "k", 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
             assert read(rig) == b"first" and rig.head.places.wrong == 1
     finally:
@@ -398,7 +424,7 @@
 def test_bytes_that_were_spoilt_on_the_way_are_not_taken(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, Step.COPY).move("v", "k", (at + 1) % 3, soon())
+        mover(rig, MigrationStep.COPY).move("v", "k", (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), Client(rig.nodes[(at + 1) % 3].address)
     got: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     bad = bytearray(got.data)
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -138,9 +138,9 @@
     client = MapClient(server.address, 0.5)
     assert client.fact("v", "a") is None
     stands, taken = client.note("v", "a", 3, 100)
-    assert taken and (stands.cell, stands.size) == (3, 100) and client.note("v", "b/1", 1, 5)[1]
+    assert taken and (stands.shard, stands.size) == (3, 100) and client.note("v", "b/1", 1, 5)[1]
     stands, taken = client.note("v", "a", 4, 100, new=True)
-    assert not taken and (stands.cell, stands.size) == (3, 100)  # another came first, and stands
+    assert not taken and (stands.shard, stands.size) == (3, 100)  # another came first, and stands
     assert client.note("v", "a", 4, 200)[1]
     assert client.drop("v", "b/1") is not None and client.drop("v", "b/1") is None
     assert client.list("v", "", "", 10) == ([("a", 200)], False)
--- a/tests/test_history.py
+++ b/tests/test_change_log.py
@@ -9,29 +9,29 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnspool.extents.change_log import LOG_LEAST, Past, Way
+from fawnspool.extents.change_log import MIN_LOG_CAPACITY, CatchUpMethod, ChangeLogState
 from fawnspool.extents.map import ExtentMap
-from fawnspool.extents.records import State
+from fawnspool.extents.records import LOG_START, ExtentState, LogPosition
 from fawnspool.standins.catalogue import Catalogue
 
 
 def content(m: ExtentMap) -> dict[str, int]:
-    return {f.extent: f.cell for f in m.facts() if f.state is not State.GONE}
+    return {f.extent: f.shard for f in m.records() if f.state is not ExtentState.DELETED}
 
 
 def held(c: Catalogue) -> dict[str, int]:
-    return {f.extent: f.cell for k in range(c.shards) for d in c.since(k, (0, 0)) if d.whole for f in d.facts} or {
-        key: c.find("v", key)[0] for key, _ in c.list("v", "", "", 1000)[0]
-    }  # type: ignore[index]
+    return {
+        f.extent: f.shard for k in range(c.shards) for d in c.since(k, LOG_START) if d.is_snapshot for f in d.records
+    } or {key: c.find("v", key)[0] for key, _ in c.list("v", "", "", 1000)[0]}  # type: ignore[index]
 
 
 def catch_up(m: ExtentMap, c: Catalogue) -> tuple[ExtentMap, int]:
     """The map after all that the service says it lacks, and how many facts that took."""
-    said = [d for k in range(c.shards) for d in c.since(k, m.shards[k].told)]
+    said = [d for k in range(c.shards) for d in c.since(k, m.partitions[k].complete_to)]
     for delta in said:
         m = m.apply(delta)
-    assert all(s.gap is None for s in m.shards)
-    return m, sum(len(d.facts) for d in said)
+    assert all(s.gap is None for s in m.partitions)
+    return m, sum(len(d.records) for d in said)
 
 
 def test_a_head_gets_what_it_lacks_and_no_more() -> None:
@@ -57,12 +57,12 @@
     c.put("v", "kept", 1, 1)
     behind, _ = catch_up(ExtentMap.empty(1), c)
     c.drop("v", "kept")
-    for n in range(LOG_LEAST + 50):
+    for n in range(MIN_LOG_CAPACITY + 50):
         c.put("v", "x", n, n)
-    assert c.past[0].logged <= LOG_LEAST and c.past[0].cut > (0, 0)
-    assert c.since(0, behind.shards[0].told)[0].whole
+    assert c.past[0].change_count <= MIN_LOG_CAPACITY and c.past[0].truncated_at > (0, 0)
+    assert c.since(0, behind.partitions[0].complete_to)[0].is_snapshot
     m, _ = catch_up(behind, c)
-    assert content(m) == {"x": LOG_LEAST + 49}  # the tombstone is gone from the log, and `kept` from the map
+    assert content(m) == {"x": MIN_LOG_CAPACITY + 49}  # the tombstone is gone from the log, and `kept` from the map
     c.close()
 
 
@@ -72,12 +72,12 @@
     c.flip("v", "a", 2, 5)
     c.drop("v", "a")
     old, _ = catch_up(ExtentMap.empty(1), c)  # holds the tombstone, at generation 5
-    for n in range(LOG_LEAST + 50):
+    for n in range(MIN_LOG_CAPACITY + 50):
         c.put("v", "x", n, n)
     c.put("v", "a", 3, 1)
     fact = c.fact("v", "a")
     assert fact is not None and fact.stamp.generation == 6
-    for delta in c.since(0, (0, 0)):
+    for delta in c.since(0, LOG_START):
         old = old.apply(delta)
     assert content(old)["a"] == 3
     c.close()
@@ -88,10 +88,10 @@
     c.put("v", "a", 1, 7)
     for _ in range(3):
         holds = c.flip("v", "a", 2, 1)
-        assert holds is not None and (holds.cell, holds.stamp.generation, holds.size) == (2, 1, 7)
-    assert c.past[0].version == 2  # told three times, noted once
-    assert (c.flip("v", "a", 4, 3) or holds).cell == 4
-    assert (c.flip("v", "a", 3, 2) or holds).cell == 4  # the second of two moves told first
+        assert holds is not None and (holds.shard, holds.stamp.generation, holds.size) == (2, 1, 7)
+    assert c.past[0].position.version == 2  # told three times, noted once
+    assert (c.flip("v", "a", 4, 3) or holds).shard == 4
+    assert (c.flip("v", "a", 3, 2) or holds).shard == 4  # the second of two moves told first
     assert c.flip("v", "none", 1, 1) is None
     c.close()
 
@@ -101,11 +101,11 @@
     c.put("v", "a", 1, 7)
     c.flip("v", "a", 2, 1)
     fact, taken = c.note("v", "a", 1, 9, generation=0)  # acknowledged by the old node before its fence
-    assert taken and (fact.cell, fact.size, fact.stamp.generation) == (2, 9, 1)
+    assert taken and (fact.shard, fact.size, fact.stamp.generation) == (2, 9, 1)
     fact, _ = c.note("v", "a", 2, 11, generation=1)
-    assert (fact.cell, fact.size) == (2, 11)
+    assert (fact.shard, fact.size) == (2, 11)
     fact, _ = c.note("v", "a", 0, 12, generation=2)  # sent on by the old node, before its flip is told
-    assert (fact.cell, fact.stamp.generation) == (0, 2) and c.flip("v", "a", 0, 2) == fact
+    assert (fact.shard, fact.stamp.generation) == (0, 2) and c.flip("v", "a", 0, 2) == fact
     c.close()
 
 
@@ -136,37 +136,46 @@
 
 
 def test_each_life_has_a_number_above_those_before_also_where_the_clock_stands_back() -> None:
-    past = Past().begin(500).change().begin(400)
-    assert [e for e, _ in past.lives] == [500, 501]
-    assert past.begin(600).lives == ((500, 1), (600, 0))  # a life without a change of the shard said nothing
+    past = ChangeLogState().with_new_epoch(500).with_change().with_new_epoch(400)
+    assert [e for e, _ in past.epochs] == [500, 501]
+    assert past.with_new_epoch(600).epochs == ((500, 1), (600, 0))  # a life without a change of the shard said nothing
     for n in range(40):
-        past = past.change().begin(1000 + n)
-    assert len(past.lives) <= 16 and not past.reaches((500, 1)) and past.reaches((0, 0))
+        past = past.with_change().with_new_epoch(1000 + n)
+    assert (
+        len(past.epochs) <= 16
+        and not past.reaches_back_to(LogPosition(500, 1))
+        and past.reaches_back_to(LogPosition(0, 0))
+    )
 
 
 @pytest.mark.parametrize(
     ("told", "behind", "way"),
     [
-        ((0, 0), 3, Way.CHANGES),
-        ((7, 2), 3, Way.CHANGES),
-        ((7, 5), 0, Way.CHANGES),
-        ((7, 6), 0, Way.SNAPSHOT),
-        ((6, 1), 0, Way.SNAPSHOT),
-        ((7, 2), 11, Way.SNAPSHOT),
-        ((9, 0), 0, Way.CHANGES),
+        ((0, 0), 3, CatchUpMethod.CHANGES),
+        ((7, 2), 3, CatchUpMethod.CHANGES),
+        ((7, 5), 0, CatchUpMethod.CHANGES),
+        ((7, 6), 0, CatchUpMethod.SNAPSHOT),
+        ((6, 1), 0, CatchUpMethod.SNAPSHOT),
+        ((7, 2), 11, CatchUpMethod.SNAPSHOT),
+        ((9, 0), 0, CatchUpMethod.CHANGES),
     ],
 )
-def test_way(told: tuple[int, int], behind: int, way: Way) -> None:
-    assert Past(((7, 5), (8, 3)), (0, 0), 0, 8, 10).way(told, behind) is way
+def test_way(told: tuple[int, int], behind: int, way: CatchUpMethod) -> None:
+    assert (
+        ChangeLogState((LogPosition(7, 5), LogPosition(8, 3)), LOG_START, 0, 8, 10).catch_up_method(
+            LogPosition(*told), behind
+        )
+        is way
+    )
 
 
 def test_changes_are_not_enough_for_who_stands_before_the_logs_cut() -> None:
-    past = Past(((7, 5), (8, 3)), (7, 4), 0, 4, 10)
-    assert [past.way(told, 4) for told in ((0, 0), (7, 3), (7, 4), (8, 0))] == [
-        Way.SNAPSHOT,
-        Way.SNAPSHOT,
-        Way.CHANGES,
-        Way.CHANGES,
+    past = ChangeLogState((LogPosition(7, 5), LogPosition(8, 3)), LogPosition(7, 4), 0, 4, 10)
+    assert [past.catch_up_method(LogPosition(*told), 4) for told in ((0, 0), (7, 3), (7, 4), (8, 0))] == [
+        CatchUpMethod.SNAPSHOT,
+        CatchUpMethod.SNAPSHOT,
+        CatchUpMethod.CHANGES,
+        CatchUpMethod.CHANGES,
     ]
 
 
@@ -187,7 +196,7 @@
             now = c.fact("v", key)
             c.flip("v", key, random.randrange(9), (now.stamp.generation if now else 0) + random.randrange(3))
         elif what < 0.8:
-            c.past = [p.begin(0) for p in c.past]
+            c.past = [p.with_new_epoch(0) for p in c.past]
         else:
             at = random.randrange(3)
             heads[at], _ = catch_up(heads[at], c)
@@ -195,6 +204,10 @@
         m, _ = catch_up(m, c)
         for volume in "vw":
             said = {k: c.find(volume, k) for k, _ in c.list(volume, "", "", 100)[0]}
-            mine = {f.extent: (f.cell, f.size) for f in m.facts() if f.volume == volume and f.state is not State.GONE}
+            mine = {
+                f.extent: (f.shard, f.size)
+                for f in m.records()
+                if f.volume == volume and f.state is not ExtentState.DELETED
+            }
             assert mine == said
     c.close()
--- a/tests/test_extents.py
+++ b/tests/test_extents.py
@@ -3,13 +3,24 @@
 from __future__ import annotations
 
 from random import Random
+from typing import Any
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fawnspool.extents.map import ExtentMap, shard_of
-from fawnspool.extents.records import Delta, DeltaError, Fact, Stamp, State, later
+from fawnspool.extents.change_log import ChangeLogState
+from fawnspool.extents.map import ExtentMap, partition_of
+from fawnspool.extents.records import (
+    DeltaError,
+    ExtentRecord,
+    ExtentState,
+    LogPosition,
+    MapDelta,
+    Stamp,
+    later,
+)
 
 
 def fact(
@@ -19,15 +30,46 @@
     version: int = 1,
     epoch: int = 1,
     volume: str = "v",
-    state: State = State.HELD,
-) -> Fact:
-    return Fact(volume, extent, cell, Stamp(generation, epoch, version), state)
+    state: ExtentState = ExtentState.ACTIVE,
+) -> ExtentRecord:
+    return ExtentRecord(volume, extent, cell, Stamp(generation, epoch, version), state)
 
 
 def delta(
-    after: int, upto: int, *facts: Fact, epoch: int = 1, whole: bool = False, covers: tuple[tuple[int, int], ...] = ()
-) -> Delta:
-    return Delta(0, epoch, after, upto, facts, whole, covers)
+    after: int,
+    upto: int,
+    *facts: ExtentRecord,
+    epoch: int = 1,
+    whole: bool = False,
+    covers: tuple[LogPosition, ...] = (),
+) -> MapDelta:
+    return MapDelta(0, epoch, after, upto, facts, whole, covers)
+
+
+RECORD = ExtentRecord("v", "x", 3, Stamp(1, 2, 5), ExtentState.FENCED, 7)
+RECORD_JSON = b'{"volume":"v","extent":"x","cell":3,"stamp":{"generation":1,"epoch":2,"version":5},"state":2,"size":7}'
+
+
+@pytest.mark.parametrize(
+    ("value", "encoded"),
+    [
+        (RECORD, RECORD_JSON),
+        (
+            MapDelta(4, 2, 0, 5, (RECORD,), True, (LogPosition(1, 9),)),
+            b'{"shard":4,"epoch":2,"after":0,"upto":5,"facts":[' + RECORD_JSON + b'],"whole":true,"covers":[[1,9]]}',
+        ),
+        (
+            ChangeLogState((LogPosition(7, 5), LogPosition(8, 3)), LogPosition(7, 1), 2, 4, 10),
+            b'{"lives":[[7,5],[8,3]],"cut":[7,1],"born":2,"logged":4,"extents":10}',
+        ),
+    ],
+)
+def test_encoded_forms_keep_the_names_that_the_wire_and_stored_data_have(value: Any, encoded: bytes) -> None:
+    assert msgspec.json.encode(value) == encoded
+    assert msgspec.json.decode(encoded, type=type(value)) == value
+    stored = msgspec.msgpack.encode(value)
+    assert stored == msgspec.msgpack.encode(msgspec.json.decode(encoded))
+    assert msgspec.msgpack.decode(stored, type=type(value)) == value
 
 
 class Service:
@@ -36,17 +78,19 @@
 
     def __init__(self, random: Random) -> None:
         self.random, self.epoch, self.version = random, 1, 0
-        self.table: dict[str, Fact] = {}
+        self.table: dict[str, ExtentRecord] = {}
         self.covers: dict[int, int] = {}
         self.generations: dict[str, int] = {}
-        self.said: list[Delta] = []
+        self.said: list[MapDelta] = []
 
     def change(self) -> None:
         self.version += 1
         extent = f"x{self.random.randrange(6)}"
         had = self.table.get(extent)
         if had is not None and self.random.random() < 0.2:
-            made = Fact("v", extent, -1, Stamp(self.generations[extent], self.epoch, self.version), State.GONE)
+            made = ExtentRecord(
+                "v", extent, -1, Stamp(self.generations[extent], self.epoch, self.version), ExtentState.DELETED
+            )
             del self.table[extent]
         else:
             self.generations[extent] = self.generations.get(extent, 0) + 1
@@ -54,14 +98,14 @@
             self.table[extent] = made
         self.said.append(delta(self.version - 1, self.version, made, epoch=self.epoch))
 
-    def snapshot(self) -> Delta:
+    def snapshot(self) -> MapDelta:
         made = delta(
             0,
             self.version,
             *self.table.values(),
             epoch=self.epoch,
             whole=True,
-            covers=tuple(sorted(self.covers.items())),
+            covers=tuple(LogPosition(*row) for row in sorted(self.covers.items())),
         )
         self.said.append(made)
         return made
@@ -88,7 +132,7 @@
 
 
 def content(m: ExtentMap) -> dict[str, tuple[int, Stamp]]:
-    return {f.extent: (f.cell, f.stamp) for f in m.facts() if f.state is not State.GONE}
+    return {f.extent: (f.shard, f.stamp) for f in m.records() if f.state is not ExtentState.DELETED}
 
 
 @settings(max_examples=300)
@@ -100,8 +144,8 @@
     m = ExtentMap.empty(1)
     for d in told:
         m = m.apply(d)
-    assert content(m) == {e: (f.cell, f.stamp) for e, f in service.table.items()}
-    assert m.shards[0].told == (service.epoch, service.version) and m.shards[0].gap is None
+    assert content(m) == {e: (f.shard, f.stamp) for e, f in service.table.items()}
+    assert m.partitions[0].complete_to == (service.epoch, service.version) and m.partitions[0].gap is None
     again = ExtentMap.empty(1)
     for d in service.said:
         again = again.apply(d)
@@ -120,12 +164,12 @@
     m = ExtentMap.empty(1)
     for d in rest:
         m = m.apply(d)
-    if lost.upto == service.version:
-        assert m.shards[0].told == (1, lost.after)
+    if lost.up_to == service.version:
+        assert m.partitions[0].complete_to == (1, lost.after)
     else:
-        assert m.shards[0].gap == (lost.after, lost.upto)
+        assert m.partitions[0].gap == (lost.after, lost.up_to)
     m = m.apply(lost)
-    assert m.shards[0].gap is None and m.shards[0].told == (1, service.version)
+    assert m.partitions[0].gap is None and m.partitions[0].complete_to == (1, service.version)
 
 
 def test_the_order_of_facts_is_generation_then_epoch_then_version() -> None:
@@ -142,14 +186,14 @@
     """Its backup is older than the move; what it says of the extent has the lower generation."""
     m = ExtentMap.empty(1).apply(delta(0, 1, fact("x", 1))).apply(delta(1, 2, fact("x", 2, 1, 2)))
     old = fact("x", 1)
-    m = m.apply(delta(0, 0, old, epoch=2, whole=True, covers=((1, 1),)))
+    m = m.apply(delta(0, 0, old, epoch=2, whole=True, covers=(LogPosition(1, 1),)))
     found = m.find("v", "x")
-    assert found is not None and found.cell == 2
+    assert found is not None and found.shard == 2
 
 
 def test_what_a_restored_service_never_knew_stays_until_it_is_told_of() -> None:
     m = ExtentMap.empty(1).apply(delta(0, 1, fact("a", 1))).apply(delta(1, 2, fact("new", 3, 0, 2)))
-    restored = delta(0, 0, epoch=2, whole=True, covers=((1, 1),))
+    restored = delta(0, 0, epoch=2, whole=True, covers=(LogPosition(1, 1),))
     m = m.apply(restored)
     assert m.find("v", "a") is None  # known to the backup, and gone since
     assert m.find("v", "new") is not None  # made after the backup: the service lost it, not the data
@@ -165,38 +209,38 @@
     m = ExtentMap.empty(8)
     volumes = [f"v{k}" for k in range(40)]
     for k, v in enumerate(volumes):
-        shard = shard_of(v, 8)
-        have = m.shards[shard].told[1]
-        m = m.apply(Delta(shard, 1, have, have + 1, (fact("x", k, 0, have + 1, volume=v),)))
-    again = m.apply(Delta(shard_of("v0", 8), 1, 0, 1, (fact("x", 0, 0, 1, volume="v0"),)))
+        shard = partition_of(v, 8)
+        have = m.partitions[shard].complete_to[1]
+        m = m.apply(MapDelta(shard, 1, have, have + 1, (fact("x", k, 0, have + 1, volume=v),)))
+    again = m.apply(MapDelta(partition_of("v0", 8), 1, 0, 1, (fact("x", 0, 0, 1, volume="v0"),)))
     assert again is m
-    at = shard_of("v3", 8)
-    have = m.shards[at].told[1]
-    other = m.apply(Delta(at, 1, have, have + 1, (fact("x", 99, 1, have + 1, volume="v3"),)))
-    assert [a is b for a, b in zip(m.shards, other.shards, strict=True)].count(False) == 1
+    at = partition_of("v3", 8)
+    have = m.partitions[at].complete_to[1]
+    other = m.apply(MapDelta(at, 1, have, have + 1, (fact("x", 99, 1, have + 1, volume="v3"),)))
+    assert [a is b for a, b in zip(m.partitions, other.partitions, strict=True)].count(False) == 1
     old, new = m.find("v3", "x"), other.find("v3", "x")
-    assert old is not None and new is not None and (old.cell, new.cell) == (3, 99)
+    assert old is not None and new is not None and (old.shard, new.shard) == (3, 99)
 
 
 def test_a_hint_of_a_node_is_joined_and_says_nothing_of_the_log() -> None:
     m = ExtentMap.empty(1).apply(delta(0, 1, fact("x", 1)))
-    told = m.hint(fact("x", 5, 3))
+    told = m.merge_record(fact("x", 5, 3))
     found = told.find("v", "x")
-    assert found is not None and found.cell == 5 and told.shards[0].told == (1, 1)
-    assert told.hint(fact("x", 4, 2)) is told
+    assert found is not None and found.shard == 5 and told.partitions[0].complete_to == (1, 1)
+    assert told.merge_record(fact("x", 4, 2)) is told
 
 
 @pytest.mark.parametrize(
     ("bad", "why"),
     [
-        (Delta(3, 1, 0, 1, ()), "there are 1 shards"),
+        (MapDelta(3, 1, 0, 1, ()), "there are 1 shards"),
         (delta(2, 1), "do not fall"),
         (delta(1, 2, whole=True), "begins at 0"),
         (delta(0, 1, fact("x", 1, 0, 5)), "later fact"),
         (delta(0, 1, fact("x", -1)), "lies nowhere"),
-        (delta(0, 1, covers=((1, 1),)), "covers"),
+        (delta(0, 1, covers=(LogPosition(1, 1),)), "covers"),
     ],
 )
-def test_a_delta_that_contradicts_itself_is_not_applied(bad: Delta, why: str) -> None:
+def test_a_delta_that_contradicts_itself_is_not_applied(bad: MapDelta, why: str) -> None:
     with pytest.raises(DeltaError, match=why):
         ExtentMap.empty(1).apply(bad)
