--- a/tests/test_former_formats.py
+++ b/tests/test_former_formats.py
@@ -23,13 +23,13 @@
 FORMATS = Path(__file__).parent / "formats" / "d5787bd"
 ROOT = Path(__file__).parent.parent
 
-FACTS = {
-    "object-0": (2, "COPYING", (2, 1, 7), 4096),
-    "object-1": (0, "FENCED", (3, 1, 8), 8192),
-    "object-2": (2, "HELD", (1, 1, 3), 12288),
-    "object-3": (0, "HELD", (2, 1, 4), 16384),
-    "object-4": (1, "HELD", (1, 1, 5), 20480),
-    "object-5": (2, "HELD", (2, 1, 6), 24576),
+RECORDS = {
+    "object-0": (2, 1, (2, 1, 7), 4096),
+    "object-1": (0, 2, (3, 1, 8), 8192),
+    "object-2": (2, 0, (1, 1, 3), 12288),
+    "object-3": (0, 0, (2, 1, 4), 16384),
+    "object-4": (1, 0, (1, 1, 5), 20480),
+    "object-5": (2, 0, (2, 1, 6), 24576),
 }
 
 VOTES = {
@@ -94,15 +94,15 @@
     assert saved.map is not None
     assert (saved.why, saved.whole_at) == ("", 1_764_000_100.0)
     found = {
-        fact.extent: (
-            fact.cell,
-            fact.state.name,
-            (fact.stamp.generation, fact.stamp.epoch, fact.stamp.version),
-            fact.size,
+        record.extent: (
+            record.shard,
+            record.state.value,
+            (record.stamp.generation, record.stamp.epoch, record.stamp.version),
+            record.size,
         )
-        for fact in saved.map.facts()
+        for record in saved.map.records()
     }
-    assert found == FACTS
+    assert found == RECORDS
 
 
 def test_the_log_of_an_acceptor_of_the_former_build_is_its_memory(tmp_path: Path) -> None:
