--- a/fawnspool/cli/common.py
+++ b/fawnspool/cli/common.py
@@ -11,7 +11,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from fawnspool.config.schema import ConfigError
+from fawnspool.config.head import HeadConfig, check
+from fawnspool.config.schema import ConfigError, load
 
 OK, BROKEN, USAGE, UNREACHED = 0, 1, 2, 3
 EXIT_CODES = "Exit codes: 0 all well; 1 a rule or a check is broken; 2 bad input; 3 something can't be reached."
@@ -33,6 +34,14 @@
     sys.exit(USAGE)
 
 
+def load_gateway_config(config_file: str) -> HeadConfig:
+    """The settings of a gateway; ends the command with every problem where they do not read."""
+    try:
+        return load(config_file, HeadConfig, check)
+    except ConfigError as error:
+        config_error(error, False)
+
+
 def seeds_of(text: str) -> list[int]:
     """Numbers with commas between."""
     try:
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -9,9 +9,7 @@
 
 import click
 
-from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
-from fawnspool.config.head import HeadConfig, check
-from fawnspool.config.schema import ConfigError, load
+from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
 from fawnspool.gateway.lease_runner import terms_of
 from fawnspool.gateway.leased_work import PAUSE, RELEASE
@@ -22,10 +20,7 @@
     """The duties of a head's settings, and the map service that they name."""
 
     def __init__(self, config_file: str) -> None:
-        try:
-            config = load(config_file, HeadConfig, check)
-        except ConfigError as bad:
-            config_error(bad, False)
+        config = load_gateway_config(config_file)
         if config.duties is None:
             fail(f"{config_file}: has no duties block: its head takes no part in any")
         self.lease = config.duties.lease
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -8,9 +8,7 @@
 import click
 import msgspec
 
-from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
-from fawnspool.config.head import HeadConfig, check
-from fawnspool.config.schema import ConfigError, load
+from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.extents.migration import MigrationStep
 from fawnspool.extents.records import ExtentRecord
 from fawnspool.gateway.endpoint_client import Told
@@ -26,10 +24,7 @@
     """The services that a head's settings name, as a command needs them."""
 
     def __init__(self, config_file: str) -> None:
-        try:
-            config = load(config_file, HeadConfig, check)
-        except ConfigError as bad:
-            config_error(bad, False)
+        config = load_gateway_config(config_file)
         if config.embedded is not None:
             fail(f"{config_file}: a head with embedded nodes has its map inside; nothing can be moved from here")
         self.volumes = {v.name for v in config.volume}
--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -13,9 +13,8 @@
 from gevent.event import Event
 
 from fawnspool.api.objects import ObjectApi
-from fawnspool.cli.common import config_error, fail
-from fawnspool.config.head import HeadConfig, check
-from fawnspool.config.schema import ConfigError, load
+from fawnspool.cli.common import fail, load_gateway_config
+from fawnspool.config.head import HeadConfig
 from fawnspool.gateway.endpoint_client import Row
 from fawnspool.gateway.gateway import Head
 from fawnspool.model.node import NodeTraits
@@ -86,10 +85,7 @@
     """Run a head with the settings in CONFIG (HCL), until SIGTERM or SIGINT."""
     if (config_file is None) != embedded:
         fail("give either a CONFIG file or --embedded")
-    try:
-        config = load(config_file or DEFAULT, HeadConfig, check)
-    except ConfigError as bad:
-        config_error(bad, False)
+    config = load_gateway_config(config_file or DEFAULT)
     if listen:
         config = replace(config, head=replace(config.head, listen=listen))
     if policy:
--- a/fawnspool/model/between.py
+++ b/fawnspool/model/between.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from fawnspool.model.world import World, _Head
 
-FRAME = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
+FRAME = 28 + 23  # bytes of IP and UDP headers, and of `gateway/peers.py`
 
 
 class Between:
@@ -87,7 +87,7 @@
 
 
 class Sharing:
-    """One life of a head: what `head/shared.py` does."""
+    """One incarnation of a gateway: what `gateway/gossip_runner.py` does."""
 
     def __init__(self, head: _Head, seed: int) -> None:
         self.head, self.world, self.life = head, head.world, head.life
--- a/fawnspool/model/duties.py
+++ b/fawnspool/model/duties.py
@@ -18,7 +18,7 @@
 from fawnspool.leases.terms import Terms
 from fawnspool.model.engine import Engine
 
-_UDP = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
+_UDP = 28 + 23  # bytes of IP and UDP headers, and of `gateway/peers.py`
 
 
 @dataclass(frozen=True)
--- a/fawnspool/model/world.py
+++ b/fawnspool/model/world.py
@@ -172,7 +172,7 @@
 
 
 class _Head:
-    """A head's process in simulated time: what fawnspool/head and fawnspool/api do, with the real module."""
+    """A gateway's process in simulated time: what fawnspool/gateway and fawnspool/api do, with the real scheduler."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.up, self.life = world, number, False, 0
