--- a/fawnspool/cli/common.py
+++ b/fawnspool/cli/common.py
@@ -5,6 +5,7 @@
 import json
 import sys
 from collections.abc import Iterable
+from pathlib import Path
 from typing import Any, NoReturn
 
 import click
@@ -34,7 +35,7 @@
     sys.exit(USAGE)
 
 
-def load_gateway_config(config_file: str) -> HeadConfig:
+def load_gateway_config(config_file: str | Path) -> HeadConfig:
     """The settings of a gateway; ends the command with every problem where they do not read."""
     try:
         return load(config_file, HeadConfig, check)
