--- a/benchmarks/head_cost.py
+++ b/benchmarks/head_cost.py
@@ -1,6 +1,8 @@
 """What a head itself costs: straight to a node, through the plain head, through the module, side by side.
 
-    python -m benchmarks.head_cost [--seconds 4] [--quick]
+    python -m benchmarks.head_cost [--seconds 4] [--quick] [--against CHECKOUT]
+
+With `--against` the arms are another checkout's gateway (with its own `.venv`) and this one's, both with the module.
 
 4 KiB GETs on loopback sockets; nodes, head and load are processes of their own, the head is pinned to one core.
 Closed loop at 1, 64 and 1,000 connections, then open loop at half the aimed load for the time that is added; last a
@@ -17,6 +19,7 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -79,10 +82,27 @@
     return int(line.split()[1]) / 1024
 
 
+@dataclass(frozen=True)
+class Arm:
+    """One gateway that is measured: its name in the table, its policy and the checkout that it runs from."""
+
+    name: str
+    policy: str
+    checkout: Path | None = None
+
+    def command(self) -> list[str]:
+        python = sys.executable if self.checkout is None else str(self.checkout / ".venv/bin/python")
+        return [python, "-m", "fawnspool.cli"]
+
+
+POLICIES = (Arm("pass", "pass"), Arm("module", "module"))
+
+
 class Setup:
-    """Services and nodes, and one head a policy, all as processes."""
+    """Services and nodes, and one head an arm, all as processes."""
 
-    def __init__(self, folder: Path) -> None:
+    def __init__(self, folder: Path, arms: tuple[Arm, ...] = POLICIES) -> None:
+        self.arms = arms
         self.folder, self.procs = folder, list[subprocess.Popen[bytes]]()
         self.heads: dict[str, tuple[int, int]] = {}
         cores = sorted(os.sched_getaffinity(0))
@@ -115,25 +135,25 @@
         nodes = [f"{k + 1}=127.0.0.1:{p}" for k, p in enumerate(self.node_ports)]
         self.start([*cli, "standin", "list", "--listen", f"127.0.0.1:{self.list_port}", *nodes], self.list_port)
         self.start([*cli, "standin", "catalogue", "--listen", f"127.0.0.1:{self.catalogue_port}"], self.catalogue_port)
-        for policy, core in zip(("pass", "module"), self.cores, strict=True):
+        for arm, core in zip(self.arms, self.cores, strict=True):
             port = free_port()
-            config = folder / f"{policy}.hcl"
+            config = folder / f"{arm.name}.hcl"
             config.write_text(
                 CONFIG.format(
                     port=port,
-                    data=folder / policy,
-                    policy=policy,
+                    data=folder / arm.name,
+                    policy=arm.policy,
                     services=self.list_port,
                     catalogue=self.catalogue_port,
                     nodes=NODES,
                 )
             )
-            proc = self.start([*cli, "serve", str(config)], port)
+            proc = self.start([*arm.command(), "serve", str(config)], port, arm.checkout)
             os.sched_setaffinity(proc.pid, {core})
-            self.heads[policy] = (port, proc.pid)
+            self.heads[arm.name] = (port, proc.pid)
 
-    def start(self, command: list[str], port: int) -> subprocess.Popen[bytes]:
-        proc = subprocess.Popen(command, stdout=subprocess.DEVNULL)
+    def start(self, command: list[str], port: int, checkout: Path | None = None) -> subprocess.Popen[bytes]:
+        proc = subprocess.Popen(command, stdout=subprocess.DEVNULL, cwd=checkout)
         self.procs.append(proc)
         wait_listening(port)
         return proc
@@ -227,10 +247,14 @@
     parser.add_argument("--seconds", type=float, default=4.0)
     parser.add_argument("--big", action="store_true", help="the 1 GiB bodies only")
     parser.add_argument("--quick", action="store_true", help="one pass of 2 s, no 1 GiB")
+    parser.add_argument("--against", type=Path, help="another checkout, whose gateway is the arm `old`")
     asked = parser.parse_args()
+    arms = POLICIES
+    if asked.against is not None:
+        arms = (Arm("old", "module", asked.against.resolve()), Arm("new", "module"))
     seconds = 2.0 if asked.quick else asked.seconds
     with tempfile.TemporaryDirectory() as temporary:
-        setup = Setup(Path(temporary))
+        setup = Setup(Path(temporary), arms)
         try:
             setup.open()
             if not asked.big:
@@ -243,7 +267,8 @@
 
 def bodies(setup: Setup) -> None:
     print("\n| arm | 1 GiB PUT MB/s | GET MB/s | growth MiB |\n| --- | --- | --- | --- |")
-    for arm in ("pass", "module", "module", "pass"):  # each is first and second once
+    names = [arm.name for arm in setup.arms]
+    for arm in (*names, *reversed(names)):  # each is first and second once
         port, pid = setup.heads[arm]
         os.sync()  # what an arm wrote is on the disk before the next begins
         row = big(port, pid)
@@ -251,7 +276,7 @@
 
 
 def run(setup: Setup, seconds: float) -> None:
-    port, _ = setup.heads["module"]
+    port, _ = setup.heads[setup.arms[-1].name]
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     for k in range(KEYS):
         for _ in range(200):
@@ -271,7 +296,7 @@
     print("| connections | arm | requests/s | p50 ms | p99 ms | 200s | head CPU us/request | module us/request |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for connections, rate in ((1, 0), (64, 0), (1000, 0), (64, AIM / 2)):
-        for arm in ("node", "pass", "module"):
+        for arm in ("node", *(arm.name for arm in setup.arms)):
             if arm == "node":
                 got = load(setup.node_ports[0], connections, seconds, rate, straight)
                 cost = own = ""
