--- a/benchmarks/first_question.py
+++ b/benchmarks/first_question.py
@@ -25,14 +25,14 @@
     Arm("basic weight 2 (was 1)", changes=("plan.basic.weight=2",)),
     Arm("basic weight 0.5", changes=("plan.basic.weight=0.5",)),
 ]
-# Up to six heads share BOUND_ALL; more have 2 START_BOUND each, which is then the ceiling.
+# Up to six heads share MAX_REQUESTS_AT_NODE; more have 2 INITIAL_LIMIT_REQUESTS each, which is then the ceiling.
 FEW = [
-    Arm("ceiling 6 over all heads (was 12)", constants=(("BOUND_ALL", 6.0),)),
-    Arm("ceiling 24 over all heads", constants=(("BOUND_ALL", 24.0),)),
+    Arm("ceiling 6 over all heads (was 12)", constants=(("MAX_REQUESTS_AT_NODE", 6.0),)),
+    Arm("ceiling 24 over all heads", constants=(("MAX_REQUESTS_AT_NODE", 24.0),)),
 ]
 MANY = [
-    Arm("ceiling 2 a head (was 4)", constants=(("START_BOUND", 1.0),)),
-    Arm("ceiling 8 a head", constants=(("START_BOUND", 4.0),)),
+    Arm("ceiling 2 a head (was 4)", constants=(("INITIAL_LIMIT_REQUESTS", 1.0),)),
+    Arm("ceiling 8 a head", constants=(("INITIAL_LIMIT_REQUESTS", 4.0),)),
 ]
 
 
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -412,10 +412,10 @@
 
     def gauges(self) -> dict[str, dict[int, float]]:
         """Bound, held and out by node, as the module has them (a baseline has none)."""
-        lanes = getattr(self.loop.module, "lanes", {}).values()
-        rows = [lane for lane in lanes if lane.node is not None]
+        node_queues = getattr(self.loop.module, "node_queues", {}).values()
+        rows = [node_queue for node_queue in node_queues if node_queue.node is not None]
         return {
-            "bound": {x.node: x.bound for x in rows},
-            "held": {x.node: float(x.held) for x in rows},
-            "out": {x.node: float(len(x.out)) for x in rows},
+            "bound": {x.node: x.concurrency.limit for x in rows},
+            "held": {x.node: float(x.queue.queued) for x in rows},
+            "out": {x.node: float(len(x.in_flight)) for x in rows},
         }
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -35,6 +35,7 @@
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.decision_recording import Recorder, module_hash
 from fawnspool.scheduling import interface
+from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
 from fawnspool.telemetry.metrics import HeadMetrics
@@ -44,6 +45,13 @@
 POLICIES: dict[str, Callable[[interface.Settings, int], Any]] = {"module": Scheduler, "pass": PassThrough}
 
 
+def _node_state(node_queue: NodeQueue) -> str:
+    """Return what the scheduler makes of a node, in the words of the status page."""
+    if not node_queue.is_available():
+        return "trials only"
+    return "sound" if node_queue.slow_start.started_at is None else "may be cold"
+
+
 def make_policy(name: str, settings: interface.Settings, seed: int) -> Any:
     """The decision module, or a baseline, by its name in the settings."""
     return POLICIES[name](settings, seed)
@@ -305,7 +313,11 @@
     def status(self) -> dict[str, Any]:
         """What the head thinks of each node, and how it fares itself."""
         now = time.monotonic()
-        lanes = {lane.node: lane for lane in getattr(self.loop.module, "lanes", {}).values() if lane.node is not None}
+        node_queues = {
+            node_queue.node: node_queue
+            for node_queue in getattr(self.loop.module, "node_queues", {}).values()
+            if node_queue.node is not None
+        }
         nodes = []
         for ident, known in sorted(self.list.nodes.items()):
             row: dict[str, Any] = {
@@ -315,16 +327,16 @@
                 "cell": known.cell,
                 "listed": known.phase.value,
             }
-            if (lane := lanes.get(ident)) is not None:
+            if (node_queue := node_queues.get(ident)) is not None:
                 row |= {
-                    "state": "trials only" if not lane.sound() else "may be cold" if lane.born is not None else "sound",
-                    "bound": round(lane.bound, 2),
-                    "held": lane.held,
-                    "out": len(lane.out),
-                    "response_ms": round(lane.response * 1000, 2),
-                    "wait_ms": round(lane.wait * 1000, 2),
-                    "bad_signs": lane.failed,
-                    "heard_s": round(now - lane.heard, 2),
+                    "state": _node_state(node_queue),
+                    "bound": round(node_queue.concurrency.limit, 2),
+                    "held": node_queue.queue.queued,
+                    "out": len(node_queue.in_flight),
+                    "response_ms": round(node_queue.response_times.mean_s * 1000, 2),
+                    "wait_ms": round(node_queue.response_times.wait_s * 1000, 2),
+                    "bad_signs": node_queue.health.failures,
+                    "heard_s": round(now - node_queue.health.last_answer_at, 2),
                 }
             nodes.append(row)
         m = self.metrics
--- a/fawnspool/gossip/health_evidence.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -76,7 +76,12 @@
 
 
 def doubts(module: Any) -> list[tuple[int, int]]:
-    """Nodes at which a module has work now, and bad signs in a row; a baseline keeps none."""
+    """Return the nodes at which a scheduler has work now, and failures in a row; a baseline keeps none."""
+    report = getattr(module, "consecutive_failures", None)
+    if report is not None:
+        failures: list[tuple[int, int]] = report()
+        return failures
+    # Former versions, loaded for a comparison (fawnspool/model/versions.py).
     return [(lane.node, lane.failed) for lane in getattr(module, "busy", {}).values() if lane.failed and lane.node]
 
 
--- a/fawnspool/model/versions.py
+++ b/fawnspool/model/versions.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 import fawnspool
-from fawnspool.records.former_names import FORMER_TYPE_NAMES, former_field_name
+from fawnspool.records.former_names import FORMER_CONSTANT_NAMES, FORMER_TYPE_NAMES, former_field_name
 from fawnspool.scheduling import interface
 
 Policy = Callable[[Any, int], Any]
@@ -195,15 +195,29 @@
 
 
 def _set_constant(modules: list[types.ModuleType], name: str, value: float, path: str) -> None:
-    """Set a constant in each module that has it, by definition or by import. Raises VersionError."""
-    having = [module for module in modules if isinstance(getattr(module, name, None), int | float)]
+    """Set a constant in each module that has it, by definition or by import. Raises VersionError.
+
+    A constant that was renamed is known under each of its names, whichever of them the version has.
+    """
+    having = [
+        (module, known)
+        for known in _names_of_constant(name)
+        for module in modules
+        if isinstance(getattr(module, known, None), int | float)
+    ]
     if not having:
         numbers = {
             k for module in modules for k, v in vars(module).items() if k.isupper() and isinstance(v, int | float)
         }
         raise VersionError(f"{path or 'this program'}: has no number {name}; numbers: {', '.join(sorted(numbers))}")
-    for module in having:
-        setattr(module, name, type(getattr(module, name))(value))
+    for module, known in having:
+        setattr(module, known, type(getattr(module, known))(value))
+
+
+def _names_of_constant(name: str) -> list[str]:
+    """The name itself, its names since it was renamed, and its former name."""
+    former = [former for former, names in FORMER_CONSTANT_NAMES.items() if name in names]
+    return [name, *FORMER_CONSTANT_NAMES.get(name, ()), *former]
 
 
 def _bridge(policy: Policy, other: types.ModuleType) -> Policy:
--- a/fawnspool/records/former_names.py
+++ b/fawnspool/records/former_names.py
@@ -27,6 +27,28 @@
 }
 """Type of the interface: its former name."""
 
+FORMER_CONSTANT_NAMES: Mapping[str, tuple[str, ...]] = {
+    "ASK_ALL_S": ("BROADCAST_INTERVAL_S",),
+    "ASK_MOST_S": ("MAX_POLL_RETRY_DELAY_S",),
+    "BOUND_ALL": ("MAX_REQUESTS_AT_NODE",),
+    "CROWD": ("MAX_WAIT_FRACTION",),
+    "FRESH_S": ("WAIT_HALF_LIFE_S",),
+    "GAIN": ("RESPONSE_SMOOTHING", "LIMIT_SMOOTHING"),
+    "IDLE_S": ("IDLE_VOLUME_S",),
+    "ON_TIME": ("TRANSFER_VALIDITY_FRACTION",),
+    "PULL": ("LIMIT_PROBE_REQUESTS",),
+    "RECENT": ("RESPONSES_IN_MEAN",),
+    "RUN_LIMIT": ("MAX_RUN_REQUESTS",),
+    "SIGNS": ("FAILURES_TO_EJECT",),
+    "SILENT": ("SILENCE_MEAN_RESPONSES",),
+    "START_BOUND": ("INITIAL_LIMIT_REQUESTS",),
+    "TARGET_SHARE": ("TARGET_RESPONSE_FRACTION",),
+    "TICKS_PER_AIM": ("CHECKS_PER_OBJECTIVE",),
+    "TRIAL_MOST_S": ("HALF_OPEN_MAX_BACKOFF_S",),
+    "VOLUMES_MOST": ("MAX_VOLUMES",),
+}
+"""Former name of a constant of the decisions, as kept comparisons have it: its names since."""
+
 FORMER_FIELD_NAMES: Mapping[str, Mapping[str, str]] = {
     "RequestClass": {
         "latency_objective_s": "aim",
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -105,11 +105,12 @@
 
     def nodes(self) -> list[str]:
         """A few words a node: cell, state, bound, held and out, mean response and wait in milliseconds."""
-        lanes = self.core.loop.module.lanes.values()
         return [
-            f"{x.cell}:{'sound' if x.sound() else 'trials'}{'' if x.born is None else ' cold'} b{x.bound:.1f} "
-            f"h{x.held} o{len(x.out)} r{x.response * 1000:.0f} w{x.wait * 1000:.0f}"
-            for x in lanes
+            f"{x.shard}:{'sound' if x.is_available() else 'trials'}"
+            f"{'' if x.slow_start.started_at is None else ' cold'} "
+            f"b{x.concurrency.limit:.1f} h{x.queue.queued} o{len(x.in_flight)} "
+            f"r{x.response_times.mean_s * 1000:.0f} w{x.response_times.wait_s * 1000:.0f}"
+            for x in self.core.loop.module.node_queues.values()
             if x.node is not None
         ]
 
--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -1,7 +1,8 @@
-"""What the decision module is told, and what it may ask for.
+"""The events that the scheduler is told, the actions that it answers with, and its settings.
 
-Plain records in the field's own terms; nothing here decides anything. Times are seconds
-on the caller's clock, sizes are units, node and volume names are opaque numbers.
+Plain records; nothing here decides anything. Times are seconds on the caller's clock, sizes are units of work, and
+nodes, volumes, extents and shards are opaque numbers. Fields keep the values that stand in recordings, where 0 or -1
+may say that there is none.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
     """What running a request twice would do."""
 
     IDEMPOTENT = "safe"  # nothing: repeat and refuse freely
-    WITH_KEY = "keyed"  # nodes of one group drop a repeat for a while
+    WITH_KEY = "keyed"  # nodes of one scope drop a repeat for a while
     NON_IDEMPOTENT = "unsafe"  # harm: never twice
 
 
 class DeduplicationScope(Enum):
-    """Which nodes drop a repeat of a keyed request."""
+    """Which nodes drop a repeat of a request with a key that one of them has run."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,16 +28,20 @@
 
 
 class Phase(Enum):
+    """Whether a node takes requests."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class UpdateKind(Enum):
-    CACHED = "saved"  # what the head last had; maybe old
+    """What an endpoint update holds."""
+
+    CACHED = "saved"  # what the gateway last had; maybe old
     SNAPSHOT = "whole"
     DELTA = "changes"
-    POLL_FAILED = "failed"  # asking failed; the held list stands
+    POLL_FAILED = "failed"  # the list that is known stands
 
 
 class Result(Enum):
@@ -44,16 +49,18 @@
 
     SERVED = "served"
     ERROR = "error"  # answered with an error: may have run
-    OVERLOADED = "full"  # turned away unseen
+    OVERLOADED = "full"  # rejected by the node: never ran
     TIMED_OUT = "timed out"  # may have run, may still run
     CONNECT_FAILED = "unreached"  # no connection: never ran
     RESET = "broken"  # connection broke: may have run
-    CANCELLED = "cancelled"  # called off: may have run
+    CANCELLED = "cancelled"  # by this gateway: may have run
     NOT_SENT = "moot"  # never sent
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """What clients expect of requests of one kind. Weights are worth a unit, relative to other classes."""
+
     name: str
     latency_objective_s: float
     deadline_s: float
@@ -61,7 +68,7 @@
     late_priority_weight: float
     idempotence: Idempotence
     deduplication_scope: DeduplicationScope
-    deduplication_window_s: float  # how long a group remembers a keyed request
+    deduplication_window_s: float  # how long nodes remember the key
     writes: bool
     stream: bool
     ordered: bool  # requests of one extent run one at a time, in turn
@@ -69,6 +76,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """What a volume's owner has paid for."""
+
     name: str
     rate: float  # nominal units a second of one volume
     reserved_rate: float  # units a second that earn their full worth
@@ -81,12 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """What the platform and its nodes are like, for one gateway."""
+
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateway_count: int
     gateway_id: int
     zone: int
-    polls_endpoints: bool  # the node list comes only when asked for
+    polls_endpoints: bool  # the endpoint list comes only when asked for
     poll_interval_s: float
     drain_grace_s: float
     answer_slack_s: float
@@ -94,7 +105,7 @@
     overload_multiple: float
     initial_capacity_fraction: float  # share of its capacity with which a node starts, at least
     warm_up_s: float
-    slow_start_units: float  # units that a cold node always bears within `fall`, all heads together
+    slow_start_units: float  # that a cold node always bears within overload_window_s, from all gateways together
     mean_units: float
     largest_units: float
     shard_count: int
@@ -111,7 +122,7 @@
     max_retry_after_s: float
     connect_timeout_s: float
     clock_tick_s: float
-    retry_budget_minimum: float | None  # attempt budget; None: no budget asked
+    retry_budget_minimum: float | None  # retries a window that are always allowed; None: no budget
     retry_budget_ratio: float
     retry_budget_window_s: float
     settle_after_ambiguity_s: float
@@ -123,6 +134,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """One node of the endpoint list."""
+
     node: int
     zone: int
     kind: int
@@ -134,6 +147,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
+    """The endpoint list, or what changed in it."""
+
     kind: UpdateKind
     version: int
     entries: tuple[Endpoint, ...]
@@ -141,22 +156,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A client's request has come."""
+
     id: int
     class_index: int
     plan_index: int
     extent: int  # 0: none
-    timeout_s: float  # until the client gives up on this try
+    timeout_s: float  # until the client gives up on this attempt
     volume: int
     units: float
     shard: int  # -1: a new object, any node
-    gateway_count: int  # how many heads the volume works through
+    gateway_count: int  # how many gateways the volume works through
     is_client_retry: bool  # the client's second try, where marked
     writes: bool
 
+    @property
+    def is_new_object(self) -> bool:
+        """Whether any node may take it, as it is about an object that no node has yet."""
+        return self.shard < 0
+
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun; the attempt is the client's."""
+    """A streamed answer has begun: the client gets it from this attempt."""
 
     id: int
     attempt: int
@@ -166,30 +188,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
+    """An attempt has ended."""
+
     id: int
     attempt: int
     node: int
     elapsed_s: float
     result: Result
     final: bool  # nothing more is owed for the request
-    units_by_others: int  # units this node served the volume through other heads since last told
+    units_by_others: int  # units this node served the volume through other gateways since last told
     volume_usage: float | None  # the volume's whole use in a past period, as a share of its rate
     load_report: tuple[float, ...] | None
-    reused_connection: bool = False  # it went over a connection that had carried others: its break may be only that's
+    reused_connection: bool = False  # it had carried other requests: a reset may be the connection's alone
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The client of a request has left: no answer is owed any more."""
+
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
+    """A timer that was set has run out."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
+    """A health check has ended."""
+
     node: int
     result: Result
     elapsed_s: float
@@ -198,13 +228,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """A message of another gateway's scheduler."""
+
     sender: int
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class VolumeParticipants:
-    """Other heads that are known to serve a volume."""
+    """Other gateways that are known to serve a volume."""
 
     volume: int
     gateways: tuple[int, ...]
@@ -212,12 +244,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipedHealth:
-    """What other heads' evidence says of a node now. well: some found it so after all that was said against it."""
+    """What other gateways' evidence says of a node now: healthy where some found it so after all that failed."""
 
     node: int
     healthy: bool
-    retry_delay_s: float = 0.0  # not well: seconds until this head's turn to try it
-    refused_connection: bool = False  # not well: it took no connection
+    retry_delay_s: float = 0.0  # not healthy: until this gateway's turn to try it
+    refused_connection: bool = False  # not healthy: it took no connection
 
 
 Event = (
@@ -239,64 +271,84 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a request to a node; it is attempt number 0, 1, ... of the request."""
+
     id: int
     node: int
     timeout_s: float = 0.0  # 0: until the client gives up
-    write_within_s: float = 0.0  # it must be wholly written within so long, or not at all; 0: no such bound
+    write_within_s: float = 0.0  # wholly written within so long, or not at all; 0: no such bound
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
+    """Answer a request finally: it had no effect, or repeating it does no harm."""
+
     id: int
     retry_after_s: float = 0.0  # 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
+    """Answer a request finally: it may have had an effect, and must not be repeated unseen."""
+
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Call an attempt off; its outcome is still owed."""
+
     id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Tell the token in a Timer event after the delay."""
+
     delay_s: float
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Check a node's health."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
+    """Close the idle connections to a node."""
+
     node: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    gateway_id: int | None  # None: every other head
+    """Send a message to other gateways' schedulers."""
+
+    gateway_id: int | None  # None: every other gateway
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetWatch:
+    """Start or stop watching the endpoint list."""
+
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask once for the whole node list."""
+    """Ask once for the whole endpoint list."""
 
 
 Action = (
--- /dev/null
+++ b/fawnspool/scheduling/retries.py
@@ -0,0 +1,112 @@
+"""Retries: whether a request may go, or go again, to a node, and whether it may be rejected."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Mapping
+
+from fawnspool.scheduling.interface import DeduplicationScope, Endpoint, Idempotence, Settings
+from fawnspool.scheduling.pending_request import Attempt, PendingRequest
+
+CLOCK_MARGIN_TICKS = 2  # of the caller's clock, by which a deduplication window counts as shorter
+
+
+class RetryBudget:
+    """Retries of all requests, kept within a ratio of the requests taken lately, where the settings ask for it."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._minimum = settings.retry_budget_minimum
+        self._ratio = settings.retry_budget_ratio
+        self._window_s = settings.retry_budget_window_s
+        self._requests_at = deque[float]()
+        self._retries_at = deque[float]()
+
+    def record_request(self, now: float) -> None:
+        """Count a request taken."""
+        if self._minimum is not None:
+            self._requests_at.append(now)
+
+    def record_retry(self, now: float) -> None:
+        """Count a further attempt."""
+        if self._minimum is not None:
+            self._retries_at.append(now)
+
+    def allows_retry(self, now: float) -> bool:
+        """Return whether one more attempt stays within the budget."""
+        if self._minimum is None:
+            return True
+        for times in (self._requests_at, self._retries_at):
+            while times and times[0] < now - self._window_s:
+                times.popleft()
+        return len(self._retries_at) + 1 <= self._minimum + self._ratio * len(self._requests_at)
+
+
+class RetryPolicy:
+    """The rules of the requests' idempotence, and the limits on attempts."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self.budget = RetryBudget(settings)
+
+    def may_reject(self, request: PendingRequest) -> bool:
+        """Return whether the request may be rejected, which tells its client that it may repeat it.
+
+        That holds where no attempt may have run, or where a repeat does no harm whichever node it comes to.
+        """
+        if not request.ambiguous_attempts():
+            return True
+        request_class = request.request_class
+        if request_class.idempotence is Idempotence.WITH_KEY:
+            return request_class.deduplication_scope is DeduplicationScope.ALL
+        return request_class.idempotence is Idempotence.IDEMPOTENT
+
+    def may_send(self, request: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
+        """Return whether a request may go to this node now.
+
+        Not while an earlier attempt is open, unless hedging is allowed; not beyond the attempts and the budget. What
+        may have run goes again only where that does no harm: a request with a key within its deduplication window,
+        to nodes that drop each other's repeats.
+        """
+        settings = self._settings
+        if request.has_open_attempt() and not settings.hedging:
+            return False
+        if len(request.attempts) >= settings.max_attempts or not self.budget.allows_retry(now):
+            return False
+        ambiguous = request.ambiguous_attempts()
+        request_class = request.request_class
+        if not ambiguous or request_class.idempotence is Idempotence.IDEMPOTENT:
+            return True
+        if request_class.idempotence is Idempotence.NON_IDEMPOTENT:
+            return False
+        if now + self._clock_margin_s() >= ambiguous[0].sent_at + request_class.deduplication_window_s:
+            return False
+        return _drops_repeats(request_class.deduplication_scope, ambiguous, node, endpoints)
+
+    def write_within_s(self, request: PendingRequest, now: float) -> float:
+        """Return how soon a further attempt must be wholly written, lest it outlive the window; 0: no such bound."""
+        if request.request_class.idempotence is not Idempotence.WITH_KEY:
+            return 0.0
+        ambiguous = request.ambiguous_attempts()
+        if not ambiguous:
+            return 0.0
+        window_s = request.request_class.deduplication_window_s
+        return ambiguous[0].sent_at + window_s - self._clock_margin_s() - now
+
+    def _clock_margin_s(self) -> float:
+        return CLOCK_MARGIN_TICKS * self._settings.clock_tick_s
+
+
+def _drops_repeats(
+    scope: DeduplicationScope, ambiguous: list[Attempt], node: int, endpoints: Mapping[int, Endpoint]
+) -> bool:
+    """Return whether the node drops a repeat of what may have run at the attempts' nodes."""
+    nodes = {attempt.node for attempt in ambiguous}
+    if scope is DeduplicationScope.ALL or nodes == {node}:
+        return True
+    known = [endpoints.get(other) for other in (*nodes, node)]
+    groups = set[int]()
+    for endpoint in known:
+        if endpoint is None:
+            return False
+        groups.add(endpoint.zone if scope is DeduplicationScope.ZONE else endpoint.shard)
+    return len(groups) == 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -227,7 +227,7 @@
 
     def warm(self) -> Head:
         """One answer in good time from each node, so that none is unmeasured; the ledger starts after."""
-        for cell in list(self.control.lanes):
+        for cell in list(self.control.node_queues):
             ident = self.ask(99, cell=cell)
             while ident not in self.sent():
                 self.run(self.now + 0.05)
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -21,8 +21,8 @@
 from fawnspool.leases.acceptor import Memory
 from fawnspool.leases.ballot import Seat
 from fawnspool.leases.fencing import Fenced
-from fawnspool.scheduling import scheduler
-from fawnspool.scheduling.scheduler import Scheduler
+from fawnspool.scheduling import rate_limits
+from fawnspool.scheduling.rate_limits import RateLimiter, RateLimits
 from fawnspool.standins import moving
 
 
@@ -115,29 +115,31 @@
 
 def keeps_lent() -> None:
     """A head that lends units of a limit and goes on using them."""
-    real = Scheduler._on_peer
+    real = RateLimits.handle_message
 
-    def lends(self: Any, event: Any) -> None:
-        levels = {k: v.level for k, v in self.volumes.items()}
-        real(self, event)
-        for k, level in levels.items():
-            if self.volumes[k].lent and self.volumes[k].level < level:
-                self.volumes[k].level = level
-                self.volumes[k].lent.clear()
+    def lends(self: Any, event: Any, now: float) -> Any:
+        levels = {volume: limiter.tokens for volume, limiter in self.limiters.items()}
+        result = real(self, event, now)
+        for volume, level in levels.items():
+            limiter = self.limiters[volume]
+            if limiter.granted and limiter.tokens < level:
+                limiter.tokens = level
+                limiter.granted.clear()
+        return result
 
-    Scheduler._on_peer = lends  # type: ignore[method-assign]
+    RateLimits.handle_message = lends  # type: ignore[method-assign]
 
 
 def late_units() -> None:
     """A head that counts units however late they come, and fills up at once what it lent."""
-    scheduler.ON_TIME = 1e9  # type: ignore[misc]
-    real = Scheduler._fill
+    rate_limits.TRANSFER_VALIDITY_FRACTION = 1e9  # type: ignore[misc]
+    real = RateLimiter.refill
 
-    def fills(self: Any, volume: Any) -> None:
-        volume.lent.clear()
-        real(self, volume)
+    def fills(self: Any, *args: Any) -> None:
+        self.granted.clear()
+        real(self, *args)
 
-    Scheduler._fill = fills  # type: ignore[method-assign]
+    RateLimiter.refill = fills  # type: ignore[method-assign]
 
 
 def hearsay_alone() -> None:
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -198,13 +198,13 @@
         rig.shelfs[0].hold.clear()
         first = rig.raw(text("/read", headers("first", volume="1", obj="1")))
         wait_for(lambda: rig.asked() == ["first"])
-        rig.core.loop.module.lanes[0].bound = 1.0
-        rig.core.loop.module._shed = lambda lane: None  # held, however long it takes
+        rig.core.loop.module.node_queues[0].concurrency.limit = 1.0
+        rig.core.loop.module._shed_load = lambda node_queue: None  # held, however long it takes
         socks = [
             plain_sock(rig.listen, text("/read", headers(f"r{k}", volume=f"{k + 2:x}", obj=f"{k + 2:x}")))
             for k in range(200)
         ]
-        wait_for(lambda: rig.core.loop.module.lanes[0].held == 200)
+        wait_for(lambda: rig.core.loop.module.node_queues[0].queue.queued == 200)
         for sock in socks:
             sock.close()
         rig.shelfs[0].hold.set()
@@ -366,7 +366,7 @@
     try:
         server, shelf = rig.program.front.server, rig.shelfs[0]
         shelf.hold.clear()
-        rig.core.loop.module._shed = lambda lane: None
+        rig.core.loop.module._shed_load = lambda node_queue: None
         busy = [
             plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}"))) for k in range(server.most)
         ]
@@ -453,13 +453,13 @@
         shelf.hold.clear()
     else:
         shelf.script = lambda asked: b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
-    rig.core.loop.module._shed = lambda lane: None
-    rig.core.loop.module.lanes[0].bound = 1.0
+    rig.core.loop.module._shed_load = lambda node_queue: None
+    rig.core.loop.module.node_queues[0].concurrency.limit = 1.0
     rows = {"out": headers("out", volume="1", wait="1900"), "held": headers("held", volume="2", wait="1900")}
     socks = {"out": rig.raw(text("/read", rows["out"]))}
     wait_for(lambda: "out" in rig.asked())
     socks["held"] = rig.raw(text("/read", rows["held"]))
-    wait_for(lambda: rig.core.loop.module.lanes[0].held == 1)
+    wait_for(lambda: rig.core.loop.module.node_queues[0].queue.queued == 1)
     late.asked, late.at_once = 0, 0
     socks["connecting"] = rig.raw(text("/read", headers("connecting", shard=1, volume="3", wait="1900")))
     wait_for(lambda: late.asked == 1)
@@ -668,7 +668,7 @@
     with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH + chunk(b"\n"))):
         rig.program.discovery.start(rig.discovery.whole())
         wait_for(lambda: [event.kind for event in lists] == kinds)
-        assert lists[1].entries == () and not rig.core.loop.module.unsure
+        assert lists[1].entries == () and not rig.core.loop.module.endpoints.is_cached
 
 
 def test_two_new_configurations_one_behind_the_other_end_at_the_last(rig: RelayRig) -> None:
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -296,9 +296,8 @@
     seen = outcomes(rig)
     rig.core.pool(rig.shelfs[0].server.address).most = 0
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 503
-    assert (
-        seen and {o.result for o in seen} == {interface.Result.NOT_SENT} and rig.core.loop.module.lanes[0].failed == 0
-    )
+    assert seen and {o.result for o in seen} == {interface.Result.NOT_SENT}
+    assert rig.core.loop.module.node_queues[0].health.failures == 0
 
 
 def test_a_client_that_leaves_ends_its_attempt(rig: RelayRig) -> None:
@@ -356,8 +355,8 @@
         rows = [row | {"host": f"new-{k}"}, row | {"host": f"new-{k - 1}", "health": "left"}]
         discovery.take(json.dumps({"seq": first["seq"] + k + 1, "whole": False, "hosts": rows}).encode())
     wait_for(lambda: not rig.core.loop.inbox)
-    assert len(discovery.nodes) <= 4 and len(discovery.numbers) <= 4 and len(module.nodes) <= 4
-    assert len(module.lanes) == 2
+    assert len(discovery.nodes) <= 4 and len(discovery.numbers) <= 4 and len(module.endpoints.nodes) <= 4
+    assert len(module.node_queues) == 2
 
 
 @contextlib.contextmanager
@@ -471,7 +470,7 @@
 
 def test_one_break_of_a_kept_connection_is_enough_to_distrust_the_older_ones(rig: RelayRig) -> None:
     shelf, seen = rig.shelfs[0], outcomes(rig)
-    rig.core.loop.module.lanes[0].bound = 8.0
+    rig.core.loop.module.node_queues[0].concurrency.limit = 8.0
     shelf.hold.clear()
     socks = [rig.raw(text("/read", headers(f"a{k}", volume=f"{k + 1:016x}", obj=f"{k + 1:x}"))) for k in range(4)]
     wait_for(lambda: len(shelf.asked) == 4)
--- a/tests/lending_model.py
+++ b/tests/lending_model.py
@@ -10,56 +10,68 @@
 
 from __future__ import annotations
 
+import shutil
 import sys
-import types
 from collections import deque
 from collections.abc import Iterator
 from pathlib import Path
+from tempfile import TemporaryDirectory
 from typing import Any
 
+from fawnspool.model import versions
+from fawnspool.scheduling.admission import make_pending
 from fawnspool.scheduling.interface import PeerMessage, Request, SendPeerMessage
+from fawnspool.scheduling.rate_limits import TransferKind, TransferMessage
 from tests.conftest import make_class, make_plan, make_settings
 
-SOURCE = Path(__file__).parent.parent / "fawnspool" / "scheduling" / "scheduler.py"
+SCHEDULING = Path(__file__).parent.parent / "fawnspool" / "scheduling"
 RATE, DEPTH, AIM, STEP, UNIT = 10.0, 18.0, 0.4, 0.2, 1e-6
+VOLUME = 7
 Bucket = tuple[float, tuple[tuple[float, float], ...]]  # level; when lent, units
 Datagram = tuple[int, int, bytes]  # from, to, body
 State = tuple[int, tuple[Bucket, ...], tuple[Datagram, ...], float, int, int]  # step, heads, ways, all, asked, restarts
 
 MISTAKES: dict[str, tuple[str, str]] = {
-    "a lender keeps what it lends": ("            volume.level -= units\n", ""),
-    "what was lent may be filled up at once": ("            volume.lent.append((self.now, units))\n", ""),
+    "a lender keeps what it lends": ("        limiter.tokens -= units\n", ""),
+    "what was lent may be filled up at once": ("        limiter.granted.append((now, units))\n", ""),
     "late units count": (
-        "elif what == _LEND and (int(self.now * 1000) - asked) % 2**32 < self.least_aim * 1000 * ON_TIME:",
-        "elif what == _LEND:",
+        "if age_ms >= self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION:",
+        "if False:",
+    ),
+    "units count twice as long as they are kept": (
+        "self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION",
+        "self._transfer_window_s * 2000",
     ),
-    "units count twice as long as they are kept": ("self.least_aim * 1000 * ON_TIME", "self.least_aim * 2000"),
     "a borrower heaps up": (
-        "            volume.level += units\n            self._fill(volume)\n",
-        "            volume.level += 2 * units\n",
+        "        limiter.tokens += message.units\n        self.refill(limiter, now)\n",
+        "        limiter.tokens += 2 * message.units\n",
+    ),
+    "more is lent than there is": (
+        "units = min(message.units, max(MIN_GRANT_UNITS, spare_units / 2))",
+        "units = message.units",
     ),
-    "more is lent than there is": ("units = min(units, max(1.0, spare / 2))", "units = units"),
     "a head that starts has a full part": (
-        "volume = _Volume(job.plan, max(1, job.req.gateway_count), filled=self.since, served=self.now)",
-        "volume = _Volume(job.plan, max(1, job.req.gateway_count), filled=self.since - 99, served=self.now)",
+        "refilled_at=self.recorded_since, served_at=now",
+        "refilled_at=self.recorded_since - 99, served_at=now",
     ),
     "what was lent is forgotten early": (
-        "volume.lent[0][0] <= self.now - self.least_aim",
-        "volume.lent[0][0] <= self.now - self.least_aim / 4",
+        "self.granted[0][0] <= now - transfer_window_s",
+        "self.granted[0][0] <= now - transfer_window_s / 4",
     ),
 }
 
 
-def module(mistake: str = "") -> Any:
-    """The decision module, with one mistake in its text."""
-    text = SOURCE.read_text()
+def policy(mistake: str = "") -> versions.Policy:
+    """The scheduler's class, of modules of its own, with one mistake in the text of `rate_limits.py`."""
+    text = (SCHEDULING / "rate_limits.py").read_text()
     if mistake:
         right, wrong = MISTAKES[mistake]
         assert text.count(right) == 1, mistake
         text = text.replace(right, wrong)
-    made = types.ModuleType("control_under_test")
-    sys.modules[made.__name__] = made
-    exec(compile(text, str(SOURCE), "exec"), made.__dict__)
+    with TemporaryDirectory() as folder:
+        shutil.copy(SCHEDULING / "scheduler.py", folder)
+        (Path(folder) / "rate_limits.py").write_text(text)
+        made, _ = versions.load(str(Path(folder) / "scheduler.py"))
     return made
 
 
@@ -67,10 +79,10 @@
     """Heads whose state is put in and taken out again."""
 
     def __init__(self, heads: int, mistake: str = "") -> None:
-        made = module(mistake)
+        made = policy(mistake)
         plan = make_plan(rate_limit=RATE, rate_limit_burst=DEPTH, rate_limit_tolerance=0.0)
         self.heads = [
-            made.Scheduler(
+            made(
                 make_settings(
                     plans=(plan,),
                     classes=(make_class(latency_objective_s=AIM),),
@@ -83,50 +95,48 @@
             for k in range(heads)
         ]
         self.now = 100.0
-        for k, head in enumerate(self.heads):
-            self._begin(head, k)
+        for k in range(heads):
+            self._begin(k)
 
-    def _begin(self, head: Any, k: int) -> Any:
+    def _begin(self, k: int) -> Any:
         """The module's own first sight of the volume; its request is forgotten."""
-        head.now = head.since = self.now
-        head.volumes.clear()
-        request = Request(1, 0, 0, 0, 1.0, 7, 1.0, 0, len(self.heads), False, False)
-        return head._volume(made_job(head, request))
+        limits = self.heads[k].rate_limits
+        limits.recorded_since = self.now
+        limits.limiters.clear()
+        request = Request(1, 0, 0, 0, 1.0, VOLUME, 1.0, 0, len(self.heads), False, False)
+        return limits.limiter(make_pending(request, self.heads[k].settings, self.now), self.now)
 
     def put(self, k: int, bucket: Bucket) -> Any:
-        head = self.heads[k]
-        head.now, head.acts = self.now, []
-        volume = head.volumes[7]
-        volume.level, volume.lent = bucket[0], deque(bucket[1])
-        volume.filled, volume.queued, volume.mine, volume.asked = self.now, 0.0, 0.0, 0.0
-        volume.lenders.clear()
-        return volume
+        limiter = self.heads[k].rate_limits.limiters[VOLUME]
+        limiter.tokens, limiter.granted = bucket[0], deque(bucket[1])
+        limiter.refilled_at = self.now
+        limiter.queued_units = limiter.served_units_per_s = limiter.requested_at = 0.0
+        limiter.lenders.clear()
+        return limiter
 
     def take(self, k: int) -> Bucket:
-        volume = self.heads[k].volumes[7]
-        return round(volume.level, 6), tuple(volume.lent)
+        limiter = self.heads[k].rate_limits.limiters[VOLUME]
+        return round(limiter.tokens, 6), tuple(limiter.granted)
 
     # ------------------------------------------------------------ steps
 
     def passes(self, s: State) -> State:
         heads = []
         for k, bucket in enumerate(s[1]):
-            volume = self.put(k, bucket)
-            self.heads[k].now = self.now + STEP
-            self.heads[k]._fill(volume)
+            limiter = self.put(k, bucket)
+            self.heads[k].rate_limits.refill(limiter, self.now + STEP)
             heads.append(self.take(k))
         return s[0] + 1, tuple(heads), s[2], round(min(DEPTH, s[3] + RATE * STEP), 6), s[4], s[5]
 
     def asks(self, s: State, k: int) -> State:
-        volume = self.put(k, s[1][k])
-        volume.queued = DEPTH
-        self.heads[k]._ask(7, volume)
+        limiter = self.put(k, s[1][k])
+        limiter.queued_units = DEPTH
+        requests = self.heads[k].rate_limits.request_units(VOLUME, limiter, self.now)
         ways = [
-            (k, to, a.body)
-            for a in self.heads[k].acts
-            if isinstance(a, SendPeerMessage)
+            (k, to, message.body)
+            for message in requests
             for to in range(len(self.heads))
-            if to != k and a.gateway_id in (None, to)
+            if to != k and message.gateway_id in (None, to)
         ]
         return s[0], s[1], tuple(sorted((*s[2], *ways))), s[3], s[4] + 1, s[5]
 
@@ -134,11 +144,11 @@
         sender, to, body = s[2][n]
         rest = s[2][:n] + s[2][n + 1 :]
         self.put(to, s[1][to])
-        self.heads[to]._on_peer(PeerMessage(sender, body))
+        actions = self.heads[to].handle(self.now, PeerMessage(sender, body))
         ways = [
-            (to, a.gateway_id, a.body)
-            for a in self.heads[to].acts
-            if isinstance(a, SendPeerMessage) and a.gateway_id is not None
+            (to, action.gateway_id, action.body)
+            for action in actions
+            if isinstance(action, SendPeerMessage) and action.gateway_id is not None
         ]
         heads = (*s[1][:to], self.take(to), *s[1][to + 1 :])
         return s[0], heads, tuple(sorted((*rest, *ways))), s[3], s[4], s[5]
@@ -149,8 +159,8 @@
         return s[0], heads, s[2], round(s[3] - level, 6), s[4], s[5]
 
     def restarts(self, s: State, k: int) -> State:
-        volume = self._begin(self.heads[k], k)
-        self.heads[k]._fill(volume)
+        limiter = self._begin(k)
+        self.heads[k].rate_limits.refill(limiter, self.now)
         return s[0], (*s[1][:k], self.take(k), *s[1][k + 1 :]), s[2], s[3], s[4], s[5] + 1
 
     def after(self, s: State, steps: int, askings: int, restarts: int) -> Iterator[State]:
@@ -171,18 +181,14 @@
     def wrong(self, s: State) -> str:
         on_way = 0.0
         for _, _, body in s[2]:
-            what, _, units, asked = self.heads[0].handle.__globals__["_PEER"].unpack(body)
-            late = int((100.0 + s[0] * STEP) * 1000) - asked
-            on_way += units if what == 2 and late < AIM * 950 else 0.0
+            message = TransferMessage.decode(body)
+            assert message is not None
+            late = int((100.0 + s[0] * STEP) * 1000) - message.requested_at_ms
+            on_way += message.units if message.kind == TransferKind.GRANT and late < AIM * 950 else 0.0
         has = sum(level for level, _ in s[1]) + on_way
         return "" if has <= s[3] + 1e-3 else f"step {s[0]}: heads have {has:.3f}, the limit {s[3]:.3f}"
 
 
-def made_job(head: Any, request: Request) -> Any:
-    kind = head.handle.__globals__["_Job"]
-    return kind(request, head.s.classes[0], head.s.plans[0], 0.0, 0.0, 1)
-
-
 def walk(
     heads: int = 2, steps: int = 4, askings: int = 2, restarts: int = 1, mistake: str = "", most: int = 200_000
 ) -> tuple[int, str]:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -71,7 +71,7 @@
             while self.queue and self.done >= MEAN:
                 self.done -= MEAN
                 head, ident = self.queue.popleft()
-                if ident in head.control.jobs:
+                if ident in head.control.requests:
                     head.answer(ident)
             for k, head in enumerate(self.heads):
                 while self.taken[k] < len(head.sends):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -50,7 +50,7 @@
     """More than it has is asked of it at one stroke; what it says to the others."""
     h.told.clear()
     for _ in range(6):
-        h.ask(1, units=3.0, heads=h.control.s.gateway_count)
+        h.ask(1, units=3.0, heads=h.control.settings.gateway_count)
     return [a.body for a in h.told]
 
 
@@ -68,14 +68,13 @@
 
     def had() -> float:
         """What has come in all, whether or not it has been used."""
-        return lead.control.volumes[1].level + sum(lead.asked[s.id] for _, s in lead.sends)
+        return lead.control.rate_limits.limiters[1].tokens + sum(lead.asked[s.id] for _, s in lead.sends)
 
     before = had()
     lead.give(PeerMessage(1, lent[0]))
     assert had() > before  # in time it is of use
     lead.run(lead.now + 0.5)
-    lead.control.now = lead.now
-    lead.control._fill(lead.control.volumes[1])
+    lead.control.rate_limits.refill(lead.control.rate_limits.limiters[1], lead.now)
     before = had()
     for k, late in enumerate(lent[1:], 2):
         lead.give(PeerMessage(k, late))
@@ -85,22 +84,22 @@
 def test_a_lender_fills_up_only_once_what_it_lent_can_not_be_on_its_way() -> None:
     lead, idle, *_ = fleet(6)
     assert lends(idle, lead.now, wants(lead)[0])
-    volume = idle.control.volumes[1]
-    lent = 8.0 - volume.level
+    limiter = idle.control.rate_limits.limiters[1]
+    lent, now = 8.0 - limiter.tokens, idle.control.now
     assert lent >= 1
     for wait, most in ((0.35, 8.0 - lent), (5.0, 8.0)):
-        idle.control.now += wait
-        idle.control._fill(volume)
-        assert volume.level == pytest.approx(most)
+        now += wait
+        idle.control.rate_limits.refill(limiter, now)
+        assert limiter.tokens == pytest.approx(most)
 
 
 def test_heads_that_are_known_to_take_part_are_asked_and_not_all() -> None:
     h = Head(make_settings(plans=(LIMITED,), gateway_count=50, has_peer_messages=True))
     h.ask(1, units=4.0, heads=6)  # asks all once, as it knows nobody
     h.give(VolumeParticipants(1, (0, 7, 9)))
-    assert h.control.volumes[1].lenders == {7, 9}
+    assert h.control.rate_limits.limiters[1].lenders == {7, 9}
     h.told.clear()
     h.run(h.now + 0.2)
     assert {a.gateway_id for a in h.told} == {7, 9}
     h.give(VolumeParticipants(2, (3,)))  # of a volume that it does not serve
-    assert 2 not in h.control.volumes
+    assert 2 not in h.control.rate_limits.limiters
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable
 
-from fawnspool.scheduling import scheduler
+from fawnspool.scheduling.concurrency import INITIAL_LIMIT_REQUESTS
+from fawnspool.scheduling.fair_queue import IDLE_VOLUME_S, MAX_RUN_REQUESTS
 from fawnspool.scheduling.interface import RejectRequest, Result
 from tests.conftest import Head, make_class, make_plan
 
@@ -41,7 +42,7 @@
 
 def test_volume_with_slow_answers_gets_fewer_turns(head: Callable[..., Head]) -> None:
     h = head(classes=LONG).warm()
-    h.control.lanes[0].bound = 1.0
+    h.control.node_queues[0].concurrency.limit = 1.0
     owner = fill(h, {1: 0, 2: 0}, 60)
     order = drain(h, lambda i: 0.2 if owner[i] == 1 else 0.05, 50)
     slow = sum(owner[i] == 1 for i in order[10:50])
@@ -65,26 +66,30 @@
     fill(h, {1: 0}, 6)
     drain(h, lambda _: 0.05, 4)
     h.ask(2, patience=60.0)
-    flows = h.control.lanes[0].flows
-    assert flows[2].tag >= h.now
+    volumes = h.control.node_queues[0].queue.volumes
+    assert volumes[2].start_tag >= h.now
 
 
 def test_least_active_tag_is_now_after_a_completion(head: Callable[..., Head]) -> None:
     h = head(classes=LONG).warm()
     fill(h, {1: 0, 2: 0, 3: 0}, 4)
     drain(h, lambda _: 0.05, 5)
-    tags = [f.tag for f in h.control.lanes[0].flows.values() if f.queue or f.out]
+    tags = [
+        volume.start_tag
+        for volume in h.control.node_queues[0].queue.volumes.values()
+        if volume.requests or volume.in_flight
+    ]
     assert min(tags) == h.now
 
 
 def test_requests_of_the_last_extent_go_first_up_to_the_run_limit(head: Callable[..., Head]) -> None:
     h = head(classes=LONG).warm()
-    h.control.lanes[0].bound = 1.0
-    run = [h.ask(1, extent=7, patience=60.0) for _ in range(scheduler.RUN_LIMIT + 3)]
+    h.control.node_queues[0].concurrency.limit = 1.0
+    run = [h.ask(1, extent=7, patience=60.0) for _ in range(MAX_RUN_REQUESTS + 3)]
     other = [h.ask(2, extent=9, patience=60.0) for _ in range(2)]
-    order = drain(h, lambda _: 0.05, scheduler.RUN_LIMIT + 1)
-    assert order[: scheduler.RUN_LIMIT] == run[: scheduler.RUN_LIMIT]
-    assert order[scheduler.RUN_LIMIT] == other[0]
+    order = drain(h, lambda _: 0.05, MAX_RUN_REQUESTS + 1)
+    assert order[:MAX_RUN_REQUESTS] == run[:MAX_RUN_REQUESTS]
+    assert order[MAX_RUN_REQUESTS] == other[0]
 
 
 def test_bound_holds_and_shrinks_on_full_but_never_below_one(head: Callable[..., Head]) -> None:
@@ -93,7 +98,7 @@
     assert h.sent() == ids[:2]
     for _ in range(5):
         h.answer(h.sent()[-1], Result.OVERLOADED)
-    assert h.control.lanes[0].bound == 1.0
+    assert h.control.node_queues[0].concurrency.limit == 1.0
 
 
 def test_bound_shrinks_when_answers_come_late_and_grows_when_early(head: Callable[..., Head]) -> None:
@@ -103,10 +108,10 @@
             h.ask(1, patience=60.0)
             h.ask(2, patience=60.0)
             h.now += took
-            while h.control.lanes[0].out:
-                h.answer(next(iter(h.control.lanes[0].out))[0])
-    assert int(slow.control.lanes[0].bound) == 1
-    assert fast.control.lanes[0].bound > scheduler.START_BOUND
+            while h.control.node_queues[0].in_flight:
+                h.answer(next(iter(h.control.node_queues[0].in_flight))[0])
+    assert int(slow.control.node_queues[0].concurrency.limit) == 1
+    assert fast.control.node_queues[0].concurrency.limit > INITIAL_LIMIT_REQUESTS
 
 
 def test_new_objects_spread_and_avoid_the_longer_queue(head: Callable[..., Head]) -> None:
@@ -132,7 +137,7 @@
 def test_idle_node_is_sent_to_however_late_it_looks(head: Callable[..., Head]) -> None:
     """Kochi, two slowed nodes: a stale mean must not refuse all, or the node is never found well again."""
     h = head()
-    h.control.lanes[0].response = 30.0
+    h.control.node_queues[0].response_times.mean_s = 30.0
     assert h.ask(1) in h.sent()
 
 
@@ -150,8 +155,8 @@
 def test_idle_volumes_leave_the_tables(head: Callable[..., Head]) -> None:
     h = head()
     h.answer(h.ask(1))
-    h.run(h.now + 2 * scheduler.IDLE_S)
+    h.run(h.now + 2 * IDLE_VOLUME_S)
     h.ask(2)
     h.run(h.now + 1)
-    assert set(h.control.volumes) == {2}
-    assert set(h.control.lanes[0].flows) == {2}
+    assert set(h.control.rate_limits.limiters) == {2}
+    assert set(h.control.node_queues[0].queue.volumes) == {2}
--- a/tests/test_model_compare.py
+++ b/tests/test_model_compare.py
@@ -83,10 +83,13 @@
 def test_versions_are_loaded_apart(tmp_path: Path) -> None:
     own, digest = load()
     assert own is not Scheduler and digest == load()[1]
-    other, changed = load("", {"BOUND_ALL": 3})
+    other, changed = load("", {"MAX_REQUESTS_AT_NODE": 3})
     assert changed != digest
-    assert other(make_settings(), 1).most < own(make_settings(), 1).most == Scheduler(make_settings(), 1).most
-    with pytest.raises(VersionError, match=r"has no number NOPE; numbers: .*BOUND_ALL"):
+    own_limit = own(make_settings(), 1).max_limit
+    assert other(make_settings(), 1).max_limit < own_limit == Scheduler(make_settings(), 1).max_limit
+    former, _ = load("", {"BOUND_ALL": 3})  # the constant's name up to build d5787bd
+    assert former(make_settings(), 1).max_limit == other(make_settings(), 1).max_limit
+    with pytest.raises(VersionError, match=r"has no number NOPE; numbers: .*MAX_REQUESTS_AT_NODE"):
         load("", {"NOPE": 1})
     with pytest.raises(VersionError, match=r"there is no scheduler\.py and no control\.py"):
         load(str(tmp_path))
@@ -96,6 +99,13 @@
         load(str(tmp_path))
 
 
+def patched(module: str, right: str, wrong: str) -> str:
+    """The text of a module of the decisions with one place changed."""
+    text = (ROOT / "fawnspool/scheduling" / module).read_text()
+    assert text.count(right) == 1
+    return text.replace(right, wrong)
+
+
 def test_a_version_with_another_interface_is_told_in_its_own_terms(tmp_path: Path) -> None:
     package = tmp_path / "fawnspool/scheduling"
     shutil.copytree(ROOT / "fawnspool/scheduling", package)
@@ -103,13 +113,9 @@
     terms = Path(interface.__file__).read_text()
     assert line in terms
     terms = terms.replace(line, "")
-    control = (
-        (package / "scheduler.py")
-        .read_text()
-        .replace("spent = max(0.0, cls.deadline_s - req.timeout_s) if req.is_client_retry else 0.0", "spent = 0.0")
-    )
+    spent = "max(0.0, request_class.deadline_s - request.timeout_s) if request.is_client_retry else 0.0"
     (package / "interface.py").write_text(terms)
-    (package / "scheduler.py").write_text(control)
+    (package / "admission.py").write_text(patched("admission.py", spent, "0.0"))
     wheel = tmp_path / "old.whl"
     with zipfile.ZipFile(wheel, "w") as file:
         for module in package.glob("*.py"):
@@ -163,15 +169,8 @@
 
 
 def test_a_broken_rule_comes_first_with_the_run_that_shows_it(tmp_path: Path) -> None:
-    control = (
-        (ROOT / "fawnspool/scheduling/scheduler.py")
-        .read_text()
-        .replace(
-            "limited = not job.tries and job.plan.rate_limit and self._volume(job).level < job.req.units",
-            "limited = False",
-        )
-    )
-    (tmp_path / "scheduler.py").write_text(control)
+    limited = "self._limiter(request).tokens < request.request.units"
+    (tmp_path / "scheduler.py").write_text(patched("scheduler.py", limited, "False"))
     day = short("plan-burst")
     day = replace(
         day,
--- a/tests/test_model_kept.py
+++ b/tests/test_model_kept.py
@@ -112,7 +112,9 @@
 
 def test_kept_by_command_listed_shown_reported_and_played_again(tmp_path: Path) -> None:
     day, store = small(tmp_path), str(tmp_path / "store")
-    came = run("model", "compare", "--days", str(day), "--runs", "2", "--const-b", "BOUND_ALL=3", "--keep", store)
+    came = run(
+        "model", "compare", "--days", str(day), "--runs", "2", "--const-b", "MAX_REQUESTS_AT_NODE=3", "--keep", store
+    )
     assert came.exit_code == 0 and "kept as" in came.output, came.output
     ident = next(Path(store).glob("*.json")).stem
     listed = json.loads(run("model", "list", "--store", store, "--json").output)
@@ -292,7 +294,7 @@
         str(day),
         "",
         "--const",
-        "BOUND_ALL=64",
+        "MAX_REQUESTS_AT_NODE=64",
         "--length",
         "20",
         "--heads",
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -63,7 +63,7 @@
 def test_late_repeat_is_refused_at_once_where_others_wait(head: Callable[..., Head]) -> None:
     """Brasov incident of a surge with retries: late repeats took places from what could be in time."""
     h = head().warm()
-    while not h.control.lanes[0].held:
+    while not h.control.node_queues[0].queue.queued:
         h.ask(1)
     assert isinstance(h.ends[h.ask(2, patience=2.0, repeat=True)], RejectRequest)
 
@@ -83,7 +83,7 @@
     h.run(h.now + 5)
     assert c not in h.sent()
     assert h.tries[a] == 1
-    assert not h.ends and not h.control.jobs
+    assert not h.ends and not h.control.requests
 
 
 # --------------------------------------------------------------------- effects
@@ -206,8 +206,8 @@
             h.run(start + step * 0.1)
             for _ in range(rate):
                 h.ask(step % 3, units=units)
-            while h.sends and h.sends[-1][1].id in h.control.jobs and h.control.lanes[0].out:
-                h.answer(next(iter(h.control.lanes[0].out))[0])
+            while h.sends and h.sends[-1][1].id in h.control.requests and h.control.node_queues[0].in_flight:
+                h.answer(next(iter(h.control.node_queues[0].in_flight))[0])
     for end in range(60):
         window = start + end * 0.1
         capacity = 1 + 3 * max(0.0, window - 2 - start) / 10
@@ -223,7 +223,7 @@
         if h.sent()[-1] in h.ends:
             h.ask(1)
     h.answer(h.sent()[-1])
-    assert h.control.lanes[0].born is not None
+    assert h.control.node_queues[0].slow_start.started_at is not None
 
 
 def test_single_resets_at_a_live_node_do_not_ban_it(head: Callable[..., Head]) -> None:
@@ -233,7 +233,7 @@
         ident = h.ask(1)
         h.answer(ident, Result.RESET)
         h.answer(ident)
-    assert h.control.lanes[0].sound() and h.control.lanes[0].born is None
+    assert h.control.node_queues[0].is_available() and h.control.node_queues[0].slow_start.started_at is None
 
 
 def test_breaks_of_kept_connections_are_no_signs_and_those_of_new_ones_are(head: Callable[..., Head]) -> None:
@@ -242,18 +242,18 @@
         for _ in range(3):
             ident = h.ask(1, cell=0)
             h.answer(ident, Result.RESET, final=True, kept=kept)
-        assert h.control.lanes[0].sound() is kept
+        assert h.control.node_queues[0].is_available() is kept
 
 
 def test_silent_node_is_suspected_and_tried_again(head: Callable[..., Head]) -> None:
     h = head(classes=(make_class(latency_objective_s=1.0, deadline_s=20.0),))
     a = h.ask(1, patience=20.0)
     h.run(h.now + 2.0)
-    assert h.control.lanes[0].sound()  # one unanswered attempt is one sign
+    assert h.control.node_queues[0].is_available()  # one unanswered attempt is one sign
     h.run(h.now + 3.0)
-    assert not h.control.lanes[0].sound()
+    assert not h.control.node_queues[0].is_available()
     h.answer(a)
-    assert h.control.lanes[0].sound()
+    assert h.control.node_queues[0].is_available()
 
 
 # ---------------------------------------------------------------- order by key
@@ -297,7 +297,7 @@
     for k, result in enumerate(results):
         taken.append(h.now)
         h.ask(k % 3, cell=k % 2)
-        for ident in [i for i, job in h.control.jobs.items() if any(t.open for t in job.tries)][:1]:
+        for ident in [i for i, job in h.control.requests.items() if job.has_open_attempt()][:1]:
             h.answer(ident, result)
         h.run(h.now + 0.07)
     seen: set[int] = set()
@@ -342,7 +342,7 @@
         h = heads[who]
         marks = [len(x.sends) for x in heads]
         h.ask(1, cell=who % 2, units=units, heads=3)
-        told = [a for a in h.control.acts if isinstance(a, SendPeerMessage)]
+        told = [a for a in h.control.actions if isinstance(a, SendPeerMessage)]
         for tell in told if not lost else []:
             for k, peer in enumerate(heads):
                 if peer is not h and tell.gateway_id in (None, k):
@@ -350,8 +350,8 @@
                         if isinstance(back, SendPeerMessage):
                             h.give(PeerMessage(k, back.body))
         for x in heads:
-            for lane in x.control.lanes.values():
-                for ident, _ in list(lane.out):
+            for node_queue in x.control.node_queues.values():
+                for ident, _ in list(node_queue.in_flight):
                     x.answer(ident)
         drawn = 0.0
         for x, mark in zip(heads, marks, strict=True):
@@ -371,18 +371,18 @@
         h.run(h.now + 0.3)
         h.answer(ident)
         h.run(104.0)
-    before = idle.control.volumes[1].level
+    before = idle.control.rate_limits.limiters[1].tokens
     asked = []
     for _ in range(12):
         lead.ask(1, units=4.0, heads=2)
-        asked += [a for a in lead.control.acts if isinstance(a, SendPeerMessage)]
+        asked += [a for a in lead.control.actions if isinstance(a, SendPeerMessage)]
     assert asked
     lent = [a for tell in asked for a in idle.give(PeerMessage(0, tell.body)) if isinstance(a, SendPeerMessage)]
-    assert lent and idle.control.volumes[1].level < before + 20.0
+    assert lent and idle.control.rate_limits.limiters[1].tokens < before + 20.0
     sent = len(lead.sends)
     lead.give(PeerMessage(1, lent[0].body))
-    for lane in lead.control.lanes.values():
-        for ident, _ in list(lane.out):
+    for node_queue in lead.control.node_queues.values():
+        for ident, _ in list(node_queue.in_flight):
             lead.answer(ident)
     assert len(lead.sends) > sent
 
@@ -450,8 +450,8 @@
         h.run(h.now + pause)
     h.run(h.now + 4)
     for ident in owed.keys() - gone:
-        job = h.control.jobs.get(ident)
-        assert ident in h.ends or (job is not None and any(t.open for t in job.tries))
+        job = h.control.requests.get(ident)
+        assert ident in h.ends or (job is not None and job.has_open_attempt())
 
 
 def test_a_repeat_says_until_when_its_node_drops_it(head: Callable[..., Head]) -> None:
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -10,14 +10,14 @@
 
 def test_run_gets_one_place_more(head: Callable[..., Head]) -> None:
     h = head(classes=LONG).warm()
-    h.control.lanes[0].bound = 2.0
+    h.control.node_queues[0].concurrency.limit = 2.0
     run = [h.ask(1, extent=7, patience=60.0) for _ in range(4)]
     assert h.sent() == run[:3]
 
 
 def test_others_keep_to_the_bound(head: Callable[..., Head]) -> None:
     h = head(classes=LONG).warm()
-    h.control.lanes[0].bound = 2.0
+    h.control.node_queues[0].concurrency.limit = 2.0
     ids = [h.ask(1, extent=7 + k, patience=60.0) for k in range(4)]
     assert h.sent() == ids[:2]
-    assert head(classes=LONG).warm().control.lanes[0].run == 0
+    assert head(classes=LONG).warm().control.node_queues[0].queue.run_length == 0
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -2,10 +2,16 @@
 
 from __future__ import annotations
 
+from functools import partial
+
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.scheduling.scheduler import RUN_LIMIT, Scheduler, _Job, _Lane
+from fawnspool.scheduling import load_shedding
+from fawnspool.scheduling.fair_queue import MAX_RUN_REQUESTS
+from fawnspool.scheduling.node_queue import NodeQueue
+from fawnspool.scheduling.pending_request import PendingRequest
+from fawnspool.scheduling.scheduler import Scheduler
 from tests.conftest import Head, make_class, make_plan, make_settings
 
 STEPS = st.lists(
@@ -17,13 +23,34 @@
 )
 
 
-def long_way(control: Scheduler, lane: _Lane) -> _Job | None:
-    """All held requests in the order of tags, those of the last extent first: the first that may go."""
-    tags = sorted((f.tag + f.out * control._step(f, lane), v) for v, f in lane.active.items() if f.queue)
-    order = [job for _, volume in tags for job in lane.flows[volume].queue]
-    if 0 < lane.run < RUN_LIMIT:
-        order.sort(key=lambda job: job.here() != lane.extent)
-    return next((job for job in order if control._sendable(job, lane)), None)
+def next_request(scheduler: Scheduler, node_queue: NodeQueue) -> PendingRequest | None:
+    """The request that the node's queue would send next."""
+    may_send = partial(scheduler._may_send, node_queue)
+    return node_queue.queue.next(may_send, node_queue.mean_response_s())
+
+
+def long_way(scheduler: Scheduler, node_queue: NodeQueue) -> PendingRequest | None:
+    """All queued requests in the order of tags, those of the last extent first: the first that may go."""
+    queue, default_response_s = node_queue.queue, node_queue.mean_response_s()
+    tags = sorted(
+        (volume.start_tag + volume.in_flight * volume.tag_step_s(default_response_s), volume_id)
+        for volume_id, volume in queue.active.items()
+        if volume.requests
+    )
+    order = [request for _, volume_id in tags for request in queue.volumes[volume_id].requests]
+    if 0 < queue.run_length < MAX_RUN_REQUESTS:
+        order.sort(key=lambda request: request.extent_of_volume() != queue.last_extent)
+    return next((request for request in order if scheduler._may_send(node_queue, request)), None)
+
+
+def all_are_in_time(scheduler: Scheduler, node_queue: NodeQueue) -> bool:
+    done_in_s, mean_units = scheduler._done_in_s(node_queue), scheduler.settings.mean_units
+    return load_shedding.all_are_in_time(node_queue, done_in_s, mean_units, scheduler.now)
+
+
+def forecast(scheduler: Scheduler, node_queue: NodeQueue) -> load_shedding.Forecast:
+    done_in_s, mean_units = scheduler._done_in_s(node_queue), scheduler.settings.mean_units
+    return load_shedding.forecast(node_queue, done_in_s, mean_units, scheduler._tokens, scheduler.now)
 
 
 def build() -> Head:
@@ -45,33 +72,33 @@
         if h.sends and len(h.sends) % 3 == 0:
             ident = h.sends[0][1].id
             h.sends.rotate(-1)
-            if ident not in h.ends and any(t.open for t in getattr(h.control.jobs.get(ident), "tries", ())):
+            if ident not in h.ends and ident in h.control.requests and h.control.requests[ident].has_open_attempt():
                 h.answer(ident, took=0.02)
-        for lane in h.control.lanes.values():
-            assert h.control._next(lane) is long_way(h.control, lane)
-            if lane.held and h.control._all_in_time(lane):
-                assert all(done <= job.wanted + 1e-9 for job, done in h.control._forecast(lane))
+        for node_queue in h.control.node_queues.values():
+            assert next_request(h.control, node_queue) is long_way(h.control, node_queue)
+            if node_queue.queue.queued and all_are_in_time(h.control, node_queue):
+                assert all(done <= request.due_at + 1e-9 for request, done in forecast(h.control, node_queue))
 
 
 def test_forecast_is_spared_where_all_is_early() -> None:
     h = build()
-    lane = h.control.lanes[0]
-    lane.bound = 1.0
+    node_queue = h.control.node_queues[0]
+    node_queue.concurrency.limit = 1.0
     for _ in range(4):
         h.ask(0, units=1.0, patience=60.0)
-    assert lane.held == 3 and lane.units == 3.0
-    assert h.control._all_in_time(lane)
-    lane.response = 1.0
-    assert not h.control._all_in_time(lane)
+    assert node_queue.queue.queued == 3 and node_queue.queue.queued_units == 3.0
+    assert all_are_in_time(h.control, node_queue)
+    node_queue.response_times.mean_s = 1.0
+    assert not all_are_in_time(h.control, node_queue)
 
 
-def test_soonest_is_looked_up_again_when_what_was_soonest_has_left() -> None:
+def test_earliest_due_is_looked_up_again_when_the_request_that_had_it_has_left() -> None:
     h = build()
-    lane = h.control.lanes[0]
+    node_queue = h.control.node_queues[0]
     h.ask(0, units=1.0, patience=60.0)
-    lane.soonest = 0.0  # as if something long sent had been wanted earlier
-    lane.bound = 1.0
+    node_queue.queue.earliest_due_at = 0.0  # as if something long sent had been due earlier
+    node_queue.concurrency.limit = 1.0
     h.ask(0, units=1.0, patience=60.0)
-    lane.soonest = 0.0
-    assert lane.held == 1 and h.control._all_in_time(lane)
-    assert lane.soonest > h.now
+    node_queue.queue.earliest_due_at = 0.0
+    assert node_queue.queue.queued == 1 and all_are_in_time(h.control, node_queue)
+    assert node_queue.queue.earliest_due_at > h.now
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -21,6 +21,7 @@
     SendPeerMessage,
     UpdateKind,
 )
+from fawnspool.scheduling.pending_request import Rank
 from tests.conftest import Head, entry, make_class, make_plan, make_settings
 
 RESERVED = make_plan(reserved_rate=10.0)
@@ -79,7 +80,7 @@
 
 def test_a_held_request_has_its_answer_just_before_its_client_leaves() -> None:
     h = Head(make_settings())
-    while not h.control.lanes[0].held:
+    while not h.control.node_queues[0].queue.queued:
         h.ask(1)
     ident = h.ask(1, patience=0.1)
     left = h.now + 0.1
@@ -103,7 +104,7 @@
         h.run(h.now + 1.0)
         h.answer(ident, Result.TIMED_OUT, took=1.0)
         h.run(h.now + 6.0)
-    assert not h.control.lanes[0].sound()
+    assert not h.control.node_queues[0].is_available()
 
 
 def test_new_objects_shun_a_node_with_one_bad_sign() -> None:
@@ -121,7 +122,7 @@
     h = Head(make_settings(plans=(plan,), gateway_count=MANY))
     h.run(h.now + 10)
     assert h.ask(1, units=8.0, heads=20) in h.sent()
-    assert h.control.volumes[1].level == pytest.approx(2.0)
+    assert h.control.rate_limits.limiters[1].tokens == pytest.approx(2.0)
 
 
 def test_known_lenders_are_asked_two_at_a_time() -> None:
@@ -129,14 +130,14 @@
     plan = make_plan(rate_limit=20.0, rate_limit_burst=200.0, rate_limit_tolerance=8.0)
     h = Head(make_settings(plans=(plan,), gateway_count=50, has_peer_messages=True))
     h.ask(1, units=4.0, heads=20)
-    first = [a for a in h.control.acts if isinstance(a, SendPeerMessage)]
+    first = [a for a in h.control.actions if isinstance(a, SendPeerMessage)]
     assert [t.gateway_id for t in first] == [None]
     for peer in range(5, 15):
         h.give(PeerMessage(peer, b"\x02" + first[0].body[1:9] + b"\x3c\x00\x00\x00" + first[0].body[13:]))
-    assert len(h.control.volumes[1].lenders) == 10
+    assert len(h.control.rate_limits.limiters[1].lenders) == 10
     h.run(h.now + 0.2)
     h.ask(1, units=8.0, heads=20)
-    told = [t.gateway_id for t in h.control.acts if isinstance(t, SendPeerMessage)]
+    told = [t.gateway_id for t in h.control.actions if isinstance(t, SendPeerMessage)]
     assert len(told) == 2 and None not in told
 
 
@@ -203,14 +204,14 @@
         patience, repeat = 0.5 + volume / 100, k % 2 == 0
         h.give(Request(10_000 + k, k % 2, volume % 2, k % 3, patience, volume, 1.0, cell, count, repeat, False))
         h.give(PeerMessage(count, bytes([1 + k % 2]) + volume.to_bytes(8, "big") + b"\x7f\xc0\x00\x00" + bytes(4)))
-        for ident, job in list(h.control.jobs.items())[:2]:
-            for n, attempt in enumerate(job.tries):
-                if attempt.open:
+        for ident, job in list(h.control.requests.items())[:2]:
+            for n, attempt in enumerate(job.attempts):
+                if attempt.is_open:
                     h.give(Outcome(ident, n, attempt.node, wild, result, False, count, wild, (wild,)))
         h.run(h.now + 0.05)
     h.run(h.now + 60)
-    assert not [job for job in h.control.jobs.values() if not any(t.open for t in job.tries)]
-    assert len(h.control.volumes) <= 500
+    assert not [job for job in h.control.requests.values() if not job.has_open_attempt()]
+    assert len(h.control.rate_limits.limiters) <= 500
 
 
 def test_a_looks_work_follows_what_is_held_or_out(head: Callable[..., Head]) -> None:
@@ -230,5 +231,5 @@
     for h in fleet:
         for _ in range(10):
             ident = h.ask(1, units=1.0, heads=20)
-            inside += h.control.jobs[ident].rank == 0
+            inside += h.control.requests[ident].rank is Rank.WITHIN_RESERVE
     assert inside <= 10.0 + 8.0 + len(fleet)  # a second of it, a largest request, and what parts round up
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -250,9 +250,9 @@
     request = interface.Request(8, 0, 0, 0, 2.0, 9, 2.0, 2, 1, False, False)
     host.batch(1.0, [*up, (4, wire.Start(2, CONF))])
     host.batch(1.1, [(3, request)])
-    assert 8 in host.heads[3].jobs and not host.heads[4].jobs
+    assert 8 in host.heads[3].requests and not host.heads[4].requests
     host.batch(1.2, [(3, wire.Stop()), *up])
-    assert not host.heads[3].jobs
+    assert not host.heads[3].requests
     assert host.batch(1.3, [(5, interface.Timer(0))]) == []
 
 
