--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -121,11 +121,11 @@
 
     def _handle(self, event: Any) -> None:
         now, began, error = time.monotonic(), time.perf_counter(), ""
-        before = getattr(self.module, "acts", None)
+        before = getattr(self.module, "actions", None)
         try:
             actions = self.module.handle(now, event)
         except Exception as bad:
-            asked = getattr(self.module, "acts", None)  # of this event, if it came so far as to begin a new list
+            asked = getattr(self.module, "actions", None)  # of this event, if it came so far as to begin a new list
             actions = list(asked) if asked is not None and asked is not before else []
             error = f"{type(bad).__name__}: {bad}"
             self.metrics.module_errors += 1
--- a/fawnspool/model/versions.py
+++ b/fawnspool/model/versions.py
@@ -228,13 +228,13 @@
 
     class Bridged:
         def __init__(self, settings: Any, seed: int) -> None:
-            self.inner, self.acts = policy(there(settings), seed), list[Any]()
+            self.inner, self.actions = policy(there(settings), seed), list[Any]()
 
         def handle(self, now: float, event: Any) -> list[Any]:
             if _type_in(other, type(event)) is None:
                 return []
-            self.acts = [_converted(action, interface) for action in self.inner.handle(now, there(event))]
-            return self.acts
+            self.actions = [_converted(action, interface) for action in self.inner.handle(now, there(event))]
+            return self.actions
 
         def __getattr__(self, name: str) -> Any:
             return getattr(self.inner, name)
--- a/fawnspool/records/decision_recording.py
+++ b/fawnspool/records/decision_recording.py
@@ -269,12 +269,12 @@
     recording, out = open_recording(path), Replay()
     module = make(recording.policy, recording.settings, recording.seed)
     for now, event, actions, error in recording.frames:
-        told, before = read_event(event), getattr(module, "acts", None)
+        told, before = read_event(event), getattr(module, "actions", None)
         try:
             got = [action_row(a) for a in module.handle(now, told)]
             raised = ""
         except Exception as bad:  # what it had asked for until then counts, as in the head's loop
-            asked = getattr(module, "acts", None)
+            asked = getattr(module, "actions", None)
             got = [action_row(a) for a in asked] if asked is not None and asked is not before else []
             raised = f"{type(bad).__name__}: {bad}"
         out.events += 1
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from pathlib import Path
+from unittest.mock import Mock
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
+from fawnspool.gateway.event_loop import Loop
 from fawnspool.records.decision_recording import (
     ACTIONS,
     EVENTS,
@@ -23,6 +25,7 @@
 from fawnspool.records.frames import MAGIC, Reader, RecordingError, Writer
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
+from fawnspool.telemetry.sums import Sums
 from tests.conftest import Head, make_settings
 
 
@@ -81,10 +84,10 @@
 
 def test_a_raising_module_is_recorded_and_replayed(tmp_path: Path) -> None:
     class Raises:
-        acts: tuple[interface.Action, ...] = (interface.Log("of an earlier event"),)
+        actions: tuple[interface.Action, ...] = (interface.Log("of an earlier event"),)
 
         def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-            self.acts = (interface.Log("before it"),)
+            self.actions = (interface.Log("before it"),)
             raise ValueError("no")
 
     recorder = Recorder(tmp_path / "r.mrec", "module", make_settings(), 1, "")
@@ -94,6 +97,33 @@
     assert replay(tmp_path / "r.mrec", make).differs
 
 
+class RaisesAfterItsActions(Scheduler):
+    """A scheduler of today that raises once it has decided."""
+
+    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
+        super().handle(now, event)
+        raise ValueError("no")
+
+
+def test_what_a_scheduler_decided_before_it_raised_is_replayed(tmp_path: Path) -> None:
+    update = interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, ())
+    decided = Scheduler(make_settings(), 1).handle(1.0, update)
+    assert decided
+    recorder = Recorder(tmp_path / "r.mrec", "module", make_settings(), 1, "")
+    recorder.note(1.0, update, decided, "ValueError: no")
+    recorder.close()
+    assert replay(tmp_path / "r.mrec", lambda name, settings, seed: RaisesAfterItsActions(settings, seed)).differs == ""
+
+
+def test_what_a_scheduler_decided_before_it_raised_is_carried_out() -> None:
+    update = interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, ())
+    carried_out: list[interface.Action] = []
+    scheduler = RaisesAfterItsActions(make_settings(), 1)
+    loop = Loop(scheduler, {interface.FetchEndpoints: carried_out.append}, Sums(), Mock(), lambda event: None)
+    loop._handle(update)
+    assert carried_out == Scheduler(make_settings(), 1).handle(1.0, update)
+
+
 @given(st.integers(1, 400))
 def test_a_torn_tail_is_read_up_to_the_tear(cut: int) -> None:
     import tempfile
