--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -25,10 +25,12 @@
 from fawnspool.gateway.gateway import Head
 from fawnspool.gateway.request_state import Answer, Body, Kind, Pending
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.http import Head as MessageHead
-from fawnspool.net.http import Limits
-from fawnspool.net.node_headers import MOVED, read_moved, target
-from fawnspool.net.server import Exchange, Server, address
+from fawnspool.net.http import MessageLimits, RequestHead
+from fawnspool.net.listener import parse_address
+from fawnspool.net.node_headers import MOVED_HEADER, object_target, parse_moved
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
+from fawnspool.net.server_options import ServerCallbacks, ServerOptions
 
 KEY_MOST = 300
 _JSON = (b"Content-Type", b"application/json")
@@ -69,17 +71,18 @@
         self.head, self.config = head, head.config
         c: HeadConfig = head.config
         self.server = Server(
-            address(c.head.listen),
+            parse_address(c.head.listen),
             self.handle,
-            limits=Limits(c.clients.header_bytes, c.clients.headers),
-            idle_close=c.clients.idle_close,
-            piece_timeout=c.clients.request_timeout,
-            most=c.clients.connections,
-            on_error=self._error,
-            on_bad=self._bad,
-            listener=listener,
-            turn=c.clients.turn,
-            due=self._due,
+            ServerOptions(
+                MessageLimits(c.clients.header_bytes, c.clients.headers),
+                idle_timeout_s=c.clients.idle_close,
+                first_request_timeout_s=c.clients.idle_close,
+                read_timeout_s=c.clients.request_timeout,
+                max_connections=c.clients.connections,
+                max_starts_per_turn=c.clients.turn or None,
+            ),
+            ServerCallbacks(on_error=self._error, on_rejected=self._bad, start_deadline=self._due),
+            listener,
         )
         names = [k.name for k in c.class_]
         self.default_read, self.default_write = 0, min(1, len(names) - 1)
@@ -164,7 +167,7 @@
             raise ApiError(400, "unknown-class", f"Fawn-Class is one of: {', '.join(self.head.classes)}")
         return found
 
-    def _due(self, head: MessageHead, came: float) -> float:
+    def _due(self, head: RequestHead, came: float) -> float:
         """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
         raw = head.headers.get(b"fawn-patience-ms", b"")
         most = int(raw) / 1000 if raw.isdigit() and len(raw) <= 9 else self.config.clients.request_timeout
@@ -174,7 +177,7 @@
         """All headers read before anybody else is asked anything; when the answer must have left (monotonic)."""
         for name in (b"fawn-op", b"idempotency-key"):
             self._token(exchange, name)
-        deadline = exchange.came + self._patience(exchange, cls)
+        deadline = exchange.arrived_at + self._patience(exchange, cls)
         if deadline <= time.monotonic():
             raise ApiError(503, "refused", "its time was up when its turn came: nothing was done for it")
         return deadline
@@ -225,12 +228,12 @@
             volume=volume,
             cls=cls,
             method=method,
-            target=target(volume, key) + query,
+            target=object_target(volume, key) + query,
             forward=[(n, h[n]) for n in _FORWARD if n in h],
             body=body,
             exchange=exchange,
             patience=self._patience(exchange, cls),
-            came=exchange.came,
+            came=exchange.arrived_at,
             units=self._units(size),
             cell=cell,
             extent=xxhash.xxh3_64_intdigest(name) or 1,
@@ -259,7 +262,7 @@
 
     def _drain_body(self, exchange: Exchange) -> None:
         for _ in exchange.body():
-            if exchange.seen > 65536:
+            if exchange.body_bytes > 65536:
                 raise ApiError(400, "body", "this request takes no body")
 
     def _get(self, exchange: Exchange, volume: str, key: str) -> None:
@@ -321,7 +324,7 @@
             if pending.kind is not Kind.SERVED or answer is None or answer.status not in (421, 425):
                 return pending
             self.head.finished(pending, "moved")
-            to = read_moved(answer.headers.get(MOVED)) if answer.status == 421 else None
+            to = parse_moved(answer.headers.get(MOVED_HEADER)) if answer.status == 421 else None
             if to is not None:
                 place = self.head.places.moved(volume, key, *to)
             pause = self.head.places.stale.redirect_pause_s(
@@ -354,11 +357,11 @@
         pending = self._followed(exchange, volume, key, place or (-1, 0), submit, cls, once=body.rest is not None)
         answer = pending.answer
         if pending.kind is Kind.SERVED and answer is not None and answer.status in (200, 201):
-            self.head.metrics.bytes_in += exchange.seen
+            self.head.metrics.bytes_in += exchange.body_bytes
             new = head.headers.get(b"if-none-match", b"").strip() == b"*"
             try:
                 until = pending.deadline + self.config.clients.answer_margin / 2
-                if not self.head.places.note(volume, key, pending.cell, exchange.seen, new, until, sent_at):
+                if not self.head.places.note(volume, key, pending.cell, exchange.body_bytes, new, until, sent_at):
                     pending.answer = Answer(412, {})
             except PlacesError as bad:
                 self.head.log.error("written, but its place can't be noted", volume=volume, key=key, error=str(bad))
@@ -373,7 +376,7 @@
         largest = self.config.clients.largest_body
         pieces = exchange.body()
         start, size = list[bytes](), 0
-        if not head.expects:
+        if not head.expects_continue:
             for piece in pieces:
                 start.append(piece)
                 size += len(piece)
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -13,7 +13,7 @@
 from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
 from fawnspool.gateway.lease_runner import terms_of
 from fawnspool.gateway.leased_work import PAUSE, RELEASE
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
 
 
 class _Duties:
@@ -26,7 +26,7 @@
         self.lease = config.duties.lease
         self.kinds = [d.name for d in config.duties.duty]
         self.names = terms_of(config.duties, config.head.heads).names
-        self.places = MapClient(address(config.catalogue.address), config.catalogue.call_timeout)
+        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
 
     def wishes(self) -> Wishes:
         with reached():
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -15,9 +15,9 @@
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.leased_work import DRAIN
 from fawnspool.gateway.migrator import Mover
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
 
 
 class _Fleet:
@@ -28,20 +28,25 @@
         if config.embedded is not None:
             fail(f"{config_file}: a head with embedded nodes has its map inside; nothing can be moved from here")
         self.volumes = {v.name for v in config.volume}
-        self.places = MapClient(address(config.catalogue.address), config.catalogue.call_timeout)
+        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
         self.nodes = self._listed(config.list.address, config.list.call_timeout)
         self.drains = config.duties is not None and any(d.name == "drain" for d in config.duties.duty)
 
     def _listed(self, where: str, timeout: float) -> dict[int, tuple[str, int]]:
         """Addresses by cell, of the nodes that take work."""
         try:
-            status, data = call(Pool(address(where), 1, timeout, 1.0), b"GET", b"/list", time.monotonic() + timeout)
+            status, data = call(
+                ConnectionPool(parse_address(where), PoolOptions(1, timeout, 1.0)),
+                b"GET",
+                b"/list",
+                time.monotonic() + timeout,
+            )
             if status.code != 200:
                 fail(f"the node list at {where} answered {status.code}", UNREACHED)
             rows = msgspec.json.decode(data, type=Told).entries
         except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
-        return {r.cell: address(r.address) for r in rows if r.phase != "gone"}
+        return {r.cell: parse_address(r.address) for r in rows if r.phase != "gone"}
 
     def fact(self, volume: str, key: str) -> ExtentRecord:
         if volume not in self.volumes:
--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -12,7 +12,7 @@
 
 from fawnspool.cli.common import EXIT_CODES, fail
 from fawnspool.model.node import NodeTraits
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
 from fawnspool.records.frames import Writer
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.meter import MeterClient, MeterServer
@@ -31,7 +31,7 @@
 
 def _where(text: str) -> tuple[str, int]:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError:
         fail(f"expected an address such as 127.0.0.1:7001, found {text!r}")
 
--- a/fawnspool/cli/status.py
+++ b/fawnspool/cli/status.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from fawnspool.cli.common import EXIT_CODES, UNREACHED, fail, print_json, table
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
 
 
 def status_of(where: str) -> dict[str, Any]:
     """What the head at `where` says of itself. Ends the command where it can't be reached."""
     try:
-        pool = Pool(address(where), 1, 2.0, 1.0)
+        pool = ConnectionPool(parse_address(where), PoolOptions(1, 2.0, 1.0))
         status, body = call(pool, b"GET", b"/-/status", time.monotonic() + 2.0)
         said: dict[str, Any] = msgspec.json.decode(body, type=dict)
     except ValueError:
--- a/fawnspool/drill/fleet.py
+++ b/fawnspool/drill/fleet.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent.subprocess import Popen
 
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
 
@@ -113,7 +113,7 @@
 
 def post(port: int, target: str, value: Any) -> None:
     """A control call to a stand-in. Raises DrillError."""
-    pool = Pool(("127.0.0.1", port), 1, 1.0, 1.0)
+    pool = ConnectionPool(("127.0.0.1", port), PoolOptions(1, 1.0, 1.0))
     try:
         status, body = call(pool, b"POST", target.encode(), time.monotonic() + 2.0, json.dumps(value).encode())
     except (ConnectError, ConnectionLostError, HttpError, TimeoutError) as bad:
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -1,15 +1,16 @@
-"""Carries out one `Send`: connection, request, answer; says how it ended. Chooses nothing."""
+"""Carries out one `Send`: connection, request, response; tells how it ended. Chooses nothing."""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 from typing import Protocol
 
-from fawnspool.gateway.attempt_results import Ending
+from fawnspool.gateway.attempt_results import AttemptEnding
 from fawnspool.gateway.request_state import Answer, Attempt, Pending, State
-from fawnspool.net.client import Link, Pool
+from fawnspool.net.client_connection import ClientConnection
+from fawnspool.net.connection_pool import ConnectionPool
 from fawnspool.net.exceptions import (
     ClientDisconnectedError,
     ConnectError,
@@ -20,237 +21,335 @@
     PoolExhaustedError,
     TrailingDataError,
 )
-from fawnspool.net.http import Status
+from fawnspool.net.http import LAST_CHUNK, ResponseHead, format_chunk
 
+_STREAMED_STATUSES = (200, 206)
+# Endings before any byte of a response: connections that lay idle longer than this one are not trusted either.
+_DISTRUST_OLDER = frozenset((AttemptEnding.RESET, AttemptEnding.CLOSED, AttemptEnding.UNWRITTEN_RESET))
 
-@dataclass(slots=True)
-class Heard:
-    """What an answer tells of its node. used: the volume's whole use as a share of its rate; None: no figure."""
 
-    others: int = 0
-    used: float | None = None
+@dataclass(slots=True)
+class NodeFeedback:
+    """What a response tells of its node.
+
+    Attributes
+    ----------
+    served_elsewhere
+        Units served of the volume for other gateways.
+    volume_use
+        The volume's use everywhere, as a fraction of its rate; None: no figure.
+    load
+        The node's load report, in the order of the settings.
+    """
+
+    served_elsewhere: int = 0
+    volume_use: float | None = None
     load: tuple[float, ...] = ()
 
 
-class Speech(Protocol):
-    """How the nodes of an edge are spoken to; without I/O."""
+class NodeProtocol(Protocol):
+    """How the nodes behind a gateway are spoken to; without I/O.
+
+    Attributes
+    ----------
+    max_buffered_bytes
+        Bytes of a response body that is held whole.
+    streams_large
+        Whether a larger one is passed on as it comes.
+    """
 
-    hold_most: int  # bytes of an answer that is held whole
-    streams: bool  # may a larger one be passed on as it comes?
+    max_buffered_bytes: int
+    streams_large: bool
 
-    def head(self, pending: Pending, attempt: Attempt) -> bytes:
-        """The head of the request to the node."""
+    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
+        """Return the head of the request to the node."""
 
-    def told(self, pending: Pending, status: Status) -> Heard:
-        """What the answer's headers tell. Raises ValueError where that spoils the answer."""
+    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+        """Return what the response's headers tell. Raises ValueError where that spoils the response."""
 
-    def ending(self, status: Status) -> Ending:
-        """How an attempt ended whose answer came whole."""
+    def ending(self, head: ResponseHead) -> AttemptEnding:
+        """Return how an attempt ended whose response is complete."""
 
 
-_AT_ONCE = frozenset((Ending.RESET, Ending.CLOSED, Ending.UNWRITTEN_RESET))  # before any byte of an answer
+@dataclass(frozen=True, slots=True)
+class AttemptHooks:
+    """What an attempt asks and tells its gateway.
 
+    Attributes
+    ----------
+    protocol
+        How its node is spoken to.
+    is_withdrawn
+        May nothing new be sent to this node any more?
+    on_stream_started
+        A response too large to hold starts to be passed on.
+    """
 
-class _Lost(Exception):
-    """The attempt is over; the ending says how."""
+    protocol: NodeProtocol
+    is_withdrawn: Callable[[int], bool]
+    on_stream_started: Callable[[Pending, Attempt], None]
 
-    def __init__(self, ending: Ending) -> None:
+
+@dataclass(slots=True)
+class AttemptOutcome:
+    """How an attempt ended.
+
+    Attributes
+    ----------
+    duration_s
+        From the decision to send to the end.
+    answer
+        The node's response where the attempt was answered.
+    feedback
+        What its headers told; None where none came or it did not read.
+    reused_connection
+        It used a connection that had carried another request.
+    """
+
+    ending: AttemptEnding
+    duration_s: float
+    answer: Answer | None = None
+    feedback: NodeFeedback | None = None
+    reused_connection: bool = False
+
+
+class _AttemptEndedError(Exception):
+    """The attempt is over before it was answered."""
+
+    def __init__(self, ending: AttemptEnding) -> None:
         super().__init__(ending.value)
         self.ending = ending
 
 
-class Outcome:
-    """How an attempt ended, with what the node told."""
-
-    __slots__ = ("answer", "ending", "kept", "told", "took")
-
-    def __init__(
-        self, ending: Ending, took: float, answer: Answer | None = None, told: Heard | None = None, kept: bool = False
-    ) -> None:
-        self.ending, self.took, self.answer, self.told, self.kept = ending, took, answer, told, kept
-
-
-def carry_out(
-    pending: Pending,
-    attempt: Attempt,
-    pool: Pool,
-    speech: Speech,
-    withdrawn: Callable[[int], bool],
-    begun: Callable[[Pending, Attempt], None],
-) -> Outcome:
-    """Run the attempt to its end. `withdrawn(node)`: may nothing new be written there any more? `begun` is called
-    when an answer too large to hold starts to be passed on."""
-    link: Link | None = None
-    done = False
-    answer, told = None, None
-    try:
-        link = _connect(attempt, pool)
-        # What was true before the wait for a connection is a guess by now: nothing is written without a new look.
-        if withdrawn(attempt.node):
-            raise _Lost(Ending.WITHDRAWN)
-        if attempt.called_off or pending.state is State.SETTLED:
-            raise _Lost(Ending.CALLED_OFF_UNSENT)
-        if time.monotonic() >= attempt.write_until:
-            raise _Lost(Ending.OUT_OF_TIME)
-        if pending.exchange is not None and pending.exchange.client_left():
-            raise _Lost(Ending.CLIENT_GONE)
-        attempt.link = link
-        _write(pending, attempt, link, speech)
-        status = _status(attempt, link)
-        try:
-            told = speech.told(pending, status)
-        except ValueError:
-            raise _Lost(Ending.MALFORMED) from None
-        ending, answer = _answer(pending, attempt, link, status, speech, begun)
-        done = status.keep_alive and link.parser.done and not link.surplus
-    except _Lost as lost:
-        ending = lost.ending
-        done = link is not None and not attempt.sent
-        if link is not None and not link.fresh and ending in _AT_ONCE:
-            pool.drop_older(link)
-    finally:
-        attempt.link = None
-        if link is not None:
-            if done and not attempt.called_off:
-                pool.give(link)
-            else:
-                pool.drop(link)
-    kept = link is not None and not link.fresh
-    return Outcome(ending, time.monotonic() - attempt.began, answer, told, kept)
+def run_attempt(pending: Pending, attempt: Attempt, pool: ConnectionPool, hooks: AttemptHooks) -> AttemptOutcome:
+    """Run an attempt to its end, on a connection of its node's pool."""
+    return _AttemptRun(pending, attempt, pool, hooks).run()
 
 
-def _connect(attempt: Attempt, pool: Pool) -> Link:
-    try:
-        return pool.take(attempt.write_until)
-    except ConnectError as bad:
-        if attempt.called_off:
-            raise _Lost(Ending.CALLED_OFF_UNSENT) from None
-        if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
-            raise _Lost(Ending.OUT_OF_TIME) from None
-        raise _Lost(_unconnected(bad)) from None
+class _AttemptRun:
+    """One attempt while it runs."""
 
+    def __init__(self, pending: Pending, attempt: Attempt, pool: ConnectionPool, hooks: AttemptHooks) -> None:
+        self.pending = pending
+        self.attempt = attempt
+        self.pool = pool
+        self.hooks = hooks
+        self.feedback: NodeFeedback | None = None
+        self.answer: Answer | None = None
 
-def _unconnected(error: ConnectError) -> Ending:
-    if isinstance(error, PoolExhaustedError):
-        return Ending.NO_PLACE
-    if isinstance(error, ConnectTimeoutError):
-        return Ending.CONNECT_TIMEOUT
-    return Ending.REFUSED
-
-
-def _write(pending: Pending, attempt: Attempt, link: Link, speech: Speech) -> None:
-    body = pending.body
-    if body.spent:
-        raise _Lost(Ending.BODY_SPENT)
-    head, until = speech.head(pending, attempt), attempt.write_until
-    attempt.sent = True
-    try:
-        if body.rest is None:
-            link.send(head + body.start if body.start else head, until)
-            return
-        body.spent = True  # the rest comes from the client once
+    def run(self) -> AttemptOutcome:
+        """Connect, send, read the response, and give the connection back."""
+        connection: ClientConnection | None = None
+        reusable = False
+        try:
+            connection = self._connect()
+            self._check_before_send()
+            self.attempt.link = connection
+            self._send_request(connection)
+            head = self._read_head(connection)
+            self.feedback = self._read_feedback(head)
+            ending = self._read_response(connection, head)
+            reusable = connection.is_reusable_after(head)
+        except _AttemptEndedError as ended:
+            ending = ended.ending
+            if connection is not None:
+                reusable = not self.attempt.sent
+                if not connection.is_new and ending in _DISTRUST_OLDER:
+                    self.pool.discard_older_than(connection)
+        finally:
+            self.attempt.link = None
+            if connection is not None:
+                self._give_back(connection, reusable)
+        return AttemptOutcome(
+            ending,
+            time.monotonic() - self.attempt.began,
+            self.answer,
+            self.feedback,
+            reused_connection=connection is not None and not connection.is_new,
+        )
+
+    def _give_back(self, connection: ClientConnection, reusable: bool) -> None:
+        if reusable and not self.attempt.called_off:
+            self.pool.release(connection)
+        else:
+            self.pool.discard(connection)
+
+    # ------------------------------------------------------------ before anything is sent
+
+    def _connect(self) -> ClientConnection:
+        attempt = self.attempt
+        try:
+            return self.pool.acquire(attempt.write_until)
+        except ConnectError as error:
+            if attempt.called_off:
+                raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT) from None
+            if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
+                raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME) from None
+            raise _AttemptEndedError(_connect_ending(error)) from None
+
+    def _check_before_send(self) -> None:
+        """What was true before the wait for a connection is a guess by now: nothing is sent without a new look."""
+        if self.hooks.is_withdrawn(self.attempt.node):
+            raise _AttemptEndedError(AttemptEnding.NODE_DRAINING)
+        if self.attempt.called_off or self.pending.state is State.SETTLED:
+            raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
+        if time.monotonic() >= self.attempt.write_until:
+            raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME)
+        if self.pending.exchange is not None and self.pending.exchange.client_left():
+            raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_UNSENT)
+
+    # ------------------------------------------------------------ the request
+
+    def _send_request(self, connection: ClientConnection) -> None:
+        body = self.pending.body
+        if body.spent:
+            raise _AttemptEndedError(AttemptEnding.BODY_CONSUMED)
+        head = self.hooks.protocol.request_head(self.pending, self.attempt)
+        deadline = self.attempt.write_until
+        self.attempt.sent = True
+        try:
+            if body.rest is None:
+                connection.send(head + body.start if body.start else head, deadline)
+            else:
+                self._stream_body(connection, head, deadline)
+        except TimeoutError:
+            raise self._lost(AttemptEnding.UNWRITTEN_TIMEOUT, unsent=True) from None
+        except ConnectionLostError:
+            raise self._lost(AttemptEnding.UNWRITTEN_RESET, unsent=True) from None
+
+    def _stream_body(self, connection: ClientConnection, head: bytes, deadline: float) -> None:
+        """Send a body of which the rest comes from the client, once."""
+        body = self.pending.body
+        body.spent = True
         chunked = body.length is None
-        link.send(head + (_chunk(body.start) if chunked else body.start), until)
-        while True:
-            try:
-                piece = next(body.rest, None)
-            except (ClientDisconnectedError, HttpError, TimeoutError, OSError) as bad:
-                body.error = bad
-                raise _Lost(Ending.BODY_LOST) from None
-            if piece is None:
-                break
-            link.send(_chunk(piece) if chunked else piece, until)
+        connection.send(head + (format_chunk(body.start) if chunked else body.start), deadline)
+        for piece in self._rest_of_body():
+            connection.send(format_chunk(piece) if chunked else piece, deadline)
         if chunked:
-            link.send(b"0\r\n\r\n", until)
-    except TimeoutError:
-        raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_TIMEOUT) from None
-    except ConnectionLostError:
-        raise _Lost(Ending.CALLED_OFF_UNSENT if attempt.called_off else Ending.UNWRITTEN_RESET) from None
-
-
-def _chunk(piece: bytes) -> bytes:
-    return b"%x\r\n%s\r\n" % (len(piece), piece) if piece else b""
-
-
-def _status(attempt: Attempt, link: Link) -> Status:
-    try:
-        return link.begin_answer(attempt.deadline)
-    except TimeoutError:
-        raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except ConnectionLostError as bad:
-        if attempt.called_off:
-            raise _Lost(Ending.CALLED_OFF) from None
-        if link.parser.in_head:
-            raise _Lost(Ending.HALF_ANSWER) from None
-        if isinstance(bad, ConnectionClosedError) and not link.fresh:
-            raise _Lost(Ending.CLOSED) from None
-        raise _Lost(Ending.RESET) from None
-    except HttpError as bad:
-        raise _Lost(_misformed(bad)) from None
-
-
-def _misformed(bad: HttpError) -> Ending:
-    if isinstance(bad, TrailingDataError):
-        return Ending.WRONG_LENGTH
-    return Ending.MALFORMED
-
-
-def _answer(
-    pending: Pending,
-    attempt: Attempt,
-    link: Link,
-    status: Status,
-    speech: Speech,
-    begun: Callable[[Pending, Attempt], None],
-) -> tuple[Ending, Answer | None]:
-    large = status.length is None or status.length > speech.hold_most
-    if speech.streams and large and status.code in (200, 206):
-        return _pass_on(pending, attempt, link, status, begun)
-    if large and status.length is not None:
-        raise _Lost(Ending.WRONG_LENGTH)  # it names more than any answer has: nothing of it is read
-    try:
-        body = link.body(attempt.deadline, speech.hold_most)
-    except TimeoutError:
-        raise _Lost(Ending.CALLED_OFF if attempt.called_off else Ending.NO_ANSWER) from None
-    except ConnectionLostError:
-        cut = Ending.CUT_WITHOUT_LENGTH if link.until_close else Ending.HALF_ANSWER
-        raise _Lost(Ending.CALLED_OFF if attempt.called_off else cut) from None
-    except HttpError as bad:
-        raise _Lost(_misformed(bad)) from None
-    ending = speech.ending(status)
-    if ending is not Ending.ANSWERED:
-        return ending, None
-    return Ending.ANSWERED_TO_CLOSE if link.until_close else ending, Answer(status.code, status.headers, body)
-
-
-def _pass_on(
-    pending: Pending, attempt: Attempt, link: Link, status: Status, begun: Callable[[Pending, Attempt], None]
-) -> tuple[Ending, Answer | None]:
-    """A large answer goes to the client as it comes, as fast as the client takes it."""
-    if not pending.begin():
-        raise _Lost(Ending.CALLED_OFF)
-    begun(pending, attempt)
-    exchange, sent = pending.exchange, 0
-    headers = [(b"ETag", status.headers[b"etag"])] if b"etag" in status.headers else []
-    if b"content-range" in status.headers:
-        headers.append((b"Content-Range", status.headers[b"content-range"]))
-    headers += [(b"Accept-Ranges", b"bytes"), (b"Fawn-Request-Id", pending.op.encode()), *pending.said]
-    try:
-        exchange.begin(status.code, headers, status.length)
+            connection.send(LAST_CHUNK, deadline)
+
+    def _rest_of_body(self) -> Iterator[bytes]:
+        """Read what is left of the client's body."""
+        body = self.pending.body
+        assert body.rest is not None
         while True:
             try:
-                piece = link.piece(pending.deadline)
-            except (TimeoutError, ConnectionLostError, HttpError):
-                exchange.finish(False)
-                raise _Lost(Ending.HALF_ANSWER) from None
+                piece = next(body.rest, None)
+            except (ClientDisconnectedError, HttpError, TimeoutError, OSError) as error:
+                body.error = error
+                raise _AttemptEndedError(AttemptEnding.BODY_INCOMPLETE) from None
             if piece is None:
-                break
-            exchange.write(_chunk(piece) if status.length is None else piece, pending.deadline)
-            sent += len(piece)
-        if status.length is None:
-            exchange.write(b"0\r\n\r\n", pending.deadline)
-    except OSError:
-        exchange.finish(False)
-        raise _Lost(Ending.CLIENT_LEFT) from None
-    exchange.finish(True)
-    return Ending.ANSWERED, Answer(status.code, status.headers, streamed=sent)
+                return
+            yield piece
+
+    # ------------------------------------------------------------ the response
+
+    def _read_head(self, connection: ClientConnection) -> ResponseHead:
+        try:
+            return connection.read_head(self.attempt.deadline)
+        except TimeoutError:
+            raise self._lost(AttemptEnding.RESPONSE_TIMEOUT) from None
+        except ConnectionLostError as error:
+            if connection.is_cut_in_head():
+                raise self._lost(AttemptEnding.TRUNCATED_RESPONSE) from None
+            if isinstance(error, ConnectionClosedError) and not connection.is_new:
+                raise self._lost(AttemptEnding.CLOSED) from None
+            raise self._lost(AttemptEnding.RESET) from None
+        except HttpError as error:
+            raise _AttemptEndedError(_response_error_ending(error)) from None
+
+    def _read_feedback(self, head: ResponseHead) -> NodeFeedback:
+        try:
+            return self.hooks.protocol.feedback(self.pending, head)
+        except ValueError:
+            raise _AttemptEndedError(AttemptEnding.MALFORMED_RESPONSE) from None
+
+    def _read_response(self, connection: ClientConnection, head: ResponseHead) -> AttemptEnding:
+        protocol = self.hooks.protocol
+        large = head.length is None or head.length > protocol.max_buffered_bytes
+        if protocol.streams_large and large and head.code in _STREAMED_STATUSES:
+            self._stream_response(connection, head)
+            return AttemptEnding.ANSWERED
+        if large and head.length is not None:
+            # It names more than any response has: nothing of it is read.
+            raise _AttemptEndedError(AttemptEnding.WRONG_LENGTH)
+        body = self._read_body(connection)
+        ending = protocol.ending(head)
+        if ending is not AttemptEnding.ANSWERED:
+            return ending
+        self.answer = Answer(head.code, head.headers, body)
+        if connection.ends_at_close:
+            return AttemptEnding.ANSWERED_UNTIL_CLOSE
+        return ending
+
+    def _read_body(self, connection: ClientConnection) -> bytes:
+        try:
+            return connection.read_body(self.attempt.deadline, self.hooks.protocol.max_buffered_bytes)
+        except TimeoutError:
+            raise self._lost(AttemptEnding.RESPONSE_TIMEOUT) from None
+        except ConnectionLostError:
+            if connection.ends_at_close:
+                raise self._lost(AttemptEnding.BROKEN_WITHOUT_LENGTH) from None
+            raise self._lost(AttemptEnding.TRUNCATED_RESPONSE) from None
+        except HttpError as error:
+            raise _AttemptEndedError(_response_error_ending(error)) from None
+
+    def _stream_response(self, connection: ClientConnection, head: ResponseHead) -> None:
+        """Pass a large response on as it comes, as fast as the client takes it."""
+        pending = self.pending
+        if not pending.begin():
+            raise _AttemptEndedError(AttemptEnding.CANCELLED)
+        self.hooks.on_stream_started(pending, self.attempt)
+        exchange = pending.exchange
+        chunked = head.length is None
+        sent = 0
+        try:
+            exchange.begin(head.code, _streamed_headers(pending, head), head.length)
+            while (piece := self._read_streamed_piece(connection)) is not None:
+                exchange.write(format_chunk(piece) if chunked else piece, pending.deadline)
+                sent += len(piece)
+            if chunked:
+                exchange.write(LAST_CHUNK, pending.deadline)
+        except OSError:
+            exchange.finish(False)
+            raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_STREAMING) from None
+        exchange.finish(True)
+        self.answer = Answer(head.code, head.headers, streamed=sent)
+
+    def _read_streamed_piece(self, connection: ClientConnection) -> bytes | None:
+        try:
+            return connection.read_piece(self.pending.deadline)
+        except (TimeoutError, ConnectionLostError, HttpError):
+            self.pending.exchange.finish(False)
+            raise _AttemptEndedError(AttemptEnding.TRUNCATED_RESPONSE) from None
+
+    def _lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
+        """Return the end of an attempt whose connection ended: where it was cancelled, that was why."""
+        if not self.attempt.called_off:
+            return _AttemptEndedError(ending)
+        if unsent:
+            return _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
+        return _AttemptEndedError(AttemptEnding.CANCELLED)
+
+
+def _connect_ending(error: ConnectError) -> AttemptEnding:
+    if isinstance(error, PoolExhaustedError):
+        return AttemptEnding.POOL_EXHAUSTED
+    if isinstance(error, ConnectTimeoutError):
+        return AttemptEnding.CONNECT_TIMEOUT
+    return AttemptEnding.CONNECT_REFUSED
+
+
+def _response_error_ending(error: HttpError) -> AttemptEnding:
+    if isinstance(error, TrailingDataError):
+        return AttemptEnding.WRONG_LENGTH
+    return AttemptEnding.MALFORMED_RESPONSE
+
+
+def _streamed_headers(pending: Pending, head: ResponseHead) -> list[tuple[bytes, bytes]]:
+    headers = []
+    if b"etag" in head.headers:
+        headers.append((b"ETag", head.headers[b"etag"]))
+    if b"content-range" in head.headers:
+        headers.append((b"Content-Range", head.headers[b"content-range"]))
+    return [*headers, (b"Accept-Ranges", b"bytes"), (b"Fawn-Request-Id", pending.op.encode()), *pending.said]
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -1,7 +1,7 @@
 """What every head is made of: the module's loop, the requests in hand, and their attempts at nodes.
 
 Each front (the object API, the platform's relay) is an edge of this core: it makes a `Pending`, hands it to `take`
-and waits for its one final answer. How nodes are spoken to is the edge's `Speech`, how the list is heard its list
+and waits for its one final answer. How nodes are spoken to is the edge's `NodeProtocol`, how the list is heard its list
 client. Every action of the module is carried out by one entry of `Core.table`; nothing here chooses.
 """
 
@@ -10,18 +10,18 @@
 import math
 import time
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from typing import TYPE_CHECKING, Any, Protocol
 
 import gevent
 
-from fawnspool.gateway.attempt_results import RESULTS, Ending
-from fawnspool.gateway.attempts import Outcome, Speech, carry_out
+from fawnspool.gateway.attempt_results import RESULTS, AttemptEnding
+from fawnspool.gateway.attempts import AttemptHooks, AttemptOutcome, NodeProtocol, run_attempt
 from fawnspool.gateway.event_loop import Loop
 from fawnspool.gateway.greenlet_pool import Workers
 from fawnspool.gateway.request_state import Attempt, Kind, Pending, State
-from fawnspool.net.client import Pool
-from fawnspool.net.socket_stream import look_at_clocks
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions
+from fawnspool.net.socket_stream import observe_clocks
 from fawnspool.scheduling import interface
 from fawnspool.telemetry.sums import Sums
 
@@ -59,17 +59,6 @@
     def fetch(self) -> None: ...
 
 
-@dataclass(frozen=True)
-class PoolBounds:
-    """Connections of one head at one node: at most `most`, times in seconds."""
-
-    most: int
-    connect_timeout: float
-    idle_close: float
-    lenient: bool = False  # bytes behind a whole answer do not spoil it (see `net.client.Link`)
-    cooldown: float = 0.0  # a connection rests so long between two requests
-
-
 class Core:
     """`list` is set by the edge before `start`; `stop` ends all."""
 
@@ -79,8 +68,8 @@
         self,
         settings: interface.Settings,
         module: Any,
-        speech: Speech,
-        pools: PoolBounds,
+        speech: NodeProtocol,
+        pools: PoolOptions,
         metrics: Sums,
         log: Any,
         *,
@@ -93,7 +82,7 @@
         self.to_look: list[int] = []
         self.to_prune: list[tuple[str, int]] = []
         self.listed: set[tuple[str, int]] = set()
-        self.pools: dict[tuple[str, int], Pool] = {}
+        self.pools: dict[tuple[str, int], ConnectionPool] = {}
         self.ids = time.time_ns() // 1_000_000 << 20  # a later life's numbers are higher
         self.table: dict[type, Callable[[Any], None]] = {
             interface.Send: self._send,
@@ -126,7 +115,7 @@
             due = time.monotonic() + _SWEEP
             gevent.sleep(_SWEEP)
             self.metrics.lag.add(max(0.0, time.monotonic() - due))
-            for look in (look_at_clocks, self._now_and_then, self._prune, self._look_for_left):
+            for look in (observe_clocks, self._now_and_then, self._prune, self._look_for_left):
                 try:
                     look()
                 except Exception:  # a head that looks no more goes on, and keeps all that it should give back
@@ -149,7 +138,7 @@
                 pool.prune()
                 continue
             pool.close_idle()
-            if not pool.open:
+            if not pool.open_count:
                 del self.pools[where]
 
     def _look_for_left(self) -> None:
@@ -166,7 +155,7 @@
                 pending is not None
                 and now - pending.came > _SWEEP
                 and pending.state is State.OPEN
-                and pending.exchange.read_all
+                and pending.exchange.request_read
                 and pending.exchange.client_left()
             ):
                 self.give_up(pending)
@@ -275,34 +264,38 @@
     def _attempt(self, pending: Pending, attempt: Attempt) -> None:
         known = self.list.nodes.get(attempt.node)
         if known is None:
-            outcome = Outcome(Ending.UNKNOWN_NODE, 0.0)
+            outcome = AttemptOutcome(AttemptEnding.UNKNOWN_NODE, 0.0)
         else:
             try:
-                outcome = carry_out(
-                    pending, attempt, self.pool(known.address), self.speech, self._withdrawn, self._begun
+                outcome = run_attempt(
+                    pending,
+                    attempt,
+                    self.pool(known.address),
+                    AttemptHooks(self.speech, self._withdrawn, self._begun),
                 )
             except Exception:
                 self.log.error("an attempt's code raised", id=pending.req.id, exc_info=True)
-                outcome = Outcome(
-                    Ending.RESET if attempt.sent else Ending.UNWRITTEN_RESET, time.monotonic() - attempt.began
+                outcome = AttemptOutcome(
+                    AttemptEnding.RESET if attempt.sent else AttemptEnding.UNWRITTEN_RESET,
+                    time.monotonic() - attempt.began,
                 )
             if outcome.answer is not None:
                 pending.cell = known.cell
         attempt.ending = outcome.ending
-        if outcome.ending is Ending.CLIENT_GONE:
+        if outcome.ending is AttemptEnding.CLIENT_LEFT_UNSENT:
             self.give_up(pending)
         self.loop.tell(lambda: self._ended(pending, attempt, outcome))
 
-    def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> interface.Outcome:
+    def _ended(self, pending: Pending, attempt: Attempt, outcome: AttemptOutcome) -> interface.Outcome:
         """The attempt's outcome for the module, made in the loop's own turn, where answers are settled in order."""
         result = RESULTS[outcome.ending]
-        self.metrics.attempt(attempt.node, result.value, outcome.took)
+        self.metrics.attempt(attempt.node, result.value, outcome.duration_s)
         self.metrics.ended(outcome.ending.value)
         if pending.span is not None and self.traces is not None:
             self.traces.attempt(
                 pending.span,
                 attempt.began,
-                attempt.began + outcome.took,
+                attempt.began + outcome.duration_s,
                 node=attempt.node,
                 number=attempt.number,
                 result=result.value,
@@ -311,24 +304,24 @@
         if result is interface.Result.SERVED:
             pending.settle(Kind.SERVED, outcome.answer)
         elif pending.state is State.BEGUN:
-            pending.settle(Kind.LEFT if outcome.ending is Ending.CLIENT_LEFT else Kind.FAILED, None)
-        elif outcome.ending is Ending.BODY_LOST and pending.settle(Kind.LEFT):
+            pending.settle(Kind.LEFT if outcome.ending is AttemptEnding.CLIENT_LEFT_STREAMING else Kind.FAILED, None)
+        elif outcome.ending is AttemptEnding.BODY_INCOMPLETE and pending.settle(Kind.LEFT):
             self.loop.tell(interface.ClientDisconnected(pending.req.id))
         pending.open_attempts -= 1
-        told = outcome.told
+        feedback = outcome.feedback
         final = pending.state is State.SETTLED
         self._forget(pending)
         return interface.Outcome(
             pending.req.id,
             attempt.number,
             attempt.node,
-            outcome.took,
+            outcome.duration_s,
             result,
             final,
-            told.others if told is not None else 0,
-            told.used if told is not None else None,
-            told.load if told is not None and told.load else None,
-            outcome.kept,
+            feedback.served_elsewhere if feedback is not None else 0,
+            feedback.volume_use if feedback is not None else None,
+            feedback.load if feedback is not None and feedback.load else None,
+            outcome.reused_connection,
         )
 
     def _begun(self, pending: Pending, attempt: Attempt) -> None:
@@ -379,20 +372,17 @@
         elif isinstance(event, interface.Timer) and event.token:
             self._close(event.token - 1, Kind.FAILED, 0.0)
 
-    def pool(self, where: tuple[str, int]) -> Pool:
+    def pool(self, where: tuple[str, int]) -> ConnectionPool:
         pool = self.pools.get(where)
         if pool is None:
-            n = self.bounds
-            pool = self.pools[where] = Pool(
-                where, n.most, n.connect_timeout, n.idle_close, lenient=n.lenient, cooldown=n.cooldown
-            )
+            pool = self.pools[where] = ConnectionPool(where, self.bounds)
         return pool
 
     def close_one_idle(self) -> bool:
         """Close a connection to a node that no request uses now; False: there is none."""
         for pool in self.pools.values():
             if pool.idle:
-                pool.drop(pool.idle.popleft())
+                pool.discard(pool.idle.popleft())
                 return True
         return False
 
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -16,7 +16,7 @@
 
 import gevent
 
-from fawnspool.net.waits import Gate
+from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
 from fawnspool.telemetry.sums import Sums
 
@@ -43,7 +43,7 @@
         self.inbox: deque[Any] = deque()
         self.timers: list[tuple[float, int, int]] = []
         self.set = 0
-        self.flag = Gate()
+        self.flag = WakeupEvent()
         self.asleep = False
         self.stopping = False
         self.greenlet: Any = None
@@ -53,7 +53,7 @@
 
     def stop(self) -> None:
         self.stopping = True
-        self.flag.open()
+        self.flag.set()
         if self.greenlet is not None:
             self.greenlet.join(timeout=1.0)
         if self.recorder is not None:
@@ -64,7 +64,7 @@
         self.inbox.append(event)
         if self.asleep:
             self.asleep = False
-            self.flag.open()
+            self.flag.set()
 
     def set_timer(self, delay: float, token: int) -> None:
         self.set += 1
@@ -93,7 +93,7 @@
                 self._record()
             if self.stopping:
                 return
-            self.flag.shut()
+            self.flag.clear()
             self.asleep = True
             self.flag.wait(self.timers[0][0] if self.timers else None)
             self.asleep = False
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -20,7 +20,7 @@
 from fawnspool.gateway.map_store import MapFile, read
 from fawnspool.gateway.watch_client import ListLink
 from fawnspool.leases.fencing import Fenced
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.records.background_writer import BackgroundWriter
 
@@ -51,9 +51,13 @@
     """Calls of the map service, each within a deadline (monotonic). Raises PlacesError where it is out of reach."""
 
     def __init__(
-        self, address: tuple[str, int], timeout: float, pool: Pool | None = None, deadline: float = math.inf
+        self, address: tuple[str, int], timeout: float, pool: ConnectionPool | None = None, deadline: float = math.inf
     ) -> None:
-        self.pool, self.timeout, self.deadline = pool or Pool(address, 256, timeout, 30.0), timeout, deadline
+        self.pool, self.timeout, self.deadline = (
+            pool or ConnectionPool(address, PoolOptions(256, timeout, 30.0)),
+            timeout,
+            deadline,
+        )
 
     def until(self, deadline: float) -> MapClient:
         return MapClient(self.pool.address, self.timeout, self.pool, deadline)
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -17,8 +17,8 @@
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig, module_settings
 from fawnspool.extents.staleness import StalenessSettings
-from fawnspool.gateway.attempts import Outcome
-from fawnspool.gateway.core import Core, PoolBounds
+from fawnspool.gateway.attempts import AttemptOutcome
+from fawnspool.gateway.core import Core
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
 from fawnspool.gateway.gossip_runner import Sharing
@@ -28,10 +28,10 @@
 from fawnspool.gateway.peers import Peers
 from fawnspool.gateway.request_state import Attempt, Body, Pending
 from fawnspool.gossip.health_evidence import doubts
-from fawnspool.net.client import call
+from fawnspool.net.connection_pool import PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
-from fawnspool.net.node_headers import TOLD, read_told
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
+from fawnspool.net.node_headers import REPORT_HEADER, parse_node_report
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.decision_recording import Recorder, module_hash
 from fawnspool.scheduling import interface
@@ -85,7 +85,7 @@
             settings,
             module,
             NodeSpeech(h.number, settings, c.clients.replay_bytes),
-            PoolBounds(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
+            PoolOptions(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
             self.figures,
             logs.get(head=h.number),
             recorder=recorder,
@@ -96,7 +96,7 @@
             self.list = FixedList(rows, config.nodes.zones, config.nodes.kinds, self.loop.tell, self.log, self.behind)
         else:
             self.list = ListClient(
-                address(config.list.address),
+                parse_address(config.list.address),
                 h.number,
                 config.nodes.zones,
                 config.nodes.kinds,
@@ -118,7 +118,7 @@
 
     def _places(self, config: HeadConfig) -> Places:
         k = config.catalogue
-        where = address(k.address)
+        where = parse_address(k.address)
         return Places(
             MapClient(where, k.call_timeout),
             StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=k.peak),
@@ -135,9 +135,9 @@
         h = self.config.head
         if self.config.peer and h.peer_listen:
             self.peers = Peers(
-                address(h.peer_listen),
+                parse_address(h.peer_listen),
                 h.number,
-                {int(p.name): address(p.address) for p in self.config.peer},
+                {int(p.name): parse_address(p.address) for p in self.config.peer},
                 self.loop.tell,
             )
         super().start()
@@ -165,7 +165,7 @@
         assert c.duties is not None
         works = Works(
             self.places,
-            MapClient(address(k.address), k.call_timeout),
+            MapClient(parse_address(k.address), k.call_timeout),
             lambda: self.list.nodes,
             lambda: len(self.pending),
             self.log,
@@ -290,7 +290,7 @@
                 status, _ = call(
                     self.pool(known.address), b"GET", b"/-/probe", began + self.config.nodes.connect_timeout
                 )
-                load = read_told(status.headers.get(TOLD)).load or None
+                load = parse_node_report(status.headers.get(REPORT_HEADER)).load or None
                 result = interface.Result.SERVED if status.code == 200 else interface.Result.ERROR
             except ConnectError:
                 result = interface.Result.CONNECT_FAILED
@@ -300,7 +300,7 @@
                 result = interface.Result.RESET
         self.loop.tell(interface.Probed(node, result, time.monotonic() - began, load))
 
-    def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> interface.Outcome:
+    def _ended(self, pending: Pending, attempt: Attempt, outcome: AttemptOutcome) -> interface.Outcome:
         event = super()._ended(pending, attempt, outcome)
         if self.sharing is not None:
             self.sharing.outcome(event, pending.req.volume, pending.req.units)
--- a/fawnspool/gateway/greenlet_pool.py
+++ b/fawnspool/gateway/greenlet_pool.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from fawnspool.net.waits import Gate
+from fawnspool.net.wakeup_event import WakeupEvent
 
 
 class Workers:
@@ -21,7 +21,7 @@
         if self.idle:
             worker = self.idle.pop()
             worker.job = (call, args)
-            worker.gate.open()
+            worker.wakeup.set()
         else:
             worker = _Worker()
             worker.job = (call, args)
@@ -35,14 +35,14 @@
             del call, args
             if len(self.idle) >= self.idle_most:
                 return
-            worker.gate.shut()
+            worker.wakeup.clear()
             self.idle.append(worker)
-            worker.gate.wait(None)
+            worker.wakeup.wait(None)
 
 
 class _Worker:
-    __slots__ = ("gate", "job")
+    __slots__ = ("job", "wakeup")
 
     def __init__(self) -> None:
-        self.gate = Gate()
+        self.wakeup = WakeupEvent()
         self.job: tuple[Callable[..., None], tuple[Any, ...]] | None = None
--- a/fawnspool/gateway/leased_work.py
+++ b/fawnspool/gateway/leased_work.py
@@ -22,7 +22,7 @@
 from fawnspool.gateway.migrator import Mover
 from fawnspool.leases.drain import Failures, Pace, shard_of, target
 from fawnspool.leases.inventory import compare
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.scheduling import interface
 
@@ -132,7 +132,7 @@
     def _held(self, hold: Hold, where: tuple[str, int]) -> list[tuple[str, str]] | None:
         try:
             status, body = call(
-                Pool(where, 1, self.timeout, 0.0),
+                ConnectionPool(where, PoolOptions(1, self.timeout, 0.0)),
                 b"GET",
                 b"/-/objects",
                 time.monotonic() + min(self.timeout, hold.left()),
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -25,7 +25,7 @@
 from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.leases.fencing import Fenced
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
 _BAD = (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError, PlacesError)
@@ -61,7 +61,7 @@
     ) -> None:
         self.where, self.places, self.timeout, self.taken = where, places, timeout, taken
         self.stamp, self.left = stamp, left
-        self.pools: dict[tuple[str, int], Pool] = {}
+        self.pools: dict[tuple[str, int], ConnectionPool] = {}
 
     def move(
         self, volume: str, extent: str, to: int, deadline: float, undo: bool = False, last: Migration | None = None
@@ -161,7 +161,7 @@
         where = self.where(cell)
         if where is None:
             raise ConnectError(f"cell {cell} has no node")
-        pool = self.pools.setdefault(where, Pool(where, 8, self.timeout, 10.0))
+        pool = self.pools.setdefault(where, ConnectionPool(where, PoolOptions(8, self.timeout, 10.0)))
         stamp = self.stamp() if effect else {}  # after every wait, and just before the step leaves
         target = f"{place}?{urlencode({'volume': volume, 'key': extent, **more, **stamp})}".encode()
         status, data = call(pool, method, target, time.monotonic() + min(self.timeout, self.left()), body)
--- a/fawnspool/gateway/node_protocol.py
+++ b/fawnspool/gateway/node_protocol.py
@@ -4,28 +4,28 @@
 
 import time
 
-from fawnspool.gateway.attempt_results import Ending
-from fawnspool.gateway.attempts import Heard
+from fawnspool.gateway.attempt_results import AttemptEnding
+from fawnspool.gateway.attempts import NodeFeedback
 from fawnspool.gateway.request_state import Attempt, Pending
-from fawnspool.net.http import Status, request_bytes
-from fawnspool.net.node_headers import CALL, TOLD, Call, read_told
+from fawnspool.net.http import ResponseHead, format_request_head
+from fawnspool.net.node_headers import ATTEMPT_HEADER, REPORT_HEADER, AttemptHeader, parse_node_report
 from fawnspool.scheduling.interface import Settings
 
 _FINAL = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))  # of a request that the node understood
 
 
 class NodeSpeech:
-    """Speaks for head `number`; answers of over `hold_most` bytes are passed on as they come."""
+    """Speaks for head `number`; answers of over `max_buffered_bytes` bytes are passed on as they come."""
 
-    streams = True
+    streams_large = True
 
-    def __init__(self, number: int, settings: Settings, hold_most: int) -> None:
-        self.number, self.settings, self.hold_most = number, settings, hold_most
+    def __init__(self, number: int, settings: Settings, max_buffered_bytes: int) -> None:
+        self.number, self.settings, self.max_buffered_bytes = number, settings, max_buffered_bytes
 
-    def head(self, pending: Pending, attempt: Attempt) -> bytes:
+    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
         req = pending.req
         cls = self.settings.classes[req.class_index]
-        call = Call(
+        call = AttemptHeader(
             self.number,
             req.id,
             attempt.number,
@@ -39,18 +39,23 @@
             pending.op,
             pending.idem,
         )
-        return request_bytes(
-            pending.method, pending.target, b"node", [(CALL, call.pack()), *pending.forward], pending.body.length
+        return format_request_head(
+            pending.method,
+            pending.target,
+            b"node",
+            [(ATTEMPT_HEADER, call.encode()), *pending.forward],
+            pending.body.length,
         )
 
-    def told(self, pending: Pending, status: Status) -> Heard:
-        told, used = read_told(status.headers.get(TOLD)), None
-        if told.use is not None:
+    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+        report = parse_node_report(head.headers.get(REPORT_HEADER))
+        used = None
+        if report.volume_units_per_s is not None:
             rate = self.settings.plans[pending.req.plan_index].rate
-            used = told.use / rate if rate > 0 else None
-        return Heard(told.others, used, told.load)
+            used = report.volume_units_per_s / rate if rate > 0 else None
+        return NodeFeedback(report.served_elsewhere, used, report.load)
 
-    def ending(self, status: Status) -> Ending:
-        if status.code == 503 and read_told(status.headers.get(TOLD)).full:
-            return Ending.TURNED_AWAY
-        return Ending.ANSWERED if status.code in _FINAL else Ending.NODE_ERROR
+    def ending(self, head: ResponseHead) -> AttemptEnding:
+        if head.code == 503 and parse_node_report(head.headers.get(REPORT_HEADER)).overloaded:
+            return AttemptEnding.REJECTED
+        return AttemptEnding.ANSWERED if head.code in _FINAL else AttemptEnding.NODE_ERROR
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -14,8 +14,8 @@
 from enum import Enum
 from typing import Any
 
-from fawnspool.gateway.attempt_results import Ending
-from fawnspool.net.waits import Gate
+from fawnspool.gateway.attempt_results import AttemptEnding
+from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling.interface import Request
 
 
@@ -66,7 +66,7 @@
     link: Any = None
     called_off: bool = False
     sent: bool = False  # some of it was handed to the kernel
-    ending: Ending | None = None
+    ending: AttemptEnding | None = None
 
     @property
     def write_until(self) -> float:
@@ -96,7 +96,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     open_attempts: int = 0
     cell: int = -1  # of the node that served it
-    done: Gate = field(default_factory=Gate)
+    done: WakeupEvent = field(default_factory=WakeupEvent)
     span: Any = None
     said: list[tuple[bytes, bytes]] = field(default_factory=list)  # headers that its answer carries in any case
 
@@ -112,5 +112,5 @@
         if self.state is State.SETTLED:
             return False
         self.state, self.kind, self.answer = State.SETTLED, kind, answer
-        self.done.open()
+        self.done.set()
         return True
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -13,9 +13,10 @@
 import gevent
 
 from fawnspool.connections.watch_timeouts import reopens_at_once
-from fawnspool.net.client import Link, Pool, call
+from fawnspool.net.client_connection import ClientConnection
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectionClosedError, PoolExhaustedError
-from fawnspool.net.http import request_bytes
+from fawnspool.net.http import format_request_head
 from fawnspool.scheduling import interface
 
 LINE_MOST = 4 << 20  # bytes of one object on a watch
@@ -71,7 +72,7 @@
     ) -> None:
         self.timeout, self.silence, self.tell, self.log = timeout, silence, tell, log
         self.free_descriptor = free_descriptor  # closes a connection that can be spared
-        self.pool = Pool(address, 4, timeout, 60.0)
+        self.pool = ConnectionPool(address, PoolOptions(4, timeout, 60.0))
         self.heard = 0.0  # when the service last said anything
         self.reachable = False
         self.watching: Any = None
@@ -153,28 +154,28 @@
                 return
             finally:
                 if link is not None:
-                    pool.drop(link)
+                    pool.discard(link)
 
-    def _open_watch(self, pool: Pool) -> tuple[Link, float]:
+    def _open_watch(self, pool: ConnectionPool) -> tuple[ClientConnection, float]:
         """A watch whose answer has begun, and when it did."""
         until = time.monotonic() + self.timeout
-        link = self._with_descriptor(lambda: pool.take(until))
+        link = self._with_descriptor(lambda: pool.acquire(until))
         try:
-            link.send(request_bytes(b"GET", self.watch_target(), b"list", []), until)
-            status = link.begin_answer(until)
+            link.send(format_request_head(b"GET", self.watch_target(), b"list", []), until)
+            status = link.read_head(until)
             if status.code != 200:
                 raise ValueError(f"answered {status.code}")
         except BaseException:
-            pool.drop(link)
+            pool.discard(link)
             raise
         return link, time.monotonic()
 
-    def _follow(self, link: Link, last: float) -> None:
+    def _follow(self, link: ClientConnection, last: float) -> None:
         """Take in what a watch tells, until it ends. Only what is whole shows that it lives: an empty line, or an
         object to its last brace, on one line or on several."""
         lines = ObjectSplitter(self.line_most)
         while True:
-            piece = link.piece(last + self.silence)
+            piece = link.read_piece(last + self.silence)
             if piece is None:
                 raise ConnectionClosedError("the watch ended")
             for whole in lines.feed(piece):
--- a/fawnspool/net/arrival_clock.py
+++ b/fawnspool/net/arrival_clock.py
@@ -1,39 +1,59 @@
 """When bytes reached this host, on the monotonic clock.
 
 The kernel stamps what arrives by the wall clock, which may be set by any amount at any moment. So the offset between
-the two clocks is looked at now and then and with every stamp, and a stamp counts only as far as it can be true.
+the two clocks is observed now and then and with every stamp, and a stamp counts only as far as it can be true.
 """
 
 from __future__ import annotations
 
-STEP_S = 0.01  # an offset that changes by more between two looks was set, and not only slewed
+OFFSET_TOLERANCE_S = 0.01  # an offset that changes by more between two observations was set, and not only slewed
+_TRUSTED_PAST_S = 60.0  # before the first observation
 
 
 class ArrivalClock:
-    """Turns stamps of the wall clock into monotonic times, seconds. The caller reads the clocks, both together; `look`
-    is called often (each twentieth of a second), as between two looks nobody can tell when the wall clock was set."""
+    """Turns stamps of the wall clock into monotonic times, seconds.
 
-    def __init__(self, wall: float, now: float) -> None:
-        self._offset = self._former = wall - now
-        self._looked = now
-        self._earliest = now - 60.0  # what came before this instant was read before the clock was set
-        self._noticed = now  # when it was seen that the clock had been set
+    The caller reads both clocks together and calls `observe` often (each twentieth of a second): between two
+    observations nobody can tell when the wall clock was set.
+    """
 
-    def look(self, wall: float, now: float) -> None:
-        """How the clocks stand to each other."""
+    def __init__(self, wall: float, now: float) -> None:
+        self._offset = wall - now
+        self._former_offset = self._offset  # before the wall clock was last set
+        self._observed_at = now
+        self._set_after = now - _TRUSTED_PAST_S  # last observation before the wall clock was set
+        self._set_before = now  # first observation after it
+
+    def observe(self, wall: float, now: float) -> None:
+        """Note how the clocks stand to each other."""
         offset = wall - now
-        if abs(offset - self._offset) > STEP_S:
-            self._former, self._earliest, self._noticed = self._offset, self._looked, now
-        self._offset, self._looked = offset, now
+        if abs(offset - self._offset) > OFFSET_TOLERANCE_S:
+            self._former_offset = self._offset
+            self._set_after = self._observed_at
+            self._set_before = now
+        self._offset = offset
+        self._observed_at = now
 
     def arrival(self, stamp: float, wall: float, now: float) -> float:
-        """When bytes stamped `stamp` came; the clocks as read just behind them. Where the clock was set meanwhile, the
-        stamp may be of the old time: never later than `now`, and hardly earlier than the last look before that."""
-        self.look(wall, now)
+        """Return the monotonic time at which bytes came.
+
+        Where the wall clock was set meanwhile, the stamp may be of the old time. The result is never later than `now`
+        and hardly earlier than the last observation before that.
+
+        Parameters
+        ----------
+        stamp
+            The kernel's stamp, by the wall clock.
+        wall, now
+            Both clocks as read just after the bytes.
+        """
+        self.observe(wall, now)
         came = stamp - self._offset
-        if self._earliest <= came <= now:
+        if self._set_after <= came <= now:
             return came
-        former = stamp - self._former
-        if self._earliest <= former <= self._noticed:
+        former = stamp - self._former_offset
+        if self._set_after <= former <= self._set_before:
             return former
-        return self._earliest if came < self._earliest else now
+        if came < self._set_after:
+            return self._set_after
+        return now
--- /dev/null
+++ b/fawnspool/net/client_connection.py
@@ -0,0 +1,154 @@
+"""One connection to a server: send a request, read its response, each within a deadline."""
+
+from __future__ import annotations
+
+import time
+
+from fawnspool.net.exceptions import (
+    ConnectionBrokenError,
+    ConnectionClosedError,
+    ConnectionLostError,
+    HttpError,
+    StreamClosedError,
+)
+from fawnspool.net.http import END_OF_MESSAGE, MessageEvent, MessageLimits, ResponseHead, ResponseParser
+from fawnspool.net.socket_stream import SocketStream
+
+_READ_BYTES = 262_144
+_LIMITS = MessageLimits(head_bytes=32768, headers=64)
+
+
+class ClientConnection:
+    """One connection; carries one request at a time.
+
+    Attributes
+    ----------
+    is_new
+        No request has been answered on it yet.
+    last_used
+        When its last request ended (monotonic seconds).
+    lenient
+        Bytes behind a complete response leave it complete and only spoil the connection (`has_trailing_data`), else
+        they raise TrailingDataError. And a response that names no length is complete where its sender closes the
+        connection (RFC 9112, 6.3), never where that breaks (`SocketStream` keeps a break that any look met), else it
+        is never complete.
+    ends_at_close
+        The close of the connection ends the present response.
+    has_trailing_data
+        Bytes came behind a response: the connection carries no other request.
+    """
+
+    __slots__ = ("_parser", "ends_at_close", "has_trailing_data", "is_new", "last_used", "lenient", "stream")
+
+    def __init__(self, stream: SocketStream, lenient: bool = False) -> None:
+        self.stream = stream
+        self.is_new = True
+        self.last_used = time.monotonic()
+        self.lenient = lenient
+        self.has_trailing_data = False
+        self.ends_at_close = False
+        self._parser = ResponseParser(_LIMITS)
+
+    def send(self, data: bytes, deadline: float) -> None:
+        """Hand all of it to the kernel.
+
+        Raises
+        ------
+        TimeoutError
+            Past the deadline (monotonic seconds).
+        ConnectionLostError
+            Where the connection ended before; `request_written` is False.
+        """
+        try:
+            self.stream.sendall(data, deadline)
+        except TimeoutError:
+            raise
+        except OSError as error:
+            raise _lost(error, "while sending", request_written=False) from None
+
+    def read_head(self, deadline: float) -> ResponseHead:
+        """Read up to the end of the response's head. Raises TimeoutError, ConnectionLostError, HttpError."""
+        self._parser.expect_response()
+        self.ends_at_close = False
+        head = self._next_event(deadline)
+        if not isinstance(head, ResponseHead):
+            raise HttpError(502, "no status line came")
+        self.ends_at_close = self.lenient and head.length is None and b"transfer-encoding" not in head.headers
+        return head
+
+    def read_piece(self, deadline: float) -> bytes | None:
+        """Read the next piece of the body; None at its end. Raises as `read_head`."""
+        event = self._next_event(deadline)
+        if event is END_OF_MESSAGE:
+            return None
+        assert isinstance(event, bytes)
+        return event
+
+    def read_body(self, deadline: float, max_bytes: int | None = None) -> bytes:
+        """Read the whole body. Raises as `read_head`, and HttpError as soon as it is known to be over `max_bytes`."""
+        pieces = []
+        size = 0
+        while (piece := self.read_piece(deadline)) is not None:
+            size += len(piece)
+            if max_bytes is not None and size > max_bytes:
+                raise HttpError(502, f"a body of over {max_bytes} bytes")
+            pieces.append(piece)
+        if len(pieces) == 1:
+            return pieces[0]
+        return b"".join(pieces)
+
+    def _next_event(self, deadline: float) -> MessageEvent:
+        events = self._parser.events
+        wait_first = not self._parser.in_head
+        while not events:
+            try:
+                data = self.stream.recv(_READ_BYTES, deadline, wait_first)
+            except TimeoutError:
+                raise
+            except OSError as error:
+                raise _lost(error, "while reading") from None
+            if data:
+                self._feed(data)
+            else:
+                self._end_of_stream()
+            wait_first = False
+        return events.popleft()
+
+    def _feed(self, data: bytes) -> None:
+        try:
+            self._parser.feed(data)
+        except HttpError:
+            if not (self.lenient and self._parser.complete and self._parser.events):
+                raise
+            self.has_trailing_data = True
+
+    def _end_of_stream(self) -> None:
+        """The peer closed: the response ends with that, or it is cut."""
+        if not self.ends_at_close or self._parser.in_head:
+            raise ConnectionClosedError
+        self._parser.complete = True
+        self.has_trailing_data = True  # there is no other response after this one
+        self._parser.events.append(END_OF_MESSAGE)
+
+    def is_cut_in_head(self) -> bool:
+        """Tell whether a response has begun and its head is not complete."""
+        return self._parser.in_head
+
+    def is_reusable_after(self, head: ResponseHead) -> bool:
+        """Tell whether the connection may carry another request once this response has been read."""
+        return head.keep_alive and self._parser.complete and not self.has_trailing_data
+
+    def is_stale(self) -> bool:
+        """Tell whether the peer has closed it, or sent what nobody asked for, while it lay idle."""
+        return self.stream.at_end()
+
+    def close(self) -> None:
+        """Close it; a greenlet that waits on it wakes with ConnectionClosedError."""
+        self.stream.close()
+
+
+def _lost(error: OSError, where: str, request_written: bool = True) -> ConnectionLostError:
+    """Return the error to raise where a connection's stream met `error`."""
+    if isinstance(error, StreamClosedError):
+        return ConnectionClosedError(f"{where}: {error}", request_written)
+    return ConnectionBrokenError(f"{where}: {error}", request_written)
--- a/fawnspool/net/exceptions.py
+++ b/fawnspool/net/exceptions.py
@@ -15,6 +15,9 @@
     ClientDisconnectedError         the peer of a server left in the middle of an exchange
     DeadlineExceededError           (a TimeoutError) a wait reached the deadline that its caller gave
     StreamClosedError               (an OSError) the stream was closed on this side
+    RangeNotSatisfiableError        no byte of a representation lies in a range
+    ConcurrentWaitError             (a RuntimeError) a mistake in the program
+    AnsweredTwiceError              (a RuntimeError) a mistake in the program
 """
 
 from __future__ import annotations
@@ -63,6 +66,9 @@
 class ConnectionClosedError(ConnectionLostError):
     """The peer ended the connection, or this side closed it."""
 
+    def __init__(self, text: str = "closed before the answer was whole", request_written: bool = True) -> None:
+        super().__init__(text, request_written)
+
 
 class HttpError(Exception):
     """A message that is not to be taken.
@@ -104,3 +110,21 @@
 
     def __init__(self) -> None:
         super().__init__(errno.EBADF, "closed here")
+
+
+class RangeNotSatisfiableError(Exception):
+    """No byte of a representation lies in the range asked for."""
+
+
+class ConcurrentWaitError(RuntimeError):
+    """A mistake in the program: one direction of a socket belongs to one greenlet at a time."""
+
+    def __init__(self) -> None:
+        super().__init__("two greenlets wait for one direction of a socket")
+
+
+class AnsweredTwiceError(RuntimeError):
+    """A mistake in the program: a handler answered an exchange that has its response."""
+
+    def __init__(self) -> None:
+        super().__init__("an exchange is answered once")
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -1,13 +1,14 @@
 """HTTP/1.1 framing without I/O: bytes in, events out. The grammar is httptools' (llhttp, strict mode).
 
-Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `HttpError`; the connection it came
-on must then be closed, as nobody can tell where the next one begins.
+Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `HttpError`; the connection it came on must then
+be closed, as nobody can tell where the next message begins.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass, field
+from typing import Any, Final
 
 import httptools
 
@@ -42,21 +43,25 @@
     504: b"Gateway Timeout",
     505: b"HTTP Version Not Supported",
 }
-STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
-_OWS = b" \t"  # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
-_ONCE = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
+BODILESS_STATUSES = frozenset((204, 304))
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+_STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
+_FIRST_FINAL_STATUS = 200  # lower ones are informational: another head follows
+_OPTIONAL_WHITESPACE = b" \t"  # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
+_SINGLE_HEADERS = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
 
 
 @dataclass(slots=True)
-class Limits:
-    """Bounds of one message's head: bytes in all, number of header fields."""
+class MessageLimits:
+    """Bounds of one message before its body."""
 
     head_bytes: int = 16384
     headers: int = 64
 
 
 @dataclass(slots=True)
-class Head:
+class RequestHead:
     """A request line with its headers (names in lower case)."""
 
     method: bytes
@@ -64,174 +69,288 @@
     headers: dict[bytes, bytes]
     keep_alive: bool
     length: int | None  # of the body, bytes; None: chunked
-    expects: bool  # the client waits for 100 (Continue)
+    expects_continue: bool  # the client waits for 100 (Continue)
 
 
 @dataclass(slots=True)
-class Status:
-    """A status line with its headers. length None: chunked, or up to the end of the connection."""
+class ResponseHead:
+    """A status line with its headers (names in lower case)."""
 
     code: int
     headers: dict[bytes, bytes]
     keep_alive: bool
-    length: int | None
+    length: int | None  # of the body, bytes; None: chunked, or up to the end of the connection
 
 
-END = object()  # a message is whole
-Event = Head | Status | bytes | object
+class EndOfMessage:
+    """The event of a message that is complete."""
+
+
+END_OF_MESSAGE: Final = EndOfMessage()
+MessageEvent = RequestHead | ResponseHead | bytes | EndOfMessage
 
 
 @dataclass(slots=True)
-class _Gather:
-    limits: Limits
-    events: deque[Event] = field(default_factory=deque)
-    url: bytes = b""
-    headers: dict[bytes, bytes] = field(default_factory=dict)
-    size: int = 0
-    count: int = 0
+class _MessageParser:
+    """What both parsers share: a message's head gathered from httptools' callbacks, its bounds, its errors.
+
+    Attributes
+    ----------
+    events
+        Events read and not taken yet.
+    in_head
+        A message has begun and its head is not complete.
+    """
+
+    limits: MessageLimits
+    events: deque[MessageEvent] = field(default_factory=deque)
     in_head: bool = False
-    bad: HttpError | None = None
+    _grammar: Any = None  # httptools' parser
+    _error_status: int = 400  # of what is not HTTP at all
+    _target: bytes = b""
+    _headers: dict[bytes, bytes] = field(default_factory=dict)
+    _head_bytes: int = 0
+    _header_count: int = 0
+    _error: HttpError | None = None  # raised by a callback: httptools reports one of its own
 
-    def on_message_begin(self) -> None:
-        self.url, self.headers, self.size, self.count, self.in_head = b"", {}, 0, 0, True
+    def feed(self, data: bytes) -> None:
+        """Take bytes; what they make stands in `events`.
+
+        Raises
+        ------
+        HttpError
+            Where the message is not to be taken.
+        """
+        try:
+            self._grammar.feed_data(data)
+        except httptools.HttpParserUpgrade:
+            raise self._upgrade_error() from None
+        except httptools.HttpParserError as error:
+            raise self._grammar_error(error) from None
+
+    def _upgrade_error(self) -> HttpError:
+        raise NotImplementedError
+
+    def _grammar_error(self, error: Exception) -> HttpError:
+        return self._error or HttpError(self._error_status, f"not HTTP: {error}")
 
-    def on_url(self, part: bytes) -> None:
-        self.url += part
-        self._grow(len(part), 414)
+    def _rejected(self, status: int, text: str) -> HttpError:
+        """Return the error that a callback is to raise, kept as httptools raises its own instead."""
+        self._error = HttpError(status, text)
+        return self._error
+
+    def _count_head_bytes(self, count: int, status: int) -> None:
+        self._head_bytes += count
+        if self._head_bytes > self.limits.head_bytes:
+            raise self._rejected(status, f"over {self.limits.head_bytes} bytes before the body")
+
+    # ------------------------------------------------------------ httptools' callbacks
+
+    def on_message_begin(self) -> None:
+        """A message begins."""
+        self._target = b""
+        self._headers = {}
+        self._head_bytes = 0
+        self._header_count = 0
+        self.in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        name, value = name.lower(), value.strip(_OWS)  # llhttp drops what stands before a value alone
-        self.count += 1
-        self._grow(len(name) + len(value), 431)
-        if self.count > self.limits.headers:
-            raise self._no(431, f"more than {self.limits.headers} header fields")
+        """One header, or one trailer."""
+        name = name.lower()
+        value = value.strip(_OPTIONAL_WHITESPACE)  # llhttp drops only what stands before a value
+        self._header_count += 1
+        self._count_head_bytes(len(name) + len(value), 431)
+        if self._header_count > self.limits.headers:
+            raise self._rejected(431, f"more than {self.limits.headers} header fields")
         if not self.in_head:
             return  # trailers are read and dropped
-        if name in self.headers:
-            if name in _ONCE:
-                raise self._no(400, f"{name.decode()} stands twice")
-            value = self.headers[name] + b", " + value
-        self.headers[name] = value
+        if name in self._headers:
+            if name in _SINGLE_HEADERS:
+                raise self._rejected(400, f"{name.decode()} stands twice")
+            value = self._headers[name] + b", " + value
+        self._headers[name] = value
 
-    def on_body(self, part: bytes) -> None:
-        self.events.append(part)
+    def on_body(self, piece: bytes) -> None:
+        """A piece of the body."""
+        self.events.append(piece)
 
     def on_message_complete(self) -> None:
-        self.events.append(END)
+        """The message is complete."""
+        self.events.append(END_OF_MESSAGE)
 
-    def _grow(self, count: int, status: int) -> None:
-        self.size += count
-        if self.size > self.limits.head_bytes:
-            raise self._no(status, f"over {self.limits.head_bytes} bytes before the body")
 
-    def _no(self, status: int, text: str) -> HttpError:
-        self.bad = HttpError(status, text)
-        return self.bad
+class RequestParser(_MessageParser):
+    """Reads the requests of a connection, one behind the other."""
 
+    __slots__ = ()
 
-class RequestParser(_Gather):
-    """A connection's requests, one behind the other."""
+    def __init__(self, limits: MessageLimits) -> None:
+        super().__init__(limits)
+        self._grammar = httptools.HttpRequestParser(self)
 
-    __slots__ = ("parser",)
+    def feed(self, data: bytes) -> None:
+        """Take bytes; what they make stands in `events`. Raises HttpError."""
+        super().feed(data)
+        if self.in_head and not self.events and len(data) > self.limits.head_bytes:
+            raise HttpError(431, f"over {self.limits.head_bytes} bytes before the body")
 
-    def __init__(self, limits: Limits) -> None:
-        super().__init__(limits)
-        self.parser = httptools.HttpRequestParser(self)
+    def on_url(self, piece: bytes) -> None:
+        """A piece of the request target."""
+        self._target += piece
+        self._count_head_bytes(len(piece), 414)
 
     def on_headers_complete(self) -> None:
+        """The request's head is complete."""
         self.in_head = False
-        h, version = self.headers, self.parser.get_http_version()
+        headers = self._headers
+        version = self._grammar.get_http_version()
         if version not in ("1.1", "1.0"):
-            raise self._no(505, f"HTTP/{version} is not spoken here; use HTTP/1.1")
-        if version == "1.1" and b"host" not in h:
-            raise self._no(400, "a host header is needed")
-        coding = h.get(b"transfer-encoding")
+            raise self._rejected(505, f"HTTP/{version} is not spoken here; use HTTP/1.1")
+        if version == "1.1" and b"host" not in headers:
+            raise self._rejected(400, "a host header is needed")
+        coding = headers.get(b"transfer-encoding")
         if coding is not None and (coding.lower() != b"chunked" or version == "1.0"):
-            raise self._no(501, "the only transfer coding taken is chunked, over HTTP/1.1")
-        expect = h.get(b"expect")
-        if expect is not None and expect.lower() != b"100-continue":
-            raise self._no(417, "the only expectation met is 100-continue")
-        length = None if coding is not None else int(h.get(b"content-length", b"0"))
+            raise self._rejected(501, "the only transfer coding taken is chunked, over HTTP/1.1")
+        expectation = headers.get(b"expect")
+        if expectation is not None and expectation.lower() != b"100-continue":
+            raise self._rejected(417, "the only expectation met is 100-continue")
         self.events.append(
-            Head(self.parser.get_method(), self.url, h, self.parser.should_keep_alive(), length, expect is not None)
+            RequestHead(
+                method=self._grammar.get_method(),
+                target=self._target,
+                headers=headers,
+                keep_alive=self._grammar.should_keep_alive(),
+                length=None if coding is not None else int(headers.get(b"content-length", b"0")),
+                expects_continue=expectation is not None,
+            )
         )
 
-    def feed(self, data: bytes) -> None:
-        """Take bytes; what they make stands in `events`. Raises HttpError."""
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            raise HttpError(400, "no upgrades and no tunnels here") from None
-        except httptools.HttpParserError as bad:
-            raise self.bad or HttpError(400, f"not HTTP: {bad}") from None
-        if self.in_head and not self.events and len(data) > self.limits.head_bytes:
-            raise HttpError(431, f"over {self.limits.head_bytes} bytes before the body")
+    def _upgrade_error(self) -> HttpError:
+        return HttpError(400, "no upgrades and no tunnels here")
 
 
-class ResponseParser(_Gather):
-    """A connection's responses. The reader sets `done` back before each."""
+class ResponseParser(_MessageParser):
+    """Reads the responses of a connection. Its reader calls `expect_response` before each."""
 
-    __slots__ = ("done", "parser")
+    __slots__ = ("complete",)
 
-    def __init__(self, limits: Limits) -> None:
-        super().__init__(limits)
-        self.parser = httptools.HttpResponseParser(self)
-        self.done = False
+    def __init__(self, limits: MessageLimits) -> None:
+        super().__init__(limits, _error_status=502)
+        self._grammar = httptools.HttpResponseParser(self)
+        self.complete = False  # the response is
+
+    def expect_response(self) -> None:
+        """A request is sent: bytes that come are of its response, and no trailing data."""
+        self.complete = False
 
     def on_message_begin(self) -> None:
-        if self.done:
-            self.bad = TrailingDataError()
-            raise self.bad
-        _Gather.on_message_begin(self)
+        """A response begins."""
+        if self.complete:
+            self._error = TrailingDataError()
+            raise self._error
+        super().on_message_begin()
 
     def on_status(self, text: bytes) -> None:
-        self._grow(len(text), 502)
+        """Receive the reason phrase."""
+        self._count_head_bytes(len(text), 502)
 
     def on_headers_complete(self) -> None:
+        """The response's head is complete."""
         self.in_head = False
-        code, length = self.parser.get_status_code(), self.headers.get(b"content-length")
-        if 100 <= code < 200:
+        code = self._grammar.get_status_code()
+        if 100 <= code < _FIRST_FINAL_STATUS:
             return
+        length = self._headers.get(b"content-length")
         self.events.append(
-            Status(code, self.headers, self.parser.should_keep_alive(), None if length is None else int(length))
+            ResponseHead(
+                code=code,
+                headers=self._headers,
+                keep_alive=self._grammar.should_keep_alive(),
+                length=None if length is None else int(length),
+            )
         )
 
     def on_message_complete(self) -> None:
-        if self.parser.get_status_code() >= 200:
-            self.events.append(END)
-            self.done = True
+        """The response is complete, unless it was an informational one."""
+        if self._grammar.get_status_code() >= _FIRST_FINAL_STATUS:
+            self.events.append(END_OF_MESSAGE)
+            self.complete = True
+
+    def _upgrade_error(self) -> HttpError:
+        return HttpError(502, "an upgrade was answered")
+
+    def _grammar_error(self, error: Exception) -> HttpError:
+        if self.complete:
+            return TrailingDataError()
+        return super()._grammar_error(error)
+
+
+def format_response_head(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool) -> bytes:
+    """Write a response's head.
+
+    Parameters
+    ----------
+    status
+        One of `REASONS`.
+    headers
+        Beside those of the framing.
+    length
+        Of the body, bytes; None: chunked, or a status that has no body.
+    close
+        The connection ends behind it.
+    """
+    parts = [_STATUS_LINES[status]]
+    parts += [b"%s: %s\r\n" % row for row in headers]
+    if status not in BODILESS_STATUSES:
+        parts.append(_framing_header(length))
+    parts.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
+    return b"".join(parts)
+
+
+def format_request_head(
+    method: bytes, target: bytes, host: bytes, headers: list[tuple[bytes, bytes]], length: int | None = 0
+) -> bytes:
+    """Write a request's head.
+
+    Parameters
+    ----------
+    method, target, host
+        Of the request.
+    headers
+        Beside those of the framing.
+    length
+        Of the body, bytes; 0: none; None: chunked.
+    """
+    parts = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
+    parts += [b"%s: %s\r\n" % row for row in headers]
+    if length is None or length > 0 or method in (b"PUT", b"POST"):
+        parts.append(_framing_header(length))
+    parts.append(b"\r\n")
+    return b"".join(parts)
+
+
+def _framing_header(length: int | None) -> bytes:
+    if length is None:
+        return b"Transfer-Encoding: chunked\r\n"
+    return b"Content-Length: %d\r\n" % length
 
-    def feed(self, data: bytes) -> None:
-        """Take bytes. Raises HttpError; bytes behind the message's end count as one."""
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            raise HttpError(502, "an upgrade was answered") from None
-        except httptools.HttpParserError as bad:
-            if self.done:
-                raise TrailingDataError from None
-            raise self.bad or HttpError(502, f"not HTTP: {bad}") from None
 
+def format_chunk(piece: bytes) -> bytes:
+    """Write a chunk of a chunked body; nothing for an empty piece, as an empty chunk ends the body."""
+    if not piece:
+        return b""
+    return b"%x\r\n%s\r\n" % (len(piece), piece)
 
-def head_bytes(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool) -> bytes:
-    """A response's head. length None: chunked (or a status that has no body)."""
-    out = [STATUS_LINES[status]]
-    out += [b"%s: %s\r\n" % row for row in headers]
-    if status not in (204, 304):
-        out.append(b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length)
-    out.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
-    return b"".join(out)
 
+def format_error_body(word: str, reason: str) -> bytes:
+    """Write the JSON body of an error response.
 
-def request_bytes(
-    method: bytes, target: bytes, host: bytes, headers: list[tuple[bytes, bytes]], length: int | None = 0
-) -> bytes:
-    """A request's head. length 0: no body; None: chunked."""
-    out = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
-    out += [b"%s: %s\r\n" % row for row in headers]
-    if length is None:
-        out.append(b"Transfer-Encoding: chunked\r\n")
-    elif length or method in (b"PUT", b"POST"):
-        out.append(b"Content-Length: %d\r\n" % length)
-    out.append(b"\r\n")
-    return b"".join(out)
+    Parameters
+    ----------
+    word
+        The error in one word, for programs.
+    reason
+        For people.
+    """
+    text = reason.replace("\\", "/").replace('"', "'").encode("ascii", "replace")
+    return b'{"error":"%s","reason":"%s"}' % (word.encode(), text)
--- a/fawnspool/net/listener.py
+++ b/fawnspool/net/listener.py
@@ -15,26 +15,35 @@
 SO_TIMESTAMPNS = 35  # Linux: socket(7); on a listener its connections inherit it
 _SO_ATTACH_FILTER = 26  # Linux: socket(7)
 # Classic BPF over the TCP header (bpf(4), linux/filter.h): drop what has SYN and not ACK, pass all else.
-_LOAD_BYTE, _AND, _JUMP_EQUAL, _RETURN = 0x30, 0x54, 0x15, 0x06
-_TCP_FLAGS, _SYN_ACK, _SYN = 13, 0x12, 0x02
+_LOAD_BYTE = 0x30
+_AND = 0x54
+_JUMP_EQUAL = 0x15
+_RETURN = 0x06
+_TCP_FLAGS_OFFSET = 13
+_SYN_ACK = 0x12
+_SYN = 0x02
+_DROP = 0
+_PASS = 0xFFFFFFFF
 _DROP_SYN = (
-    (_LOAD_BYTE, 0, 0, _TCP_FLAGS),
+    (_LOAD_BYTE, 0, 0, _TCP_FLAGS_OFFSET),
     (_AND, 0, 0, _SYN_ACK),
     (_JUMP_EQUAL, 0, 1, _SYN),
-    (_RETURN, 0, 0, 0),
-    (_RETURN, 0, 0, 0xFFFFFFFF),
+    (_RETURN, 0, 0, _DROP),
+    (_RETURN, 0, 0, _PASS),
 )
+_INSTRUCTION = struct.Struct("HBBI")
+_PROGRAM = struct.Struct("HP")
 
 
 def bind(address: tuple[str, int]) -> Any:
-    """A socket bound to `address`; `listen` makes it take connections. Raises OSError naming the address."""
+    """Return a socket bound to `address`; `listen` makes it take connections. Raises OSError naming the address."""
     sock = socket.socket(std.AF_INET, std.SOCK_STREAM)
     sock.setsockopt(std.SOL_SOCKET, std.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
-    except OSError as bad:
+    except OSError as error:
         sock.close()
-        raise OSError(bad.errno, f"can't listen on {address[0]}:{address[1]}: {bad.strerror}") from None
+        raise OSError(error.errno, f"can't listen on {address[0]}:{address[1]}: {error.strerror}") from None
     return sock
 
 
@@ -46,26 +55,34 @@
 
 
 def refuse_connections(sock: Any) -> bool:
-    """No new connection is begun from now on; handshakes under way still end, so that the queue can be emptied before
-    the socket is closed. A close alone resets what lies in the queue, and no look at the queue comes without a gap
-    before the close. False: the system offers no such filter."""
-    code = b"".join(struct.pack("HBBI", *row) for row in _DROP_SYN)
-    program = ctypes.create_string_buffer(code, len(code))
+    """Drop the first packet of new connections from now on.
+
+    Handshakes under way still end, so that the queue can be emptied before the socket is closed. A close alone resets
+    what lies in the queue, and no look at the queue comes without a gap before the close.
+
+    Returns
+    -------
+    bool
+        False where the system offers no such filter.
+    """
+    code = b"".join(_INSTRUCTION.pack(*instruction) for instruction in _DROP_SYN)
+    buffer = ctypes.create_string_buffer(code, len(code))
+    program = _PROGRAM.pack(len(_DROP_SYN), ctypes.addressof(buffer))
     try:
-        sock.setsockopt(std.SOL_SOCKET, _SO_ATTACH_FILTER, struct.pack("HP", len(_DROP_SYN), ctypes.addressof(program)))
+        sock.setsockopt(std.SOL_SOCKET, _SO_ATTACH_FILTER, program)
     except OSError:
         return False
     return True
 
 
 def has_queued(sock: Any) -> bool:
-    """Do connections wait to be accepted?"""
-    look = select.poll()
-    look.register(sock.fileno(), select.POLLIN)
-    return any(event & select.POLLIN for _, event in look.poll(0))
+    """Tell whether connections wait to be accepted."""
+    poll = select.poll()
+    poll.register(sock.fileno(), select.POLLIN)
+    return any(events & select.POLLIN for _, events in poll.poll(0))
 
 
-def address(text: str) -> tuple[str, int]:
-    """("127.0.0.1", 80) from "127.0.0.1:80"."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Return ("127.0.0.1", 80) for "127.0.0.1:80"."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/fawnspool/net/node_headers.py
+++ b/fawnspool/net/node_headers.py
@@ -1,96 +1,142 @@
-"""The headers between heads and nodes; docs/node-wire.md describes them. Reads and writes, decides nothing."""
+"""The headers between gateways and nodes; docs/node-wire.md describes them. Reads and writes, decides nothing."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from urllib.parse import quote, unquote
 
-CALL, TOLD, MOVED = b"fawn-call", b"fawn-told", b"fawn-moved"
+ATTEMPT_HEADER = b"fawn-call"
+REPORT_HEADER = b"fawn-told"
+MOVED_HEADER = b"fawn-moved"
+_ATTEMPT_PARTS = 12
+_TARGET_PARTS = 4  # the empty one before the first slash, "o", volume, key
+_MAX_MOVED_BYTES = 31
+_MS_PER_S = 1000
 
 
 @dataclass(slots=True)
-class Call:
-    """What a head says of an attempt. window and left in seconds."""
-
-    head: int
-    ident: int
+class AttemptHeader:
+    """What a gateway says of an attempt.
+
+    Attributes
+    ----------
+    units
+        Size of the request in units of work.
+    idempotence, deduplication_scope
+        The values of the enums of `fawnspool.scheduling.interface`.
+    deduplication_window_s, time_left_s
+        Seconds; milliseconds on the wire.
+    operation
+        The client's name for the operation.
+    idempotency_key
+        Empty where there is none.
+    """
+
+    gateway_id: int
+    request_id: int
     attempt: int
-    cls: int
+    class_index: int
     units: float
     extent: int
-    effect: str
-    group: str
-    window: float
-    left: float
-    op: str  # the client's name for the operation
-    key: str  # idempotency key; "": none
-
-    def pack(self) -> bytes:
+    idempotence: str
+    deduplication_scope: str
+    deduplication_window_s: float
+    time_left_s: float
+    operation: str
+    idempotency_key: str
+
+    def encode(self) -> bytes:
+        """Return the header's value."""
         return (
-            f"{self.head};{self.ident};{self.attempt};{self.cls};{self.units:g};{self.extent:x};{self.effect};"
-            f"{self.group};{self.window * 1000:.0f};{self.left * 1000:.0f};{self.op};{self.key}"
+            f"{self.gateway_id};{self.request_id};{self.attempt};{self.class_index};{self.units:g};{self.extent:x};"
+            f"{self.idempotence};{self.deduplication_scope};{self.deduplication_window_s * _MS_PER_S:.0f};"
+            f"{self.time_left_s * _MS_PER_S:.0f};{self.operation};{self.idempotency_key}"
         ).encode()
 
 
-def read_call(raw: bytes) -> Call:
-    """Raises ValueError where the field does not read."""
-    part = raw.decode("ascii").split(";")
-    if len(part) != 12:
-        raise ValueError(f"fawn-call has {len(part)} parts, expected 12")
-    return Call(
-        int(part[0]),
-        int(part[1]),
-        int(part[2]),
-        int(part[3]),
-        float(part[4]),
-        int(part[5], 16),
-        part[6],
-        part[7],
-        float(part[8]) / 1000,
-        float(part[9]) / 1000,
-        part[10],
-        part[11],
+def parse_attempt_header(raw: bytes) -> AttemptHeader:
+    """Read the header's value. Raises ValueError where it does not read."""
+    parts = raw.decode("ascii").split(";")
+    if len(parts) != _ATTEMPT_PARTS:
+        text = f"fawn-call has {len(parts)} parts, expected {_ATTEMPT_PARTS}"
+        raise ValueError(text)
+    return AttemptHeader(
+        gateway_id=int(parts[0]),
+        request_id=int(parts[1]),
+        attempt=int(parts[2]),
+        class_index=int(parts[3]),
+        units=float(parts[4]),
+        extent=int(parts[5], 16),
+        idempotence=parts[6],
+        deduplication_scope=parts[7],
+        deduplication_window_s=float(parts[8]) / _MS_PER_S,
+        time_left_s=float(parts[9]) / _MS_PER_S,
+        operation=parts[10],
+        idempotency_key=parts[11],
     )
 
 
 @dataclass(slots=True)
-class Told:
-    """What a node tells with each answer. use: the volume's units a second everywhere; None: no figure."""
-
-    others: int = 0
-    use: float | None = None
+class NodeReport:
+    """What a node reports with each response.
+
+    Attributes
+    ----------
+    served_elsewhere
+        Units that the node has served of the volume for other gateways since its last response to this one.
+    volume_units_per_s
+        The volume's use everywhere; None: no figure.
+    load
+        The fields of the node's load report, in the order of the settings.
+    overloaded
+        The request was rejected unseen: the node is full or draining.
+    """
+
+    served_elsewhere: int = 0
+    volume_units_per_s: float | None = None
     load: tuple[float, ...] = ()
-    full: bool = False
+    overloaded: bool = False
 
-    def pack(self) -> bytes:
-        use = "" if self.use is None else f"{self.use:.4g}"
-        return f"{self.others};{use};{','.join(f'{x:.4g}' for x in self.load)};{int(self.full)}".encode()
+    def encode(self) -> bytes:
+        """Return the header's value."""
+        use = "" if self.volume_units_per_s is None else f"{self.volume_units_per_s:.4g}"
+        load = ",".join(f"{value:.4g}" for value in self.load)
+        return f"{self.served_elsewhere};{use};{load};{int(self.overloaded)}".encode()
 
 
-def read_told(raw: bytes | None) -> Told:
-    """Raises ValueError where the field does not read."""
+def parse_node_report(raw: bytes | None) -> NodeReport:
+    """Read the header's value; None: the response has none. Raises ValueError where it does not read."""
     if raw is None:
-        return Told()
-    others, use, load, full = raw.decode("ascii").split(";")
-    return Told(
-        int(others), float(use) if use else None, tuple(float(x) for x in load.split(",")) if load else (), full == "1"
+        return NodeReport()
+    served_elsewhere, use, load, overloaded = raw.decode("ascii").split(";")
+    return NodeReport(
+        served_elsewhere=int(served_elsewhere),
+        volume_units_per_s=float(use) if use else None,
+        load=tuple(float(value) for value in load.split(",")) if load else (),
+        overloaded=overloaded == "1",
     )
 
 
-def read_moved(raw: bytes | None) -> tuple[int, int] | None:
-    """(cell, generation) that an extent has moved to; None where that is not said."""
-    cell, _, generation = (raw or b"").partition(b";")
-    return (int(cell), int(generation)) if cell.isdigit() and generation.isdigit() and len(raw or b"") < 32 else None
+def parse_moved(raw: bytes | None) -> tuple[int, int] | None:
+    """Return the (shard, generation) that an extent has moved to; None where that is not said."""
+    if raw is None or len(raw) > _MAX_MOVED_BYTES:
+        return None
+    shard, _, generation = raw.partition(b";")
+    if not shard.isdigit() or not generation.isdigit():
+        return None
+    return int(shard), int(generation)
 
 
-def target(volume: str, key: str) -> bytes:
+def object_target(volume: str, key: str) -> bytes:
+    """Return the request target of an object."""
     return f"/o/{quote(volume, safe='')}/{quote(key, safe='')}".encode()
 
 
-def read_target(raw: bytes) -> tuple[str, str, str]:
-    """(volume, key, query). Raises ValueError."""
+def parse_object_target(raw: bytes) -> tuple[str, str, str]:
+    """Return (volume, key, query) of a request target. Raises ValueError."""
     path, _, query = raw.decode("ascii").partition("?")
-    part = path.split("/")
-    if len(part) != 4 or part[1] != "o":
-        raise ValueError(f"no such place: {path[:80]}")
-    return unquote(part[2]), unquote(part[3]), query
+    parts = path.split("/")
+    if len(parts) != _TARGET_PARTS or parts[1] != "o":
+        text = f"no such place: {path[:80]}"
+        raise ValueError(text)
+    return unquote(parts[2]), unquote(parts[3]), query
--- a/fawnspool/net/ranges.py
+++ b/fawnspool/net/ranges.py
@@ -4,41 +4,73 @@
 
 import re
 
+from fawnspool.net.exceptions import RangeNotSatisfiableError
+
 _RANGE = re.compile(r"bytes=\s*(\d*)-(\d*)\s*$")
+_WEAK = "W/"
+
 
+def parse_range(field: str, size: int) -> tuple[int, int] | None:
+    """Read a Range field over a representation of `size` bytes.
 
-def read_range(text: str, size: int) -> tuple[int, int] | None:
-    """(start, length) of a single range over `size` bytes; None: the field is to be ignored, the whole is sent
-    (another unit, or several ranges). Raises IndexError where the range can't be met (416)."""
-    found = _RANGE.match(text)
-    if found is None or found[1] == found[2] == "":
+    Returns
+    -------
+    tuple of (start, length), or None
+        None: the field is to be ignored and the whole sent (another unit, or several ranges).
+
+    Raises
+    ------
+    RangeNotSatisfiableError
+        To be answered with 416.
+    """
+    found = _RANGE.match(field)
+    if found is None:
+        return None
+    first, last = found[1], found[2]
+    if first == last == "":
         return None
-    if found[1] == "":
-        last = int(found[2])
-        if last == 0 or size == 0:
-            raise IndexError
-        return max(0, size - last), min(last, size)
-    start = int(found[1])
-    if found[2] and int(found[2]) < start:
+    if first == "":
+        return _suffix_range(int(last), size)
+    start = int(first)
+    if last and int(last) < start:
         return None
     if start >= size:
-        raise IndexError
-    end = min(int(found[2]) if found[2] else size - 1, size - 1)
+        raise RangeNotSatisfiableError
+    end = size - 1
+    if last:
+        end = min(int(last), end)
     return start, end - start + 1
 
 
-def tag_matches(field: str, etag: str | None, weak: bool) -> bool:
-    """Does If-Match (weak=False) or If-None-Match (weak=True) name `etag`? etag None: there is no object."""
+def _suffix_range(length: int, size: int) -> tuple[int, int]:
+    """Return the range of the last `length` bytes."""
+    if length == 0 or size == 0:
+        raise RangeNotSatisfiableError
+    return max(0, size - length), min(length, size)
+
+
+def etag_matches(field: str, etag: str | None, weak: bool) -> bool:
+    """Tell whether a condition names an entity tag.
+
+    Parameters
+    ----------
+    field
+        The value of If-Match or If-None-Match.
+    etag
+        The object's tag; None: there is no object.
+    weak
+        Whether weak tags count: for If-None-Match they do, for If-Match they don't.
+    """
     if field.strip() == "*":
         return etag is not None
     if etag is None:
         return False
-    for item in field.split(","):
-        item = item.strip()
-        if item.startswith("W/"):
+    for part in field.split(","):
+        tag = part.strip()
+        if tag.startswith(_WEAK):
             if not weak:
                 continue
-            item = item[2:]
-        if item.strip('"') == etag:
+            tag = tag[len(_WEAK) :]
+        if tag.strip('"') == etag:
             return True
     return False
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -1,7 +1,7 @@
 """A small HTTP/1.1 server on gevent: a greenlet a connection, blocking-style, every wait with a deadline.
 
-It frames, bounds and times messages; what a request means is the handler's business. The handler gets an
-`Exchange` and must answer it exactly once; an exchange left unanswered is answered with 500 and closed.
+It frames, bounds and times messages; what a request means is the handler's business. The handler gets an `Exchange`
+and must answer it exactly once; an exchange left unanswered is answered with 500 and its connection closed.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 import math
 import socket as std
 import time
-from collections.abc import Callable
+from collections import Counter
+from collections.abc import Callable, Iterable
 from itertools import islice
 from typing import Any
 
@@ -21,209 +22,263 @@
 from fawnspool.connections.descriptor_limits import is_crowded
 from fawnspool.connections.eviction import WaitingKind, kind_to_evict
 from fawnspool.connections.states import CloseCause
-from fawnspool.net.connection import LINGER_S, Connection, Exchange
+from fawnspool.net.admission_throttle import AdmissionThrottle
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.http import Head, Limits
-from fawnspool.net.listener import address, bind, has_queued, listen, refuse_connections
-from fawnspool.net.socket_stream import Wire
-from fawnspool.net.waits import AdmissionThrottle
+from fawnspool.net.http import RequestHead
+from fawnspool.net.lingering_close import LINGER_S
+from fawnspool.net.listener import bind, has_queued, listen, refuse_connections
+from fawnspool.net.server_connection import Exchange, ServerConnection
+from fawnspool.net.server_options import ServerCallbacks, ServerOptions
+from fawnspool.net.socket_stream import SocketStream
 
-__all__ = ["Connection", "Exchange", "Server", "address", "bind"]
-
-LOOKS = 64  # waiting connections looked at for one that may make room
-FULL_S = 0.01  # a full server looks again so soon
-ACCEPTS = 16  # connections accepted in one turn of the loop, at most
-SETTLE_S = 0.02  # handshakes under way as new connections are refused end within it
-KILL_S = 1.0  # what is killed has so long to end
-STEP_S = 0.002  # between two looks at what is awaited
+_EVICTION_CANDIDATES = 64  # waiting connections looked at, of either kind
+_FULL_RETRY_S = 0.01  # a full server looks again so soon
+_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop, at most
+_HANDSHAKE_S = 0.02  # handshakes under way as new connections are refused end within it
+_KILL_TIMEOUT_S = 1.0  # what is killed has so long to end
+_POLL_S = 0.002
 
 
 class Server:
-    """Listens, accepts, and runs a greenlet for each connection. turn: requests begun in one turn of the loop, at
-    most; 0: no bound. due: until when a request may wait for its turn. silent_close: seconds in which a new
-    connection must begin its first request (None: idle_close). evicts: a whole request must come within
-    piece_timeout, where `most` connections are open the one that has waited longest without a request makes room,
-    and a client that sends over READ_AHEAD bytes behind a request in hand counts as gone. crowd: with so many
-    connections open an answer ends its own; None: never."""
+    """Listens, accepts, and runs a greenlet for each connection.
+
+    Attributes
+    ----------
+    address
+        Where it listens.
+    connections
+        Open connections with their greenlets.
+    idle, new
+        Those that wait for a request, see `ConnectionOwner`.
+    accepted
+        How many connections were accepted.
+    closed_counts
+        How many connections ended, by state and cause.
+    draining
+        Every response is its connection's last.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
         handler: Callable[[Exchange], None],
-        *,
-        limits: Limits | None = None,
-        idle_close: float = 60.0,
-        piece_timeout: float = 10.0,
-        most: int = 4096,
-        on_error: Callable[[Exception], None] | None = None,
-        on_bad: Callable[[HttpError], None] | None = None,
+        options: ServerOptions | None = None,
+        callbacks: ServerCallbacks[ServerConnection] | None = None,
         listener: Any = None,
-        turn: int = 0,
-        due: Callable[[Head, float], float] | None = None,
-        silent_close: float | None = None,
-        evicts: bool = False,
-        crowd: int | None = None,
     ) -> None:
-        self.handler, self.limits = handler, limits or Limits()
-        self.idle_close, self.piece_timeout, self.most = idle_close, piece_timeout, most
-        self.on_error = on_error or (lambda bad: None)
-        self.on_bad = on_bad or (lambda bad: None)
-        self.open: dict[Connection, Any] = {}
-        self.silent_close, self.evicts = idle_close if silent_close is None else silent_close, evicts
-        self.crowd = crowd
+        """Bind to `address`, or take over `listener`, a socket that is bound already."""
+        self.handler = handler
+        self.options = options or ServerOptions()
+        self.callbacks = callbacks or ServerCallbacks[ServerConnection]()
+        self.connections: dict[ServerConnection, Any] = {}
+        self.idle: dict[ServerConnection, None] = {}
+        self.new: dict[ServerConnection, None] = {}
         self.accepted = 0
-        self.closings: dict[tuple[str, str], int] = {}  # connections that ended, by state and cause
-        self.on_unanswered: Callable[[Connection], None] = lambda conn: None
-        self.idle: dict[Connection, None] = {}  # between two requests, the longest first
-        self.silent: dict[Connection, None] = {}  # before their first one
-        self.stopping = False  # the listener is closed
-        self.leaving = False  # every answer is its connection's last
-        self.closing_until = math.inf  # nothing is waited for any longer (monotonic)
-        self.final = False  # nothing more is read
-        self.turnstile = AdmissionThrottle(turn) if turn else None
-        self.due = due or (lambda head, came: came + piece_timeout)
+        self.closed_counts: Counter[tuple[str, str]] = Counter()
+        self.draining = False
+        self.closing_until = math.inf
+        self.reading_ended = False
+        self.throttle: AdmissionThrottle | None = None
+        if self.options.max_starts_per_turn is not None:
+            self.throttle = AdmissionThrottle(self.options.max_starts_per_turn)
         self.sock = listener if listener is not None else bind(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
-        self.acceptor: Any = None
+        self._listener_closed = False
+        self._acceptor: Any = None
 
     def start(self) -> None:
         """Listen and accept. Raises OSError where another listens there."""
         listen(self.sock)
-        self.acceptor = gevent.spawn(self._accept)
+        self._acceptor = gevent.spawn(self._accept)
+
+    # ------------------------------------------------------------ accepting
 
     def _accept(self) -> None:
         turns = 0
-        while not self.stopping:
+        while not self._listener_closed:
             turns += 1
-            if turns % ACCEPTS == 0:
+            if turns % _ACCEPTS_PER_TURN == 0:
                 gevent.sleep(0)  # a flood of connections must not hold up those that stand
             try:
-                if self.evicts and len(self.open) >= self.most:
-                    # Whoever comes now waits to be accepted until a place is free: it is not closed unheard.
-                    socket.wait_read(self.sock.fileno())
-                    if not self.evict_idle():
-                        gevent.sleep(FULL_S)
-                        continue
-                self._take(*self.sock.accept())
-            except OSError as bad:
-                if self.stopping:
+                if self.options.untrusted_clients and self._is_full() and not self._make_room():
+                    continue
+                sock, _ = self.sock.accept()
+                self._take(sock)
+            except OSError as error:
+                if self._listener_closed:
                     return
-                self._accept_failed(bad)
+                self._accept_failed(error)
+
+    def _is_full(self) -> bool:
+        return len(self.connections) >= self.options.max_connections
+
+    def _make_room(self) -> bool:
+        """Wait for somebody to come, then evict a connection. False: none may be evicted yet.
 
-    def _take(self, sock: Any, peer: Any) -> None:
+        Whoever comes to a full server waits to be accepted until a place is free: it is not closed unheard.
+        """
+        socket.wait_read(self.sock.fileno())
+        if self.evict_waiting():
+            return True
+        gevent.sleep(_FULL_RETRY_S)
+        return False
+
+    def _take(self, sock: Any) -> None:
         """A connection was accepted."""
-        if len(self.open) >= self.most and not self.evicts:
+        if self._is_full() and not self.options.untrusted_clients:
             sock.close()
             return
         plain = std.socket(fileno=sock.detach())
         plain.setsockopt(std.IPPROTO_TCP, std.TCP_NODELAY, 1)
         self.accepted += 1
-        conn = Connection(self, Wire(plain), peer, self.accepted)
-        self.open[conn] = gevent.spawn(self._run, conn)
+        connection = ServerConnection(self, SocketStream(plain), self.accepted)
+        self.connections[connection] = gevent.spawn(self._run, connection)
 
-    def _accept_failed(self, bad: OSError) -> None:
+    def _accept_failed(self, error: OSError) -> None:
         """Whatever it is, a server that takes nobody is worse than one that tries again."""
-        if bad.errno in (errno.EMFILE, errno.ENFILE):
-            if not self.evicts or not self.evict_idle():
-                gevent.sleep(FULL_S)  # out of descriptors: wait for one to be closed
-        elif bad.errno != errno.ECONNABORTED:
-            self.on_error(bad)
-            gevent.sleep(FULL_S)
-
-    def evict_idle(self) -> bool:
-        """Close the connection that has waited longest, of the kind that makes room; False: none waits. One whose
-        request has come and is only not read yet does not wait."""
-        kind = kind_to_evict(len(self.idle), len(self.silent))
+        if error.errno in (errno.EMFILE, errno.ENFILE):
+            if not self.options.untrusted_clients or not self.evict_waiting():
+                gevent.sleep(_FULL_RETRY_S)  # out of descriptors: wait for one to be closed
+        elif error.errno != errno.ECONNABORTED:
+            self.note_error(error)
+            gevent.sleep(_FULL_RETRY_S)
+
+    def _run(self, connection: ServerConnection) -> None:
+        try:
+            connection.run()
+        finally:
+            self.connections.pop(connection, None)
+
+    def evict_waiting(self) -> bool:
+        """Close the connection that has waited longest for a request, of the kind that `kind_to_evict` says.
+
+        One whose request has come and is only not read yet does not wait.
+
+        Returns
+        -------
+        bool
+            False where none waits.
+        """
+        kind = kind_to_evict(len(self.idle), len(self.new))
         if kind is None:
             return False
-        first, then = (self.silent, self.idle) if kind is WaitingKind.NEW else (self.idle, self.silent)
-        for conn in [*islice(first, LOOKS), *islice(then, LOOKS)]:
-            if conn.wire.unread():
+        first, then = (self.new, self.idle) if kind is WaitingKind.NEW else (self.idle, self.new)
+        for connection in [*islice(first, _EVICTION_CANDIDATES), *islice(then, _EVICTION_CANDIDATES)]:
+            if connection.stream.has_unread():
                 continue
-            self.idle.pop(conn, None)
-            self.silent.pop(conn, None)
-            self.open.pop(conn, None)
-            conn.cause = CloseCause.EVICTION
-            conn.wire.close()
+            self.idle.pop(connection, None)
+            self.new.pop(connection, None)
+            self.connections.pop(connection, None)
+            connection.cause = CloseCause.EVICTION
+            connection.stream.close()
             return True
         return False
 
-    def last_answer(self) -> bool:
-        """Must a connection end with its answer? Its client is told, and sends nothing more on it."""
-        return self.leaving or is_crowded(len(self.open), self.crowd)
+    # ------------------------------------------------------------ what its connections ask and tell
 
-    def stop_accepting(self, until: float) -> None:
-        """Refuse new connections from now on, and close the listener once those that the system has accepted are
-        taken; at `until` (monotonic) at the latest."""
-        if self.stopping:
-            return
-        refuse_connections(self.sock)
-        gevent.sleep(SETTLE_S)
-        while not self.stopping and has_queued(self.sock) and time.monotonic() < until:
-            gevent.sleep(STEP_S)
-        self.close_listener()
+    def is_last_response(self) -> bool:
+        """Tell whether a connection must end with its response: its client is told, and sends nothing more on it."""
+        return self.draining or is_crowded(len(self.connections), self.options.crowded_from)
 
-    def closing_down(self, until: float) -> None:
-        """From now on every answer is its connection's last; those that wait for a request end now, but for those
-        whose request has come meanwhile: it is served. No wait lasts longer than `until` (monotonic)."""
-        self.leaving, self.closing_until = True, until
-        self._expire([*self.idle, *self.silent])
+    def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
+        """Return until when a request may wait for its turn (monotonic seconds)."""
+        if self.callbacks.start_deadline is None:
+            return arrived_at + self.options.read_timeout_s
+        return self.callbacks.start_deadline(head, arrived_at)
 
-    def finish(self) -> None:
-        """Nothing more is read; whose request has come in part alone is told that this server ends."""
-        self.leaving = self.final = True
-        self.closing_until = min(self.closing_until, time.monotonic())
-        self._expire(list(self.open))
+    def note_error(self, error: Exception) -> None:
+        """Tell of an error that is no client's."""
+        if self.callbacks.on_error is not None:
+            self.callbacks.on_error(error)
 
-    def _expire(self, conns: list[Connection]) -> None:
-        """Their waits to read are over, if they wait still: what lies there is read, as at any deadline."""
-        for conn in conns:
-            get_hub().loop.run_callback(conn.wire.expire_wait)
+    def note_rejected(self, error: HttpError) -> None:
+        """Tell of a request that was rejected."""
+        if self.callbacks.on_rejected is not None:
+            self.callbacks.on_rejected(error)
 
-    def note_end(self, conn: Connection) -> None:
+    def note_end(self, connection: ServerConnection) -> None:
         """Count a connection's end by state and cause; tell of a request that it leaves unanswered."""
-        cause = conn.cause or CloseCause.INTERNAL_ERROR
-        key = (conn.state.value, cause.value)
-        self.closings[key] = self.closings.get(key, 0) + 1
-        exchange = conn.exchange
-        if exchange is not None and not exchange.answered and cause not in (CloseCause.PEER_CLOSED, CloseCause.RESET):
-            self.on_unanswered(conn)
+        cause = connection.cause or CloseCause.INTERNAL_ERROR
+        self.closed_counts[connection.state.value, cause.value] += 1
+        exchange = connection.exchange
+        if exchange is None or exchange.answered or cause in (CloseCause.PEER_CLOSED, CloseCause.RESET):
+            return
+        if self.callbacks.on_unanswered is not None:
+            self.callbacks.on_unanswered(connection)
 
     def states(self) -> dict[str, int]:
-        """How many connections are open, by state."""
-        counts: dict[str, int] = {}
-        for conn in self.open:
-            counts[conn.state.value] = counts.get(conn.state.value, 0) + 1
-        return counts
+        """Return how many connections are open, by state."""
+        return dict(Counter(connection.state.value for connection in self.connections))
 
-    def _run(self, conn: Connection) -> None:
-        try:
-            conn.run()
-        finally:
-            self.open.pop(conn, None)
+    # ------------------------------------------------------------ its end
+
+    def stop_accepting(self, until: float) -> None:
+        """Refuse new connections from now on, and close the listener.
+
+        It is closed once the connections that the system has accepted are taken.
+
+        Parameters
+        ----------
+        until
+            Monotonic seconds at which it is closed at the latest.
+        """
+        if self._listener_closed:
+            return
+        refuse_connections(self.sock)
+        gevent.sleep(_HANDSHAKE_S)
+        while not self._listener_closed and has_queued(self.sock) and time.monotonic() < until:
+            gevent.sleep(_POLL_S)
+        self.close_listener()
 
     def close_listener(self) -> None:
-        self.stopping = True
-        if self.acceptor is not None:
-            self.acceptor.kill(block=False)
+        """Close the listener at once: the system resets what it has accepted and nobody has taken."""
+        self._listener_closed = True
+        if self._acceptor is not None:
+            self._acceptor.kill(block=False)
         self.sock.close()
 
-    def stop(self, grace: float = 0.0) -> None:
-        """Take no more; let what is in hand end within `grace` seconds, then close."""
-        until = time.monotonic() + grace
-        if grace:
+    def drain(self, until: float) -> None:
+        """Let every response be its connection's last from now on, and end the connections that wait for a request.
+
+        One whose request has come meanwhile is served.
+
+        Parameters
+        ----------
+        until
+            Monotonic seconds past which nothing is waited for.
+        """
+        self.draining = True
+        self.closing_until = until
+        self._expire_waits([*self.idle, *self.new])
+
+    def end_reading(self) -> None:
+        """Read nothing more; a client whose request has come in part alone is told that this server ends."""
+        self.draining = True
+        self.reading_ended = True
+        self.closing_until = min(self.closing_until, time.monotonic())
+        self._expire_waits(self.connections)
+
+    def _expire_waits(self, connections: Iterable[ServerConnection]) -> None:
+        """Their waits to read are over, if they wait still: what lies there is read, as at any deadline."""
+        for connection in list(connections):
+            get_hub().loop.run_callback(connection.stream.expire_wait)
+
+    def stop(self, grace_s: float = 0.0) -> None:
+        """Take no more; let what is being handled end within `grace_s` seconds, then close."""
+        if grace_s:
+            until = time.monotonic() + grace_s
             self.stop_accepting(until)
-            self.closing_down(until)
-            gevent.joinall(list(self.open.values()), timeout=until - time.monotonic())
-            self.finish()
-            gevent.joinall(list(self.open.values()), timeout=LINGER_S)
+            self.drain(until)
+            gevent.joinall(list(self.connections.values()), timeout=until - time.monotonic())
+            self.end_reading()
+            gevent.joinall(list(self.connections.values()), timeout=LINGER_S)
         self.close_listener()
-        gevent.killall(list(self.open.values()), timeout=KILL_S)
-        if self.turnstile is not None:
-            self.turnstile.close()
-            self.turnstile = None
+        gevent.killall(list(self.connections.values()), timeout=_KILL_TIMEOUT_S)
+        if self.throttle is not None:
+            self.throttle.close()
+            self.throttle = None
 
     def reset_all(self) -> None:
         """Break every open connection with a reset, as a dying process or a middlebox would."""
-        for conn in list(self.open):
-            conn.wire.reset()
+        for connection in list(self.connections):
+            connection.stream.reset()
--- /dev/null
+++ b/fawnspool/net/timer_wheel.py
@@ -0,0 +1,102 @@
+"""A hashed timer wheel: the deadlines of all waits of one thread.
+
+gevent's own waits make a timer and a waiter object each, which cost a fifth of a gateway's time per request
+(docs/measurements.md). Here a wait is one entry in a wheel that is looked at every `TICK_S` seconds: a wait may end so
+much late, and never early.
+"""
+
+from __future__ import annotations
+
+import time
+from heapq import heappop, heappush
+from typing import Any, Protocol
+
+from gevent.hub import get_hub
+
+TICK_S = 0.002
+_MIN_HEAP_TO_COMPACT = 64  # ticks; a smaller heap is not worth compacting
+_STALE_FACTOR = 4  # a heap with so many times the ticks in use is compacted
+
+
+class TimedWait(Protocol):
+    """Something that waits until a deadline at most."""
+
+    def expire(self) -> None:
+        """The deadline has come. Called from the event loop itself."""
+
+
+class TimerWheel:
+    """Waits by the tick of their deadline, with one timer set for the earliest tick.
+
+    Most waits end before their deadline, so adding and removing are cheap and only the ticks in use are sorted.
+    """
+
+    def __init__(self) -> None:
+        self.heap: list[int] = []  # ticks in use; some are gone by now, some stand twice
+        self.hub = get_hub()
+        self._waits: dict[int, set[TimedWait]] = {}  # by tick
+        self._timer_tick: int | None = None  # that the timer is set for
+        self._timer: Any = None
+
+    def add(self, deadline: float, wait: TimedWait) -> int:
+        """Add a wait until `deadline` (monotonic seconds).
+
+        Returns
+        -------
+        int
+            Its tick, which `remove` needs.
+        """
+        tick = int(deadline / TICK_S) + 1
+        waits = self._waits.get(tick)
+        if waits is not None:
+            waits.add(wait)
+            return tick
+        self._waits[tick] = {wait}
+        heappush(self.heap, tick)
+        if self._timer_tick is None or tick < self._timer_tick:
+            self._set_timer(tick)
+        return tick
+
+    def remove(self, tick: int, wait: TimedWait) -> None:
+        """Remove a wait, whether or not it has expired."""
+        waits = self._waits.get(tick)
+        if waits is None:
+            return
+        waits.discard(wait)
+        if not waits:
+            del self._waits[tick]
+            self._compact()
+
+    def _compact(self) -> None:
+        """Drop ticks without a wait once they are the most."""
+        if len(self.heap) > _MIN_HEAP_TO_COMPACT and len(self.heap) > _STALE_FACTOR * len(self._waits):
+            self.heap = sorted(self._waits)
+
+    def _set_timer(self, tick: int) -> None:
+        if self._timer is not None:
+            self._timer.stop()
+            self._timer.close()
+        self._timer_tick = tick
+        self._timer = self.hub.loop.timer(max(0.0, tick * TICK_S - time.monotonic()))
+        self._timer.start(self._expire_due)
+
+    def _expire_due(self) -> None:
+        now = int(time.monotonic() / TICK_S)
+        self._timer_tick = None
+        while self.heap and (self.heap[0] <= now or not self._waits.get(self.heap[0])):
+            for wait in self._waits.pop(heappop(self.heap), ()):
+                wait.expire()
+        if self.heap and (self._timer_tick is None or self.heap[0] < self._timer_tick):
+            self._set_timer(self.heap[0])
+
+
+_wheels: dict[int, TimerWheel] = {}  # by the identity of their hub
+
+
+def current_wheel() -> TimerWheel:
+    """Return the wheel of this thread's hub."""
+    hub = get_hub()
+    found = _wheels.get(id(hub))
+    if found is None or found.hub is not hub:
+        found = _wheels[id(hub)] = TimerWheel()
+    return found
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -74,7 +74,7 @@
         """Discovery is elsewhere from now on: a watch goes on there, from the version that is held."""
         self.log.info("discovery moves", to=f"{address[0]}:{address[1]}")
         old, watched = self.pool, self.watching is not None
-        self.pool = old.at(address)
+        self.pool = old.for_address(address)
         self.watch(False)  # what the old place still says tells nothing any more
         old.close_idle()
         if watched:
--- a/fawnspool/relay/node_client.py
+++ b/fawnspool/relay/node_client.py
@@ -5,10 +5,10 @@
 import math
 import time
 
-from fawnspool.gateway.attempt_results import Ending
-from fawnspool.gateway.attempts import Heard
+from fawnspool.gateway.attempt_results import AttemptEnding
+from fawnspool.gateway.attempts import NodeFeedback
 from fawnspool.gateway.request_state import Attempt, Pending
-from fawnspool.net.http import Status, request_bytes
+from fawnspool.net.http import ResponseHead, format_request_head
 from fawnspool.scheduling.interface import Settings
 
 BODY_USUAL = 65536  # bytes of a body (PROTOCOL)
@@ -19,15 +19,15 @@
 class ShelfSpeech:
     """An answer's report that does not read tells nothing; the answer itself stays good."""
 
-    streams = False
-    hold_most = BODY_MOST
+    streams_large = False
+    max_buffered_bytes = BODY_MOST
 
     def __init__(self, settings: Settings) -> None:
         self.fields = settings.load_report_fields
 
-    def head(self, pending: Pending, attempt: Attempt) -> bytes:
+    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
         left = max(1, round((attempt.deadline - time.monotonic()) * 1000))
-        return request_bytes(
+        return format_request_head(
             pending.method,
             pending.target,
             b"shelf",
@@ -35,10 +35,10 @@
             pending.body.length,
         )
 
-    def told(self, pending: Pending, status: Status) -> Heard:
-        h = status.headers
+    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+        h = head.headers
         used, others = _figure(h.get(b"x-volume-use")), _figure(h.get(b"x-served-elsewhere"))
-        return Heard(int(others or 0), None if used is None else used / 100, self._load(h.get(b"server-load")))
+        return NodeFeedback(int(others or 0), None if used is None else used / 100, self._load(h.get(b"server-load")))
 
     def _load(self, raw: bytes | None) -> tuple[float, ...]:
         """The report's values in the order of the settings; () where one is missing or does not read."""
@@ -48,12 +48,12 @@
         values = [_figure(pairs.get(name.encode())) for name in self.fields]
         return () if None in values else tuple(v for v in values if v is not None)
 
-    def ending(self, status: Status) -> Ending:
-        if status.code == 200:
-            return Ending.ANSWERED
-        if status.code in (503, 504) and status.headers.get(_NOT_STARTED) == b"1":
-            return Ending.TURNED_AWAY
-        return Ending.NODE_ERROR  # 500, and whatever else can't be read as "never ran"
+    def ending(self, head: ResponseHead) -> AttemptEnding:
+        if head.code == 200:
+            return AttemptEnding.ANSWERED
+        if head.code in (503, 504) and head.headers.get(_NOT_STARTED) == b"1":
+            return AttemptEnding.REJECTED
+        return AttemptEnding.NODE_ERROR  # 500, and whatever else can't be read as "never ran"
 
 
 def _figure(raw: bytes | None) -> float | None:
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -17,7 +17,8 @@
 from fawnspool.connections.descriptor_limits import divide_descriptors
 from fawnspool.connections.idle_timeouts import NODE_COOLDOWN_S, NODE_IDLE_FRACTION
 from fawnspool.connections.shutdown import shutdown_schedule
-from fawnspool.gateway.core import Core, PoolBounds
+from fawnspool.gateway.core import Core
+from fawnspool.net.connection_pool import PoolOptions
 from fawnspool.relay.config import ConfigError, RelayConfig, load
 from fawnspool.relay.discovery import Discovery
 from fawnspool.relay.node_client import ShelfSpeech
@@ -45,12 +46,12 @@
             s,
             Scheduler(s, config.seed),
             ShelfSpeech(s),
-            PoolBounds(
+            PoolOptions(
                 bounds.per_node,
                 s.connect_timeout_s or 0.25,
                 NODE_IDLE_FRACTION * config.idle_close,
                 lenient=True,
-                cooldown=NODE_COOLDOWN_S,
+                cooldown_s=NODE_COOLDOWN_S,
             ),
             Sums(),
             self.log,
@@ -76,9 +77,9 @@
             now = self.figures()
             self.log.info(
                 "state",
-                connections=len(self.front.server.open),
+                connections=len(self.front.server.connections),
                 in_hand=len(self.front.open),
-                to_shelfs=sum(p.open for p in self.core.pools.values()),
+                to_shelfs=sum(p.open_count for p in self.core.pools.values()),
                 **{k: round(v - before.get(k, 0), 4) for k, v in now.items() if v != before.get(k, 0)},
                 nodes=self.nodes(),
             )
@@ -92,7 +93,7 @@
         rows += [(f"attempt ended: {how}", n) for how, n in m.endings.items()]
         rows += [(f"bad {status}", n) for status, n in m.bad_requests.items()]
         rows += [(f"{outcome}: {why}", n) for (outcome, why), n in m.reasons.items()]
-        rows += [(f"closed {state}: {why}", n) for (state, why), n in self.front.server.closings.items()]
+        rows += [(f"closed {state}: {why}", n) for (state, why), n in self.front.server.closed_counts.items()]
         rows += [("accepted", self.front.server.accepted)]
         rows += [
             ("module_s", m.module_seconds),
@@ -119,7 +120,7 @@
 
     def free_descriptor(self) -> bool:
         """Close a connection that can be spared, a client's or one to a shelf: its descriptor is needed more."""
-        return self.front.server.evict_idle() or self.core.close_one_idle()
+        return self.front.server.evict_waiting() or self.core.close_one_idle()
 
     def reload(self) -> None:
         """SIGHUP: the file was replaced. What can change under load is where discovery is; the rest needs a restart."""
@@ -143,19 +144,19 @@
         longest = max(c.deadline_s for c in self.config.settings.classes)
         end = shutdown_schedule(told, NEW_S, MORE_S + min(COUNTED_S, longest))
         self.front.until = end.answered_by
-        server.crowd = None  # new connections end soon: from now on every kept one is needed
+        server.options.crowded_from = None  # new connections end soon: from now on every kept one is needed
         self._log_step("ending")
-        _wait_until(end.refuse_at, lambda: time.monotonic() >= end.unused_from and not server.open)
-        server.leaving = True
+        _wait_until(end.refuse_at, lambda: time.monotonic() >= end.unused_from and not server.connections)
+        server.draining = True
         self._log_step("new connections are refused")
         server.stop_accepting(end.close_idle_at)
-        _wait_until(end.close_idle_at, lambda: not server.open)
+        _wait_until(end.close_idle_at, lambda: not server.connections)
         self._log_step("idle connections are closed")
-        server.closing_down(end.answered_by)
-        _wait_until(end.answered_by, lambda: not server.open)
+        server.drain(end.answered_by)
+        _wait_until(end.answered_by, lambda: not server.connections)
         self.front.end_all()
-        server.finish()
-        _wait_until(end.exit_by, lambda: not server.open)
+        server.end_reading()
+        _wait_until(end.exit_by, lambda: not server.connections)
         self._log_step("ended", after_s=round(time.monotonic() - told, 2))
         self.ended.set()
 
@@ -164,7 +165,7 @@
         self.log.info(
             step,
             in_hand=len(self.front.open),
-            connections=len(server.open),
+            connections=len(server.connections),
             states=server.states(),
             accepted=server.accepted,
             **more,
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -17,9 +17,10 @@
 from fawnspool.gateway.core import Core
 from fawnspool.gateway.request_state import Body, Kind, Pending
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.http import Head as MessageHead
-from fawnspool.net.http import Limits
-from fawnspool.net.server import Connection, Exchange, Server
+from fawnspool.net.http import MessageLimits, RequestHead
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange, ServerConnection
+from fawnspool.net.server_options import ServerCallbacks, ServerOptions
 from fawnspool.relay.node_client import BODY_MOST, BODY_USUAL
 from fawnspool.scheduling.interface import Idempotence, Request, Settings
 
@@ -50,19 +51,23 @@
         self.server = Server(
             listen,
             self.handle,
-            limits=Limits(HEAD_BYTES, HEAD_FIELDS),
-            idle_close=CLIENT_IDLE_TIMEOUT_S,
-            silent_close=REQUEST_TIMEOUT_S,
-            piece_timeout=REQUEST_TIMEOUT_S,
-            most=limits.clients,
-            on_error=self._error,
-            on_bad=self._bad,
-            turn=TURN,
-            due=self._due,
-            evicts=True,
-            crowd=limits.crowded_from,
+            ServerOptions(
+                MessageLimits(HEAD_BYTES, HEAD_FIELDS),
+                idle_timeout_s=CLIENT_IDLE_TIMEOUT_S,
+                first_request_timeout_s=REQUEST_TIMEOUT_S,
+                read_timeout_s=REQUEST_TIMEOUT_S,
+                max_connections=limits.clients,
+                max_starts_per_turn=TURN,
+                untrusted_clients=True,
+                crowded_from=limits.crowded_from,
+            ),
+            ServerCallbacks(
+                on_error=self._error,
+                on_rejected=self._bad,
+                on_unanswered=self._unanswered,
+                start_deadline=self._due,
+            ),
         )
-        self.server.on_unanswered = self._unanswered
 
     def start(self) -> None:
         self.server.start()
@@ -79,7 +84,7 @@
         counts = self.core.metrics.bad_requests
         counts[bad.status] = counts.get(bad.status, 0) + 1
 
-    def _unanswered(self, conn: Connection) -> None:
+    def _unanswered(self, conn: ServerConnection) -> None:
         """A request was read and its connection ends without an answer."""
         head = conn.exchange.head if conn.exchange is not None else None
         ident = b"" if head is None else head.headers.get(b"request-id", b"")
@@ -87,12 +92,12 @@
             "request left unanswered",
             id=ident.decode("ascii", "replace"),
             connection=conn.number,
-            connection_age_s=round(time.monotonic() - conn.opened, 4),
+            connection_age_s=round(time.monotonic() - conn.opened_at, 4),
             state=conn.state.value,
             cause=conn.cause.value if conn.cause is not None else "",
         )
 
-    def _due(self, head: MessageHead, came: float) -> float:
+    def _due(self, head: RequestHead, came: float) -> float:
         """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
         raw = head.headers.get(b"request-timeout-ms", b"")
         return came + (int(raw) / 1000 if _COUNT.fullmatch(raw) else REQUEST_TIMEOUT_S)
@@ -141,8 +146,8 @@
             exchange,
             ident.decode(),
             "",
-            exchange.came,
-            exchange.came + patience - margin,
+            exchange.arrived_at,
+            exchange.arrived_at + patience - margin,
             cls.name,
             plan.name,
         )
@@ -202,9 +207,9 @@
         parts = []
         for piece in exchange.body():
             parts.append(piece)
-            if exchange.seen > BODY_MOST:
+            if exchange.body_bytes > BODY_MOST:
                 raise HttpError(413, f"a body has {BODY_MOST} bytes at most")
-            self._hold(exchange, exchange.seen)
+            self._hold(exchange, exchange.body_bytes)
         return b"".join(parts)
 
     def _finish(self, pending: Pending, exchange: Exchange) -> None:
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -22,9 +22,9 @@
 from fawnspool.days.day import Day
 from fawnspool.days.retry import pause_before_next
 from fawnspool.days.traffic import Op
-from fawnspool.net.client import Link
+from fawnspool.net.client_connection import ClientConnection
 from fawnspool.net.exceptions import ConnectionLostError, HttpError
-from fawnspool.net.http import request_bytes
+from fawnspool.net.http import format_request_head
 from fawnspool.net.socket_stream import connect
 
 _BLOCK = 1 << 16
@@ -62,7 +62,7 @@
     ) -> None:
         self.day, self.ops, self.heads, self.note, self.held = day, ops, heads, note, held
         self.random = Random(f"{seed}-clients")
-        self.idle: dict[int, deque[Link]] = defaultdict(deque)
+        self.idle: dict[int, deque[ClientConnection]] = defaultdict(deque)
         self.fresh: dict[str, deque[tuple[str, int]]] = defaultdict(lambda: deque(maxlen=FRESH_MOST))
         self.ended: list[Ended] = []
 
@@ -132,7 +132,7 @@
             first = int(op.part[0] * size)
             count = max(1, min(size - first, int(op.part[1] * size)))
             headers.append((b"Range", b"bytes=%d-%d" % (first, first + count - 1)))
-        raw = request_bytes(
+        raw = format_request_head(
             b"PUT" if op.writes else b"GET",
             f"/v1/volumes/{op.volume}/objects/{key}".encode(),
             b"head",
@@ -178,16 +178,16 @@
         until = deadline + 0.25
         try:
             link.send(raw + body, until)
-            answer = link.begin_answer(until)
+            answer = link.read_head(until)
             status, how = answer.code, "cut"
-            got = link.body(until)
+            got = link.read_body(until)
             advice = int(answer.headers.get(b"fawn-retry-after-ms", b"0")) / 1000
             how = "served" if status in (200, 201, 204, 206) else "refused" if status == 503 else "failed"
             self._keep(op, n, head, link, answer.keep_alive)
         except TimeoutError:
             link.close()
         except ConnectionLostError as bad:
-            how = "unreached" if not bad.request_written and not link.fresh else "closed" if how == "none" else "cut"
+            how = "unreached" if not bad.request_written and not link.is_new else "closed" if how == "none" else "cut"
             link.close()
         except (HttpError, OSError):
             how = "closed" if how == "none" else "cut"
@@ -203,20 +203,20 @@
             self.note("wrong", op=op.name, n=n, head=head, key=key, size=-1)  # a written object is not found
         return how, advice
 
-    def _link(self, head: int, deadline: float) -> Link:
+    def _link(self, head: int, deadline: float) -> ClientConnection:
         rows = self.idle[head]
         while rows:
             link = rows.pop()
-            if not link.stale():
-                link.fresh = False
+            if not link.is_stale():
+                link.is_new = False
                 return link
-            if not link.wire.peer_left():
+            if not link.stream.peer_left():
                 self.note("extra", op="?", n=0, head=head)
             link.close()
-        return Link(connect(self.heads[head], min(deadline, time.monotonic() + 0.5)))
+        return ClientConnection(connect(self.heads[head], min(deadline, time.monotonic() + 0.5)))
 
-    def _keep(self, op: Op, n: int, head: int, link: Link, keep: bool) -> None:
-        if link.stale() and not link.wire.peer_left():
+    def _keep(self, op: Op, n: int, head: int, link: ClientConnection, keep: bool) -> None:
+        if link.is_stale() and not link.stream.peer_left():
             self.note("extra", op=op.name, n=n, head=head)  # bytes behind the final answer
             link.close()
         elif keep:
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -32,10 +32,18 @@
 
 from fawnspool.extents.replicas import ReplicaResult, ReplicaRole
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
-from fawnspool.net.exceptions import ClientDisconnectedError, HttpError
-from fawnspool.net.node_headers import MOVED, Call, Told, read_call, read_target
-from fawnspool.net.ranges import read_range, tag_matches
-from fawnspool.net.server import Exchange, Server
+from fawnspool.net.exceptions import ClientDisconnectedError, HttpError, RangeNotSatisfiableError
+from fawnspool.net.node_headers import (
+    MOVED_HEADER,
+    AttemptHeader,
+    NodeReport,
+    parse_attempt_header,
+    parse_object_target,
+)
+from fawnspool.net.ranges import etag_matches, parse_range
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
+from fawnspool.net.server_options import ServerCallbacks, ServerOptions
 from fawnspool.records.frames import Writer
 from fawnspool.standins.clients import lag_meter
 from fawnspool.standins.moving import Gate, Sides
@@ -169,10 +177,10 @@
         return Server(
             address,
             self._handle,
-            idle_close=120.0,
-            piece_timeout=30.0,
-            most=20_000,
-            on_error=lambda bad: traceback.print_exception(bad),
+            ServerOptions(
+                idle_timeout_s=120.0, first_request_timeout_s=120.0, read_timeout_s=30.0, max_connections=20_000
+            ),
+            ServerCallbacks(on_error=lambda bad: traceback.print_exception(bad)),
         )
 
     @property
@@ -246,13 +254,13 @@
             if due > now:
                 self.wake.wait(due - now)
 
-    def _serve_time(self, call: Call, writes: bool, exchange: Exchange) -> str:
+    def _serve_time(self, call: AttemptHeader, writes: bool, exchange: Exchange) -> str:
         """Wait out the work: "done", "full", "dropped" (its time was up), "left" (the sender hung up)."""
         if not self.traits.unit_time:
             return "done"
         now = time.monotonic()
         self.number += 1
-        work = Work(self.number, call.units, writes, call.extent, call.attempt == 0, now + call.left)
+        work = Work(self.number, call.units, writes, call.extent, call.attempt == 0, now + call.time_left_s)
         self.works[work.ident] = waiter = AsyncResult()
         taken = self.behaviour.arrive(now, work)
         self.wake.set()  # also where it is turned away: something may have ended until now
@@ -283,11 +291,11 @@
         if head.target.startswith(b"/-/"):
             return self._control(exchange)
         if self._hit(self.faults.hang_up):
-            exchange.conn.wire.reset()
+            exchange.connection.stream.reset()
             raise ClientDisconnectedError
         try:
-            volume, key, query = read_target(head.target)
-            call = read_call(head.headers.get(b"fawn-call", b""))
+            volume, key, query = parse_object_target(head.target)
+            call = parse_attempt_header(head.headers.get(b"fawn-call", b""))
         except ValueError as bad:
             raise HttpError(400, str(bad)) from None
         writes = head.method in (b"PUT", b"DELETE")
@@ -303,15 +311,15 @@
         came = time.monotonic()
         self.note(
             "in",
-            head=call.head,
-            id=call.ident,
+            head=call.gateway_id,
+            id=call.request_id,
             n=call.attempt,
-            cls=call.cls,
+            cls=call.class_index,
             units=call.units,
-            op=call.op,
+            op=call.operation,
             vol=volume,
             x=call.extent,
-            e=call.effect,
+            e=call.idempotence,
             w=writes,
             m=head.method.decode(),
         )
@@ -339,19 +347,21 @@
                 draft.drop()
 
     def _elsewhere(
-        self, exchange: Exchange, call: Call, volume: str, key: str, where: ReplicaResult, came: float
+        self, exchange: Exchange, call: AttemptHeader, volume: str, key: str, where: ReplicaResult, came: float
     ) -> None:
         """Nothing was done: another node serves the extent (421), or none does yet (425)."""
         side = self.sides.side(volume, key)
         moved = where is ReplicaResult.MOVED and side.successor >= 0
-        self.note("elsewhere", head=call.head, came=came, vol=volume, key=key, gen=side.generation if moved else -1)
+        self.note(
+            "elsewhere", head=call.gateway_id, came=came, vol=volume, key=key, gen=side.generation if moved else -1
+        )
         if moved:
             return self._answer(
                 exchange,
                 call,
                 volume,
                 421,
-                [(MOVED, b"%d;%d" % (side.successor, side.generation))],
+                [(MOVED_HEADER, b"%d;%d" % (side.successor, side.generation))],
                 b"",
                 how="elsewhere",
             )
@@ -360,58 +370,88 @@
     def _refused_by_tags(self, exchange: Exchange, etag: str | None) -> bool:
         h = exchange.head.headers
         match, none = h.get(b"if-match"), h.get(b"if-none-match")
-        if match is not None and not tag_matches(match.decode("latin-1"), etag, False):
+        if match is not None and not etag_matches(match.decode("latin-1"), etag, False):
             return True
-        return none is not None and tag_matches(none.decode("latin-1"), etag, True)
+        return none is not None and etag_matches(none.decode("latin-1"), etag, True)
 
-    def _put(self, exchange: Exchange, call: Call, volume: str, key: str, draft: Any) -> None:
+    def _put(self, exchange: Exchange, call: AttemptHeader, volume: str, key: str, draft: Any) -> None:
         had = self.store.find(volume, key)
-        group = self.repeats.get(call.group) if call.effect == "keyed" and call.key else None
-        left = group.claim(call.key, call.window) if group else None
+        group = (
+            self.repeats.get(call.deduplication_scope) if call.idempotence == "keyed" and call.idempotency_key else None
+        )
+        left = group.claim(call.idempotency_key, call.deduplication_window_s) if group else None
         if left == "":  # claimed, then killed before it was done, or still at work elsewhere
-            if had is not None and had.idem == call.key:
+            if had is not None and had.idem == call.idempotency_key:
                 left = had.etag
-            elif call.group == "cell":
+            elif call.deduplication_scope == "cell":
                 left = None  # this node alone holds the group: the first one left nothing
             else:
                 draft.drop()
                 return self._answer(exchange, call, volume, 500, [], b"")
         if left is not None:  # a repeat: its effect is dropped, the answer is the first one's
             draft.drop()
-            self.note("did", head=call.head, id=call.ident, n=call.attempt, op=call.op, e=call.effect, dropped=True)
+            self.note(
+                "did",
+                head=call.gateway_id,
+                id=call.request_id,
+                n=call.attempt,
+                op=call.operation,
+                e=call.idempotence,
+                dropped=True,
+            )
             return self._answer(exchange, call, volume, 200, [(b"ETag", f'"{left}"'.encode())], b"")
         if self._refused_by_tags(exchange, had.etag if had else None):
             draft.drop()
             if group:
-                group.release(call.key)
+                group.release(call.idempotency_key)
             return self._answer(exchange, call, volume, 412, [], b"")
         self.sides.writes(volume, key)
         meta = self.store.commit(
-            draft, volume, key, call.key if group else "", generation=self.sides.side(volume, key).generation
+            draft,
+            volume,
+            key,
+            call.idempotency_key if group else "",
+            generation=self.sides.side(volume, key).generation,
         )
         if group:
-            group.done(call.key, meta.etag, volume, key)
-        self.note("did", head=call.head, id=call.ident, n=call.attempt, op=call.op, e=call.effect, dropped=False)
+            group.done(call.idempotency_key, meta.etag, volume, key)
+        self.note(
+            "did",
+            head=call.gateway_id,
+            id=call.request_id,
+            n=call.attempt,
+            op=call.operation,
+            e=call.idempotence,
+            dropped=False,
+        )
         self._answer(exchange, call, volume, 200 if had else 201, [(b"ETag", f'"{meta.etag}"'.encode())], b"")
 
-    def _delete(self, exchange: Exchange, call: Call, volume: str, key: str) -> None:
+    def _delete(self, exchange: Exchange, call: AttemptHeader, volume: str, key: str) -> None:
         had = self.store.find(volume, key)
         if self._refused_by_tags(exchange, had.etag if had else None):
             return self._answer(exchange, call, volume, 412, [], b"")
         self.sides.writes(volume, key)
         there = self.store.delete(volume, key)
-        self.note("did", head=call.head, id=call.ident, n=call.attempt, op=call.op, e=call.effect, dropped=False)
+        self.note(
+            "did",
+            head=call.gateway_id,
+            id=call.request_id,
+            n=call.attempt,
+            op=call.operation,
+            e=call.idempotence,
+            dropped=False,
+        )
         self._answer(exchange, call, volume, 204 if there else 404, [], b"")
 
-    def _get(self, exchange: Exchange, call: Call, volume: str, key: str, query: str) -> None:
+    def _get(self, exchange: Exchange, call: AttemptHeader, volume: str, key: str, query: str) -> None:
         meta, h = self.store.find(volume, key), exchange.head.headers
         if meta is None:
             return self._answer(exchange, call, volume, 404, [], b"")
         tag = (b"ETag", f'"{meta.etag}"'.encode())
         match, none = h.get(b"if-match"), h.get(b"if-none-match")
-        if match is not None and not tag_matches(match.decode("latin-1"), meta.etag, False):
+        if match is not None and not etag_matches(match.decode("latin-1"), meta.etag, False):
             return self._answer(exchange, call, volume, 412, [tag], b"")
-        if none is not None and tag_matches(none.decode("latin-1"), meta.etag, True):
+        if none is not None and etag_matches(none.decode("latin-1"), meta.etag, True):
             return self._answer(exchange, call, volume, 304, [tag], b"")
         if query == "stat":
             return self._answer(exchange, call, volume, 200, [tag, (b"Fawn-Size", b"%d" % meta.size)], b"")
@@ -419,8 +459,8 @@
         more = [tag]
         if b"range" in h:
             try:
-                wanted = read_range(h[b"range"].decode("latin-1"), meta.size)
-            except IndexError:
+                wanted = parse_range(h[b"range"].decode("latin-1"), meta.size)
+            except RangeNotSatisfiableError:
                 return self._answer(
                     exchange, call, volume, 416, [tag, (b"Content-Range", b"bytes */%d" % meta.size)], b""
                 )
@@ -433,7 +473,7 @@
                 exchange, call, volume, status, more, b"".join(self.store.read(volume, key, start, length))
             )
         pieces = self.store.read(volume, key, start, length)
-        exchange.begin(status, [*more, (b"Fawn-Told", self._told(call, volume).pack())], length)
+        exchange.begin(status, [*more, (b"Fawn-Told", self._told(call, volume).encode())], length)
         sent, cut = 0, self._hit(self.faults.cut)
         for piece in pieces:
             exchange.write(piece, time.monotonic() + 30.0)
@@ -441,24 +481,24 @@
             if cut and sent * 2 > length:
                 break
         exchange.finish(sent == length)
-        self.note("out", head=call.head, id=call.ident, n=call.attempt, op=call.op, s=status)
+        self.note("out", head=call.gateway_id, id=call.request_id, n=call.attempt, op=call.operation, s=status)
 
-    def _told(self, call: Call, volume: str) -> Told:
+    def _told(self, call: AttemptHeader, volume: str) -> NodeReport:
         self.sums[volume] = total = self.sums.get(volume, 0.0) + call.units
         if self.served is not None:
             self.served(volume, call.units)
-        before = self.told.pop((call.head, volume), None)
+        before = self.told.pop((call.gateway_id, volume), None)
         others = 0 if before is None else max(0, round(total - before - call.units))
-        self.told[call.head, volume] = total
+        self.told[call.gateway_id, volume] = total
         while len(self.told) > _SEEN_MOST:
             self.told.popitem(last=False)
         use = self.meter(volume) if self.meter is not None else None
-        return Told(others, use, tuple(self.behaviour.load(name) for name in self.load_fields))
+        return NodeReport(others, use, tuple(self.behaviour.load(name) for name in self.load_fields))
 
     def _answer(
         self,
         exchange: Exchange,
-        call: Call,
+        call: AttemptHeader,
         volume: str,
         status: int,
         headers: list[tuple[bytes, bytes]],
@@ -470,48 +510,50 @@
         told = (
             self._told(call, volume)
             if status < 500 and status not in (421, 425)
-            else Told(load=tuple(self.behaviour.load(name) for name in self.load_fields), full=full)
+            else NodeReport(load=tuple(self.behaviour.load(name) for name in self.load_fields), overloaded=full)
         )
-        wire, lost = exchange.conn.wire, ""
+        wire, lost = exchange.connection.stream, ""
         if full:  # turned away unseen: the faults are of answers to work done
-            exchange.respond(status, [(b"Fawn-Told", told.pack())])
+            exchange.respond(status, [(b"Fawn-Told", told.encode())])
         elif self._hit(faults.lose):
             lost = "lose"
-            exchange.answered = exchange.conn.closing = True
-            self.note("out", head=call.head, id=call.ident, n=call.attempt, op=call.op, s=0, lost=lost)
-            gevent.sleep(call.left + 1.0)
+            exchange.answered = exchange.connection.closing = True
+            self.note(
+                "out", head=call.gateway_id, id=call.request_id, n=call.attempt, op=call.operation, s=0, lost=lost
+            )
+            gevent.sleep(call.time_left_s + 1.0)
             return
         elif self._hit(faults.reset):
             lost = "reset"
-            exchange.answered = exchange.conn.closing = True
+            exchange.answered = exchange.connection.closing = True
             wire.reset()
         elif self._hit(faults.garble):
             lost = "garble"
-            exchange.answered = exchange.conn.closing = True
-            exchange.conn.send(b"\x16\x03\x01 what is this\r\n\r\n")
+            exchange.answered = exchange.connection.closing = True
+            exchange.connection.send(b"\x16\x03\x01 what is this\r\n\r\n")
         elif self._hit(faults.cut):
             lost = "cut"
-            exchange.answered = exchange.conn.closing = True
-            exchange.conn.send(
+            exchange.answered = exchange.connection.closing = True
+            exchange.connection.send(
                 b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, len(body) + 8) + body[: len(body) // 2]
             )
         elif self._hit(faults.wrong_length):
             lost = "length"
-            exchange.answered = exchange.conn.closing = True
-            exchange.conn.send(
+            exchange.answered = exchange.connection.closing = True
+            exchange.connection.send(
                 b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n" % (status, max(0, len(body) - 1)) + body + b"x"
             )
         else:
             if body and self._hit(faults.wrong_byte):
                 at = self.random.randrange(len(body))
                 body = body[:at] + bytes([body[at] ^ 0x41]) + body[at + 1 :]
-            exchange.respond(status, [*headers, (b"Fawn-Told", told.pack())], body)
+            exchange.respond(status, [*headers, (b"Fawn-Told", told.encode())], body)
         self.note(
             "out",
-            head=call.head,
-            id=call.ident,
+            head=call.gateway_id,
+            id=call.request_id,
             n=call.attempt,
-            op=call.op,
+            op=call.operation,
             s=status,
             lost=lost,
             how="full" if full else how,
--- a/fawnspool/standins/platform.py
+++ b/fawnspool/standins/platform.py
@@ -16,7 +16,8 @@
 from gevent.queue import Empty, Queue
 
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.server import Exchange, Server
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
 
 BEAT_S = 2.0
 
@@ -65,18 +66,18 @@
         head, body = exchange.head, b"".join(exchange.body())
         ident = head.headers.get(b"request-id", b"").decode()
         asked = Asked(ident, head.method.decode(), head.target.decode(), head.headers, body, time.monotonic())
-        if self.cuts_kept and exchange.conn in self.used:
+        if self.cuts_kept and exchange.connection in self.used:
             exchange.answered = True
-            return exchange.conn.wire.reset()
-        self.used.add(exchange.conn)
+            return exchange.connection.stream.reset()
+        self.used.add(exchange.connection)
         self.asked.append(asked)
         self.hold.wait()
         raw = self.script(asked) if self.script is not None else None
         if raw is None:
             return exchange.respond(200, self.report, asked.made())
         exchange.answered = True
-        exchange.conn.send(raw)
-        exchange.conn.closing |= self.ends
+        exchange.connection.send(raw)
+        exchange.connection.closing |= self.ends
 
 
 class DiscoveryServer:
--- a/fawnspool/standins/service.py
+++ b/fawnspool/standins/service.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from fawnspool.net.server import Exchange, Server
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
+from fawnspool.net.server_options import ServerOptions
 
 
 class Service:
@@ -15,7 +17,9 @@
 
     def start(self) -> None:
         if self.server is None:
-            self.server = Server(self.where, self._handle, idle_close=120.0)
+            self.server = Server(
+                self.where, self._handle, ServerOptions(idle_timeout_s=120.0, first_request_timeout_s=120.0)
+            )
             self.where = self.server.address
             self.server.start()
 
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -26,9 +26,9 @@
 
 from fawnspool.connections.watch_timeouts import watch_timeouts
 from fawnspool.gateway.watch_client import ObjectSplitter
-from fawnspool.net import client as net_client
+from fawnspool.net import connection_pool
 from fawnspool.net import server as net_server
-from fawnspool.net.socket_stream import Wire
+from fawnspool.net.socket_stream import SocketStream
 from fawnspool.relay.discovery import HEARTBEAT_S
 from fawnspool.relay.process import read_whole
 from fawnspool.scheduling import interface
@@ -52,15 +52,15 @@
     that."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.go, self.asked, self.at_once, real = Event(), 0, 1 << 30, net_client.connect
+        self.go, self.asked, self.at_once, real = Event(), 0, 1 << 30, connection_pool.connect
 
-        def connect(address: tuple[str, int], deadline: float) -> Wire:
+        def connect(address: tuple[str, int], deadline: float) -> SocketStream:
             self.asked += 1
             if self.asked > self.at_once:
                 self.go.wait()
             return real(address, time.monotonic() + 5)
 
-        monkeypatch.setattr(net_client, "connect", connect)
+        monkeypatch.setattr(connection_pool, "connect", connect)
 
 
 @pytest.fixture
@@ -174,8 +174,8 @@
     shelf.hold.clear()
     sock = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
-    looks, real = list[int](), Wire.peek
-    monkeypatch.setattr(Wire, "peek", lambda wire: looks.append(1) or real(wire))
+    looks, real = list[int](), SocketStream.peek
+    monkeypatch.setattr(SocketStream, "peek", lambda wire: looks.append(1) or real(wire))
     sock.sendall(text("/read", headers("r2", shard=1)) + text("/read", headers("r3", shard=1))[:50])
     before = len(looks)
     wait_for(lambda: len(looks) >= before + 3)  # the sweep has looked behind the first
@@ -263,13 +263,13 @@
         asks, rests_still = rests(rig, "r0"), rests(rig, "r1")
     else:
         asks = plain_sock(rig.listen)
-        wait_for(lambda: len(server.silent) == 1)
+        wait_for(lambda: len(server.new) == 1)
         rests_still = plain_sock(rig.listen)
-        wait_for(lambda: len(server.silent) == 2)
+        wait_for(lambda: len(server.new) == 2)
     asks.sendall(text("/read", headers("r2")))
-    assert server.evict_idle()  # no turn of the loop between these two lines
+    assert server.evict_waiting()  # no turn of the loop between these two lines
     assert answer(rests_still) == b""
-    server.leaving = True
+    server.draining = True
     assert answer(asks).startswith(b"HTTP/1.1 200") and rig.asked()[-1] == "r2"
 
 
@@ -277,8 +277,8 @@
     server = rig.program.front.server
     asks = rests(rig, "r0")
     asks.sendall(text("/read", headers("r1")))
-    assert not server.evict_idle()
-    server.leaving = True
+    assert not server.evict_waiting()
+    server.draining = True
     assert answer(asks).startswith(b"HTTP/1.1 200")
 
 
@@ -287,15 +287,15 @@
 ) -> None:
     """The head has looked and seen nothing; then the bytes come; then it closes. Never sent on, and no answer begun."""
     server = rig.program.front.server
-    sock, real = rests(rig, "r0"), Wire.unread
+    sock, real = rests(rig, "r0"), SocketStream.has_unread
 
-    def unread(wire: Wire) -> bool:
+    def unread(wire: SocketStream) -> bool:
         seen = real(wire)
         sock.sendall(text("/read", headers("r1")))
         return seen
 
-    monkeypatch.setattr(Wire, "unread", unread)
-    assert server.evict_idle()
+    monkeypatch.setattr(SocketStream, "has_unread", unread)
+    assert server.evict_waiting()
     with contextlib.suppress(ConnectionResetError):
         assert answer(sock) == b""
     monkeypatch.undo()
@@ -307,12 +307,12 @@
 def test_a_request_that_comes_as_the_idle_time_ends_is_served(rig: RelayRig, used: bool) -> None:
     """The loop stands still over the end of the time, and finds both at one stroke."""
     server = rig.program.front.server
-    server.idle_close = server.silent_close = 0.3
+    server.options.idle_timeout_s = server.options.first_request_timeout_s = 0.3
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
-    wait_for(lambda: server.idle or server.silent)
+    wait_for(lambda: server.idle or server.new)
     sock.sendall(text("/read", headers("r1")))
     time.sleep(0.5)
-    server.leaving = True
+    server.draining = True
     assert answer(sock).startswith(b"HTTP/1.1 200") and rig.asked()[-1] == "r1"
 
 
@@ -320,9 +320,9 @@
 def test_a_request_that_came_before_the_end_of_its_connection_is_served(rig: RelayRig, used: bool) -> None:
     server = rig.program.front.server
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
-    wait_for(lambda: server.idle or server.silent)
+    wait_for(lambda: server.idle or server.new)
     sock.sendall(text("/read", headers("r1")))
-    server.closing_down(time.monotonic() + 5)
+    server.drain(time.monotonic() + 5)
     assert answer(sock).startswith(b"HTTP/1.1 200")
     assert rig.asked()[-1] == "r1"
 
@@ -331,7 +331,7 @@
     server, whole = rig.program.front.server, text("/read", headers("r1"))
     sock = rests(rig, "r0")
     sock.sendall(whole[:30])
-    server.closing_down(time.monotonic() + 5)
+    server.drain(time.monotonic() + 5)
     gevent.sleep(0)
     sock.sendall(whole[30:])
     assert answer(sock).startswith(b"HTTP/1.1 200")
@@ -339,18 +339,18 @@
 
 def test_a_second_request_that_came_before_the_last_answer_is_answered_too(rig: RelayRig) -> None:
     """Read with the first or not, it is served, and the answer that ends the connection is the last one's."""
-    rig.program.front.server.leaving = True
+    rig.program.front.server.draining = True
     sock = plain_sock(rig.listen, text("/read", headers("r1")) + text("/read", headers("r2")))
     got = answer(sock)
     assert got.count(b"HTTP/1.1 200") == 2 and got.count(b"Connection: close") == 1
     assert got.index(b"r1 GET /read") < got.index(b"Connection: close") < got.index(b"r2 GET /read")
-    wait_for(lambda: not rig.program.front.server.open)
+    wait_for(lambda: not rig.program.front.server.connections)
     assert rig.asked() == ["r1", "r2"]
 
 
 def test_a_second_request_behind_the_last_answer_is_not_read(rig: RelayRig) -> None:
     """Its client has been told that the connection ends, and that nobody read what it sent all the same."""
-    rig.program.front.server.leaving = True
+    rig.program.front.server.draining = True
     sock = plain_sock(rig.listen, text("/read", headers("r1")))
     assert b"Connection: close" in answer(sock)
     sock.setblocking(True)
@@ -368,9 +368,10 @@
         shelf.hold.clear()
         rig.core.loop.module._shed_load = lambda node_queue: None
         busy = [
-            plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}"))) for k in range(server.most)
+            plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
+            for k in range(server.options.max_connections)
         ]
-        wait_for(lambda: len(rig.program.front.open) == server.most)
+        wait_for(lambda: len(rig.program.front.open) == server.options.max_connections)
         late_one = plain_sock(rig.listen, text("/read", headers("late", shard=1)))
         gevent.sleep(0.05)
         assert "late" not in rig.asked()
@@ -407,14 +408,14 @@
 ) -> None:
     failed = list[int]()
 
-    def odd(sock: std.socket) -> Wire:
+    def odd(sock: std.socket) -> SocketStream:
         if not failed:
             failed.append(1)
             sock.close()
             raise OSError(os.EX_PROTOCOL, "odd")
-        return Wire(sock)
+        return SocketStream(sock)
 
-    monkeypatch.setattr(net_server, "Wire", odd)
+    monkeypatch.setattr(net_server, "SocketStream", odd)
     sock = plain_sock(rig.listen)
     wait_for(lambda: failed)
     sock.close()
@@ -466,7 +467,7 @@
     whole = text("/read", headers("half", shard=1, volume="4"))
     socks["half"] = rig.raw(whole[:60])
     silent = rig.raw(b"")
-    wait_for(lambda: len(server.silent) == 1)
+    wait_for(lambda: len(server.new) == 1)
     ending = gevent.spawn(rig.program.drain)
     again = gevent.spawn(rig.program.drain)  # a second signal
     rig.program.reload()  # and a new configuration
@@ -681,7 +682,7 @@
         gevent.sleep(0)
     wait_for(lambda: last.watchers and not first.watchers and not rig.discovery.watchers)
     assert rig.program.discovery.pool.address == rig.program.config.discovery == last.server.address
-    wait_for(lambda: rig.program.discovery.pool.open == 1)
+    wait_for(lambda: rig.program.discovery.pool.open_count == 1)
     for other in (first, last):
         other.server.stop()
 
@@ -736,7 +737,7 @@
 
 def test_a_watch_that_finds_no_descriptor_has_one_freed(rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
     spare = [rests(rig, f"r{k}") for k in range(3)]
-    lists, failed = told(rig, interface.EndpointUpdate), no_descriptor(monkeypatch, net_client, "connect", 2)
+    lists, failed = told(rig, interface.EndpointUpdate), no_descriptor(monkeypatch, connection_pool, "connect", 2)
     host, port = rig.discovery.address.split(":")
     rig.program.discovery.move((host, int(port)))
     wait_for(lambda: rig.discovery.watchers and len(failed) == 2)
@@ -769,7 +770,7 @@
     sock, real = rests(rig, "r0"), time.time
     sock.sendall(text("/read", headers("r1", wait="1500")))
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    rig.program.front.server.leaving = True
+    rig.program.front.server.draining = True
     assert answer(sock).startswith(b"HTTP/1.1 200")
     left = [int(a.headers[b"request-timeout-ms"]) for a in rig.shelfs[0].asked if a.ident == "r1"]
     assert len(left) == 1 and 300 < left[0] <= 1000 * SETTINGS["classes"][0]["aim"]
@@ -784,7 +785,7 @@
 
     def twice(asked: Any) -> bytes:
         raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(asked.made()) + asked.made()
-        conn = next(c for c in shelf.server.open if c not in shelf.server.idle)
+        conn = next(c for c in shelf.server.connections if c not in shelf.server.idle)
         gevent.sleep(0.03)  # longer than the second answer of the one before is late
         gevent.spawn_later(0.008, conn.send, raw)
         return raw
@@ -803,7 +804,7 @@
     def script(asked: Any) -> bytes | None:
         if len(shelf.asked) > 1:
             return None
-        conn = next(c for c in shelf.server.open if c not in shelf.server.idle)
+        conn = next(c for c in shelf.server.connections if c not in shelf.server.idle)
         conn.send(b"HTTP/1.1 200 OK\r\n\r\n")
         end(conn, asked)
         conn.closing = True
@@ -843,7 +844,7 @@
     def end(conn: Any, asked: Any) -> None:
         conn.send(b"half of it")
         gevent.sleep({"at once": 0.0, "later": 0.02, "as its time ends": aim * 0.8}[how])
-        conn.wire.reset()
+        conn.stream.reset()
         if how == "as its time ends":
             time.sleep(aim * 0.4)
 
@@ -877,7 +878,7 @@
     def script(asked: Any) -> bytes | None:
         if asked.ident != "r1":
             return None
-        conn = next(c for c in shelf.server.open if c not in shelf.server.idle)
+        conn = next(c for c in shelf.server.connections if c not in shelf.server.idle)
         with contextlib.suppress(OSError):
             conn.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for _ in range(200):
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -20,7 +20,7 @@
 from fawnspool.days.day import Day
 from fawnspool.days.traffic import Op
 from fawnspool.model.node import NodeTraits
-from fawnspool.net.server import Exchange
+from fawnspool.net.server_connection import Exchange
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.rules.judge import Terms, Verdict, judge
 from fawnspool.rules.story import read
@@ -254,8 +254,8 @@
         self: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"", close: bool = False
     ) -> None:
         respond(self, status, headers, body, close)
-        if self.conn.server is run.rig.api.server:
-            self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        if self.connection.server is run.rig.api.server:
+            self.connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     Exchange.respond = twice  # type: ignore[method-assign]
     try:
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 
-from fawnspool.gateway.attempt_results import NEVER_RAN, RESULTS, Ending
+from fawnspool.gateway.attempt_results import NEVER_RAN, RESULTS, AttemptEnding
 from fawnspool.gateway.request_state import Kind
 from fawnspool.model.node import NodeTraits
 from fawnspool.scheduling import interface
@@ -33,7 +33,7 @@
         rig.stop()
 
 
-def endings(rig: Rig) -> list[Ending]:
+def endings(rig: Rig) -> list[AttemptEnding]:
     return rig.ended  # type: ignore[attr-defined,no-any-return]
 
 
@@ -52,18 +52,20 @@
 @pytest.mark.parametrize(
     ("fault", "ending"),
     [
-        ({"reset": 1.0}, Ending.RESET),
-        ({"cut": 1.0}, Ending.HALF_ANSWER),
-        ({"garble": 1.0}, Ending.MALFORMED),
-        ({"wrong_length": 1.0}, Ending.WRONG_LENGTH),
-        ({"hang_up": 1.0}, Ending.CLOSED),
-        ({"lose": 1.0}, Ending.NO_ANSWER),
-        ({"error": 1.0}, Ending.NODE_ERROR),
-        ({"drain": True}, Ending.TURNED_AWAY),
-        ({"refuse": True}, Ending.REFUSED),
+        ({"reset": 1.0}, AttemptEnding.RESET),
+        ({"cut": 1.0}, AttemptEnding.TRUNCATED_RESPONSE),
+        ({"garble": 1.0}, AttemptEnding.MALFORMED_RESPONSE),
+        ({"wrong_length": 1.0}, AttemptEnding.WRONG_LENGTH),
+        ({"hang_up": 1.0}, AttemptEnding.CLOSED),
+        ({"lose": 1.0}, AttemptEnding.RESPONSE_TIMEOUT),
+        ({"error": 1.0}, AttemptEnding.NODE_ERROR),
+        ({"drain": True}, AttemptEnding.REJECTED),
+        ({"refuse": True}, AttemptEnding.CONNECT_REFUSED),
     ],
 )
-def test_each_way_a_socket_ends_is_one_result(rigs: Callable[..., Rig], fault: dict[str, Any], ending: Ending) -> None:
+def test_each_way_a_socket_ends_is_one_result(
+    rigs: Callable[..., Rig], fault: dict[str, Any], ending: AttemptEnding
+) -> None:
     rig = rigs(nodes=1)
     c = rig.client()
     assert c.ask("PUT", KEY, b"x" * 100).status == 201
@@ -72,13 +74,13 @@
     rig.nodes[0].set_faults(fault)
     began = time.monotonic()
     got = c.ask("PUT", KEY, b"y" * 100, Fawn_Class="unsafe", Fawn_Patience_Ms="1500")
-    if ending is Ending.CLOSED:  # a kept connection, or a fresh one after it: either may be what is reset
-        assert endings(rig) and set(endings(rig)) <= {Ending.CLOSED, Ending.RESET}
+    if ending is AttemptEnding.CLOSED:  # a kept connection, or a fresh one after it: either may be what is reset
+        assert endings(rig) and set(endings(rig)) <= {AttemptEnding.CLOSED, AttemptEnding.RESET}
     else:
         assert ending in endings(rig)
     assert time.monotonic() - began < 1.5
     never = endings(rig)[-1] in NEVER_RAN
-    assert got.status == (503 if never else 504 if ending is Ending.NO_ANSWER else 502)
+    assert got.status == (503 if never else 504 if ending is AttemptEnding.RESPONSE_TIMEOUT else 502)
     assert (b'"may_have_run": false' in got.data) == never
     if not never:
         assert len(endings(rig)) == 1  # an unsafe request that may have run is not tried again
@@ -90,22 +92,22 @@
 
 
 def test_every_ending_has_a_result_and_never_ran_is_certain() -> None:
-    assert set(RESULTS) == set(Ending)
+    assert set(RESULTS) == set(AttemptEnding)
     doubt = {
-        Ending.RESET,
-        Ending.CLOSED,
-        Ending.HALF_ANSWER,
-        Ending.MALFORMED,
-        Ending.WRONG_LENGTH,
-        Ending.NO_ANSWER,
-        Ending.CUT_WITHOUT_LENGTH,
-        Ending.ANSWERED_TO_CLOSE,
-        Ending.NODE_ERROR,
-        Ending.CALLED_OFF,
-        Ending.ANSWERED,
-        Ending.CLIENT_LEFT,
+        AttemptEnding.RESET,
+        AttemptEnding.CLOSED,
+        AttemptEnding.TRUNCATED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.WRONG_LENGTH,
+        AttemptEnding.RESPONSE_TIMEOUT,
+        AttemptEnding.BROKEN_WITHOUT_LENGTH,
+        AttemptEnding.ANSWERED_UNTIL_CLOSE,
+        AttemptEnding.NODE_ERROR,
+        AttemptEnding.CANCELLED,
+        AttemptEnding.ANSWERED,
+        AttemptEnding.CLIENT_LEFT_STREAMING,
     }
-    assert set(Ending) - doubt == NEVER_RAN
+    assert set(AttemptEnding) - doubt == NEVER_RAN
 
 
 def test_reset_before_the_request_was_wholly_written_never_ran(rigs: Callable[..., Rig]) -> None:
@@ -133,7 +135,7 @@
     rig.nodes[0].server.reset_all()
     got = c.answer("PUT")
     feeder.kill()
-    assert endings(rig)[0] is Ending.UNWRITTEN_RESET and set(endings(rig)) <= NEVER_RAN
+    assert endings(rig)[0] is AttemptEnding.UNWRITTEN_RESET and set(endings(rig)) <= NEVER_RAN
     assert got.status == 503 and not rig.seen(0, "did")
     assert rig.nodes[0].store.find("v", "k") is None and not list(rig.nodes[0].store.folder.glob("draft-*"))
 
@@ -157,18 +159,18 @@
     c.ask("PUT", KEY, b"x")
     watch_endings(rig)
     pool = next(iter(rig.head.pools.values()))
-    take, told = pool.take, []
+    acquire, told = pool.acquire, []
 
     def late(deadline: float) -> Any:  # the notice comes while the connection is being made
         rig.list.change(rig.entry(0, "draining"))
         wait_for(lambda: rig.head.list.nodes[1].phase is interface.Phase.DRAINING)
         told.append(time.monotonic())
-        return take(deadline)
+        return acquire(deadline)
 
-    pool.take = late  # type: ignore[method-assign]
+    pool.acquire = late  # type: ignore[method-assign]
     got = c.ask("GET", KEY)
-    pool.take = take  # type: ignore[method-assign]
-    assert told and endings(rig)[0] is Ending.WITHDRAWN
+    pool.acquire = acquire  # type: ignore[method-assign]
+    assert told and endings(rig)[0] is AttemptEnding.NODE_DRAINING
     assert got.status == 503
     assert all(row["t"] < told[0] for row in rig.seen(0, "in"))
 
@@ -241,7 +243,7 @@
     if when == "up":
         assert len(rig.seen(0, "did")) == before  # half a body is no write
     assert len(rig.client().ask("GET", KEY, Fawn_Class="bulk").data) == 4 << 20
-    wait_for(lambda: not rig.api.server.open or len(rig.api.server.open) <= 1)
+    wait_for(lambda: not rig.api.server.connections or len(rig.api.server.connections) <= 1)
 
 
 def test_the_list_gone_while_a_node_is_replaced(rigs: Callable[..., Rig]) -> None:
@@ -391,7 +393,7 @@
         ]
     )
     attempts = [s for s in map(json.loads, path.read_text().splitlines()) if s["parent"] == spans[0]["span"]]
-    assert attempts and attempts[0]["ending"] == Ending.RESET.value and attempts[0]["result"] == "broken"
+    assert attempts and attempts[0]["ending"] == AttemptEnding.RESET.value and attempts[0]["result"] == "broken"
     assert spans[0]["attempts"] == len(attempts) and "reset" in spans[0]["reason"]
 
 
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -18,7 +18,7 @@
 from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient
 from fawnspool.gateway.migrator import Mover
-from fawnspool.net.node_headers import Call
+from fawnspool.net.node_headers import AttemptHeader
 from fawnspool.rules.story import read as read_story
 from fawnspool.rules.wrong import wrong_sends
 from fawnspool.telemetry import logs
@@ -272,7 +272,7 @@
     if noted:
         assert rig.client().ask("PUT", PLACE + "k", b"at the new one").status == 200
     else:
-        call = Call(0, 1, 0, 1, 1.0, 7, "safe", "all", 1.0, 1.0, "op", "").pack().decode()
+        call = AttemptHeader(0, 1, 0, 1, 1.0, 7, "safe", "all", 1.0, 1.0, "op", "").encode().decode()
         assert Client(rig.nodes[to].address).ask("PUT", "/o/v/k", b"at the new one", Fawn_Call=call).status == 200
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
@@ -357,7 +357,7 @@
 
 
 def test_a_read_that_is_running_and_a_write_that_comes_slowly_outlive_a_move(rig: Rig) -> None:
-    rig.api.server.piece_timeout = 60.0  # the writer rests while 46 MB move: as long as a busy machine needs
+    rig.api.server.options.read_timeout_s = 60.0  # the writer rests while 46 MB move: as long as a busy machine needs
     body = bytes(range(256)) * 180_000  # 46 MB: more than the sockets between hold
     at = put(rig, body=body)
     reader = Client(rig.address)
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -12,6 +12,7 @@
 import sys
 import time
 from collections.abc import Callable, Iterator
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -219,11 +220,11 @@
 def test_a_full_head_closes_who_waits_longest_without_a_request(tmp_path: Path) -> None:
     rig = RelayRig(tmp_path, sockets=64)
     try:
-        most = rig.program.front.server.most
+        most = rig.program.front.server.options.max_connections
         used = rig.client()
         assert used.ask("GET", "/read", **headers("r0")).status == 200
         quiet = [rig.raw(b"") for _ in range(most + 5)]
-        wait_for(lambda: len(rig.program.front.server.open) == most)
+        wait_for(lambda: len(rig.program.front.server.connections) == most)
         assert quiet[0].recv(1) == b""
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert used.ask("GET", "/read", **headers("r2")).status == 200  # it asked before: the quiet ones go first
@@ -235,13 +236,13 @@
     """Clients that ask once and stay would leave the others no connection to ask on."""
     rig = RelayRig(tmp_path, sockets=64)
     try:
-        crowd = rig.program.front.server.crowd
+        crowd = rig.program.front.server.options.crowded_from
         for k in range(3 * crowd):
             c = rig.client()  # it never closes
             assert c.ask("GET", "/read", **headers(f"r{k}")).status == 200
-            assert len(rig.program.front.server.open) <= crowd + 1
+            assert len(rig.program.front.server.connections) <= crowd + 1
         assert c.sock.recv(1) == b""
-        rig.program.front.server.crowd = None
+        rig.program.front.server.options.crowded_from = None
         c = rig.client()
         for k in range(2):
             assert c.ask("GET", "/read", **headers(f"k{k}")).status == 200
@@ -294,7 +295,8 @@
 
 def test_a_head_without_a_place_left_holds_nothing_against_the_shelf(rig: RelayRig) -> None:
     seen = outcomes(rig)
-    rig.core.pool(rig.shelfs[0].server.address).most = 0
+    pool = rig.core.pool(rig.shelfs[0].server.address)
+    pool.options = replace(pool.options, max_connections=0)
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 503
     assert seen and {o.result for o in seen} == {interface.Result.NOT_SENT}
     assert rig.core.loop.module.node_queues[0].health.failures == 0
@@ -308,7 +310,9 @@
     sock.close()
     wait_for(lambda: [o.result for o in seen] == [interface.Result.CANCELLED])
     wait_for(lambda: not rig.core.pending and not rig.program.front.open)
-    assert all(conn.wire.peer_left() for conn in shelf.server.open)  # its shelf is told by the end of the connection
+    assert all(
+        conn.stream.peer_left() for conn in shelf.server.connections
+    )  # its shelf is told by the end of the connection
 
 
 SURPLUS = {
@@ -342,7 +346,7 @@
     assert c.ask("GET", "/read", **headers("r1")).status == 200
     server = rig.program.front.server
     wait_for(lambda: server.idle)
-    next(iter(server.idle)).wire.close()
+    next(iter(server.idle)).stream.close()
     with pytest.raises((ConnectionError, http.client.HTTPException)):
         c.ask("GET", "/read", **headers("r2"))
     assert rig.client().ask("GET", "/read", **headers("r2")).status == 200 and rig.asked() == ["r1", "r2"]
@@ -485,7 +489,7 @@
         (interface.Result.RESET, True),
         (interface.Result.SERVED, False),
     ]
-    assert pool.open == 1
+    assert pool.open_count == 1
 
 
 def test_a_leaving_shelf_gets_nothing_new(rig: RelayRig) -> None:
@@ -499,17 +503,17 @@
 def test_connections_to_shelfs_that_left_or_closed_are_given_back(rig: RelayRig) -> None:
     for k in range(2):
         assert rig.client().ask("GET", "/read", **headers(f"r{k}", shard=k)).status == 200
-    wait_for(lambda: sum(p.open for p in rig.core.pools.values()) == 2)
+    wait_for(lambda: sum(p.open_count for p in rig.core.pools.values()) == 2)
     rig.discovery.change(rig.discovery.rows["s-0"] | {"health": "left"})
     wait_for(lambda: rig.shelfs[0].server.address not in rig.core.pools)
-    wait_for(lambda: not rig.shelfs[0].server.open)  # seen from the other end
+    wait_for(lambda: not rig.shelfs[0].server.connections)  # seen from the other end
     pool = rig.core.pools[rig.shelfs[1].server.address]
     rig.shelfs[1].server.reset_all()
-    wait_for(lambda: pool.open == 0)
+    wait_for(lambda: pool.open_count == 0)
     assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200
     wait_for(lambda: len(pool.idle) == 1)
-    pool.idle_close = 0.1  # before the shelf would: it keeps them for a minute
-    wait_for(lambda: pool.open == 0 and not rig.shelfs[1].server.open)
+    pool.options = replace(pool.options, idle_timeout_s=0.1)  # before the shelf would: it keeps them for a minute
+    wait_for(lambda: pool.open_count == 0 and not rig.shelfs[1].server.connections)
     assert rig.client().ask("GET", "/read", **headers("r3", shard=1)).status == 200
 
 
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -23,9 +23,10 @@
 
 from fawnspool.connections.shutdown import KILL_MARGIN_S, LAST_RESPONSES_S
 from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
-from fawnspool.net.connection import Exchange
 from fawnspool.net.server import Server
-from fawnspool.net.socket_stream import Wire
+from fawnspool.net.server_connection import Exchange
+from fawnspool.net.server_options import ServerOptions
+from fawnspool.net.socket_stream import SocketStream
 from tests.e2e.relayrig import SETTINGS, RelayRig, headers, plain_sock, text
 from tests.e2e.resting_clients import Fate, lost, resting_clients
 from tests.e2e.rig import wait_for
@@ -151,11 +152,11 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.read: list[bytes] = []
-        for name in ("recv", "recv_now"):
-            monkeypatch.setattr(Wire, name, self._spying(getattr(Wire, name)))
+        for name in ("recv", "recv_stamped_now"):
+            monkeypatch.setattr(SocketStream, name, self._spying(getattr(SocketStream, name)))
 
     def _spying(self, real: Any) -> Any:
-        def read(wire: Wire, *args: Any, **more: Any) -> Any:
+        def read(wire: SocketStream, *args: Any, **more: Any) -> Any:
             got = real(wire, *args, **more)
             self.read.append(got if isinstance(got, bytes) else got[0])
             return got
@@ -164,8 +165,8 @@
 
 
 ENDS = {
-    "shutdown": lambda server: server.closing_down(time.monotonic() + 5),
-    "eviction": lambda server: server.evict_idle(),
+    "shutdown": lambda server: server.drain(time.monotonic() + 5),
+    "eviction": lambda server: server.evict_waiting(),
     "idle time": lambda server: None,
 }
 
@@ -178,9 +179,9 @@
     """Its client is told by the system's reset that nobody read it, and may send it again."""
     server = rig.program.front.server
     if end == "idle time":
-        server.idle_close = server.silent_close = 0.2
+        server.options.idle_timeout_s = server.options.first_request_timeout_s = 0.2
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
-    wait_for(lambda: server.idle or server.silent)
+    wait_for(lambda: server.idle or server.new)
     spy = ReadSpy(monkeypatch)
     ENDS[end](server)
     assert answer(sock) == b""
@@ -189,7 +190,7 @@
     gevent.sleep(0.02)
     with pytest.raises((BrokenPipeError, ConnectionResetError)):
         sock.sendall(b"x")
-    wait_for(lambda: not server.open)
+    wait_for(lambda: not server.connections)
     assert not any(b"r1" in part for part in spy.read) and "r1" not in rig.asked()
 
 
@@ -269,13 +270,13 @@
 def test_a_server_that_is_stopped_with_grace_leaves_nothing_unanswered(evicts: bool) -> None:
     """The same end, as the object API uses it."""
     handler = Handler(0.02)
-    server = Server(("127.0.0.1", 0), handler, evicts=evicts)
+    server = Server(("127.0.0.1", 0), handler, ServerOptions(untrusted_clients=evicts))
     server.start()
     with resting_clients(server.address, CLIENTS, seed=11) as clients:
         gevent.sleep(0.3)
         began = time.monotonic()
-        server.stop(grace=1.0)
-        assert time.monotonic() - began < 0.5 and not server.open
+        server.stop(grace_s=1.0)
+        assert time.monotonic() - began < 0.5 and not server.connections
         gevent.sleep(0.1)
     assert lost(clients, lambda: handler.given) == [] and len(handler.given) > CLIENTS
 
--- a/tests/e2e/test_shared.py
+++ b/tests/e2e/test_shared.py
@@ -16,7 +16,7 @@
 from fawnspool.config.schema import load
 from fawnspool.days.day import Day, TroubleBlock, check
 from fawnspool.drill.play import Play, Result
-from fawnspool.net.client import Pool, call
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.records.frames import rows_of
 from fawnspool.rules.story import read
 
@@ -70,7 +70,10 @@
         self.lines = gevent.subprocess.check_output([*cli, "shared", "show", where]).decode()
         self.lines += gevent.subprocess.check_output([*cli, "status", where]).decode()
         _, body = call(
-            Pool(("127.0.0.1", self.heads[0].port), 1, 1.0, 1.0), b"GET", b"/-/metrics", time.monotonic() + 2.0
+            ConnectionPool(("127.0.0.1", self.heads[0].port), PoolOptions(1, 1.0, 1.0)),
+            b"GET",
+            b"/-/metrics",
+            time.monotonic() + 2.0,
         )
         self.metrics = body.decode()
 
