--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,32 +11,33 @@
 import gevent
 import pytest
 
-from fawnspool.gateway.attempt_results import Ending
-from fawnspool.gateway.attempts import Heard, carry_out
+from fawnspool.gateway.attempt_results import AttemptEnding
+from fawnspool.gateway.attempts import AttemptHooks, NodeFeedback, run_attempt
 from fawnspool.gateway.request_state import Attempt, Body, Pending
-from fawnspool.net import client as net_client
-from fawnspool.net.client import Link, Pool
+from fawnspool.net import connection_pool
+from fawnspool.net.client_connection import ClientConnection
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions
 from fawnspool.net.exceptions import ConnectRefusedError, DeadlineExceededError
-from fawnspool.net.http import Status, request_bytes
+from fawnspool.net.http import ResponseHead, format_request_head
 from fawnspool.scheduling.interface import Request
 
 
 class PlainProtocol:
     """Requests without a body; a status of 200 is an answer."""
 
-    hold_most = 1000
-    streams = False
+    max_buffered_bytes = 1000
+    streams_large = False
 
-    def head(self, pending: Pending, attempt: Attempt) -> bytes:
-        return request_bytes(b"GET", b"/", b"node", [])
+    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
+        return format_request_head(b"GET", b"/", b"node", [])
 
-    def told(self, pending: Pending, status: Status) -> Heard:
-        if b"spoilt" in status.headers:
+    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+        if b"spoilt" in head.headers:
             raise ValueError
-        return Heard()
+        return NodeFeedback()
 
-    def ending(self, status: Status) -> Ending:
-        return Ending.ANSWERED if status.code == 200 else Ending.NODE_ERROR
+    def ending(self, head: ResponseHead) -> AttemptEnding:
+        return AttemptEnding.ANSWERED if head.code == 200 else AttemptEnding.NODE_ERROR
 
 
 def pending_request() -> Pending:
@@ -50,41 +51,43 @@
     return Attempt(0, 0, now, now + seconds)
 
 
-def run(pool: Pool, attempt: Attempt) -> Ending:
-    return carry_out(
-        pending_request(), attempt, pool, PlainProtocol(), lambda node: False, lambda pending, attempt: None
-    ).ending
+def run(pool: ConnectionPool, attempt: Attempt) -> AttemptEnding:
+    hooks = AttemptHooks(PlainProtocol(), lambda node: False, lambda pending, attempt: None)
+    return run_attempt(pending_request(), attempt, pool, hooks).ending
 
 
 # ------------------------------------------------------------------ no connection
 
 CONNECT_ERRORS = [
-    (DeadlineExceededError(), Ending.CONNECT_TIMEOUT),
-    (OSError(errno.ECONNREFUSED, "ECONNREFUSED"), Ending.REFUSED),
-    (OSError(errno.ETIMEDOUT, "ETIMEDOUT"), Ending.REFUSED),  # the system gave up, our deadline had not come
-    (OSError(errno.EHOSTUNREACH, "EHOSTUNREACH"), Ending.REFUSED),
-    (OSError(errno.EMFILE, "Too many open files"), Ending.NO_PLACE),
-    (OSError(errno.ENFILE, "Too many open files in system"), Ending.NO_PLACE),
+    (DeadlineExceededError(), AttemptEnding.CONNECT_TIMEOUT),
+    (OSError(errno.ECONNREFUSED, "ECONNREFUSED"), AttemptEnding.CONNECT_REFUSED),
+    (
+        OSError(errno.ETIMEDOUT, "ETIMEDOUT"),
+        AttemptEnding.CONNECT_REFUSED,
+    ),  # the system gave up, our deadline had not come
+    (OSError(errno.EHOSTUNREACH, "EHOSTUNREACH"), AttemptEnding.CONNECT_REFUSED),
+    (OSError(errno.EMFILE, "Too many open files"), AttemptEnding.POOL_EXHAUSTED),
+    (OSError(errno.ENFILE, "Too many open files in system"), AttemptEnding.POOL_EXHAUSTED),
 ]
 
 
 @pytest.mark.parametrize(("error", "ending"), CONNECT_ERRORS, ids=lambda value: str(value))
 def test_an_attempt_without_a_connection_ends_by_the_error_met(
-    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: Ending
+    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding
 ) -> None:
     def connect(address: tuple[str, int], deadline: float) -> Any:
         raise error
 
-    monkeypatch.setattr(net_client, "connect", connect)
-    pool = Pool(("127.0.0.1", 1), 2, 0.5, 10.0)
+    monkeypatch.setattr(connection_pool, "connect", connect)
+    pool = ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0))
     attempt = one_attempt()
-    assert run(pool, attempt) is ending and not attempt.sent and pool.open == 0
+    assert run(pool, attempt) is ending and not attempt.sent and pool.open_count == 0
 
 
 @pytest.mark.parametrize(("error", "ending"), CONNECT_ERRORS, ids=lambda value: str(value))
 @pytest.mark.parametrize("called_off", [True, False])
 def test_no_connection_error_counts_against_a_node_once_the_attempt_is_over(
-    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: Ending, called_off: bool
+    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding, called_off: bool
 ) -> None:
     attempt = one_attempt()
 
@@ -95,13 +98,15 @@
             attempt.written_by = time.monotonic()
         raise error
 
-    monkeypatch.setattr(net_client, "connect", connect)
-    want = Ending.CALLED_OFF_UNSENT if called_off else Ending.OUT_OF_TIME
-    assert run(Pool(("127.0.0.1", 1), 2, 0.5, 10.0), attempt) is want
+    monkeypatch.setattr(connection_pool, "connect", connect)
+    want = AttemptEnding.CANCELLED_UNSENT if called_off else AttemptEnding.OUT_OF_TIME
+    assert run(ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0)), attempt) is want
 
 
 def test_a_pool_without_a_place_ends_an_attempt_unsent() -> None:
-    assert run(Pool(("127.0.0.1", 1), 0, 0.5, 10.0), one_attempt()) is Ending.NO_PLACE
+    assert (
+        run(ConnectionPool(("127.0.0.1", 1), PoolOptions(0, 0.5, 10.0)), one_attempt()) is AttemptEnding.POOL_EXHAUSTED
+    )
 
 
 def test_a_connect_that_nobody_answers_ends_an_attempt_by_its_timeout() -> None:
@@ -112,7 +117,10 @@
     for sock in fill:
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
-    assert run(Pool(listener.getsockname(), 1, 0.1, 5.0), one_attempt()) is Ending.CONNECT_TIMEOUT
+    assert (
+        run(ConnectionPool(listener.getsockname(), PoolOptions(1, 0.1, 5.0)), one_attempt())
+        is AttemptEnding.CONNECT_TIMEOUT
+    )
     for sock in [*fill, listener]:
         sock.close()
 
@@ -120,113 +128,123 @@
 def test_a_port_where_nobody_listens_refuses_an_attempt() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
-    assert run(Pool(address, 1, 0.5, 5.0), one_attempt()) is Ending.REFUSED
+    assert run(ConnectionPool(address, PoolOptions(1, 0.5, 5.0)), one_attempt()) is AttemptEnding.CONNECT_REFUSED
     with pytest.raises(ConnectRefusedError):
-        Pool(address, 1, 0.5, 5.0).take(time.monotonic() + 1)
+        ConnectionPool(address, PoolOptions(1, 0.5, 5.0)).acquire(time.monotonic() + 1)
 
 
 # ------------------------------------------------------------------ a connection that ends under its request
 
 
-def close(peer: socket.socket, link: Link, attempt: Attempt) -> None:
+def close(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
     peer.recv(4096)
     peer.close()
 
 
-def reset(peer: socket.socket, link: Link, attempt: Attempt) -> None:
+def reset(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     peer.close()
 
 
-def wait(peer: socket.socket, link: Link, attempt: Attempt) -> None:
+def wait(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
     return
 
 
-def close_own_end(peer: socket.socket, link: Link, attempt: Attempt) -> None:
-    link.close()
+def close_own_end(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
+    connection.close()
 
 
-def call_off(peer: socket.socket, link: Link, attempt: Attempt) -> None:
+def call_off(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
     attempt.called_off = True
-    link.close()
+    connection.close()
 
 
 LENGTH_2 = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
-CASES: dict[str, tuple[bytes, Callable[..., None], Ending, Ending]] = {
+CASES: dict[str, tuple[bytes, Callable[..., None], AttemptEnding, AttemptEnding]] = {
     # name: (what the node says, what comes then, ending on a new connection, ending on a kept one)
-    "closed under the request": (b"", close, Ending.RESET, Ending.CLOSED),
-    "reset under the request": (b"", reset, Ending.RESET, Ending.RESET),
-    "closed on this side": (b"", close_own_end, Ending.RESET, Ending.CLOSED),
-    "called off": (b"", call_off, Ending.CALLED_OFF, Ending.CALLED_OFF),
-    "no answer": (b"", wait, Ending.NO_ANSWER, Ending.NO_ANSWER),
-    "closed in the head": (b"HTTP/1.1 200 OK\r\nX", close, Ending.HALF_ANSWER, Ending.HALF_ANSWER),
-    "reset in the head": (b"HTTP/1.1 200 OK\r\nX", reset, Ending.HALF_ANSWER, Ending.HALF_ANSWER),
-    "no HTTP": (b"what?\r\n\r\n", wait, Ending.MALFORMED, Ending.MALFORMED),
+    "closed under the request": (b"", close, AttemptEnding.RESET, AttemptEnding.CLOSED),
+    "reset under the request": (b"", reset, AttemptEnding.RESET, AttemptEnding.RESET),
+    "closed on this side": (b"", close_own_end, AttemptEnding.RESET, AttemptEnding.CLOSED),
+    "called off": (b"", call_off, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
+    "no answer": (b"", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
+    "closed in the head": (
+        b"HTTP/1.1 200 OK\r\nX",
+        close,
+        AttemptEnding.TRUNCATED_RESPONSE,
+        AttemptEnding.TRUNCATED_RESPONSE,
+    ),
+    "reset in the head": (
+        b"HTTP/1.1 200 OK\r\nX",
+        reset,
+        AttemptEnding.TRUNCATED_RESPONSE,
+        AttemptEnding.TRUNCATED_RESPONSE,
+    ),
+    "no HTTP": (b"what?\r\n\r\n", wait, AttemptEnding.MALFORMED_RESPONSE, AttemptEnding.MALFORMED_RESPONSE),
     "an upgrade": (
         b"HTTP/1.1 101 S\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         wait,
-        Ending.MALFORMED,
-        Ending.MALFORMED,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
     ),
     "a length twice": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n",
         wait,
-        Ending.MALFORMED,
-        Ending.MALFORMED,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
     ),
     "bytes that do not read": (
         b"HTTP/1.1 200 OK\r\nSpoilt: 1\r\nContent-Length: 2\r\n\r\nok",
         wait,
-        Ending.MALFORMED,
-        Ending.MALFORMED,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
     ),
-    "closed in the body": (LENGTH_2 + b"o", close, Ending.HALF_ANSWER, Ending.HALF_ANSWER),
-    "reset in the body": (LENGTH_2 + b"o", reset, Ending.HALF_ANSWER, Ending.HALF_ANSWER),
-    "called off in the body": (LENGTH_2 + b"o", call_off, Ending.CALLED_OFF, Ending.CALLED_OFF),
-    "no end of the body": (LENGTH_2 + b"o", wait, Ending.NO_ANSWER, Ending.NO_ANSWER),
-    "bytes behind the end": (LENGTH_2 + b"okmore", wait, Ending.WRONG_LENGTH, Ending.WRONG_LENGTH),
-    "a second answer": (LENGTH_2 + b"ok" + LENGTH_2, wait, Ending.WRONG_LENGTH, Ending.WRONG_LENGTH),
+    "closed in the body": (LENGTH_2 + b"o", close, AttemptEnding.TRUNCATED_RESPONSE, AttemptEnding.TRUNCATED_RESPONSE),
+    "reset in the body": (LENGTH_2 + b"o", reset, AttemptEnding.TRUNCATED_RESPONSE, AttemptEnding.TRUNCATED_RESPONSE),
+    "called off in the body": (LENGTH_2 + b"o", call_off, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
+    "no end of the body": (LENGTH_2 + b"o", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
+    "bytes behind the end": (LENGTH_2 + b"okmore", wait, AttemptEnding.WRONG_LENGTH, AttemptEnding.WRONG_LENGTH),
+    "a second answer": (LENGTH_2 + b"ok" + LENGTH_2, wait, AttemptEnding.WRONG_LENGTH, AttemptEnding.WRONG_LENGTH),
     "a chunk that does not read": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         wait,
-        Ending.MALFORMED,
-        Ending.MALFORMED,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
     ),
     "a length over the bound": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n",
         wait,
-        Ending.WRONG_LENGTH,
-        Ending.WRONG_LENGTH,
+        AttemptEnding.WRONG_LENGTH,
+        AttemptEnding.WRONG_LENGTH,
     ),
     "a body over the bound": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" + b"x" * 1001 + b"\r\n",
         wait,
-        Ending.MALFORMED,
-        Ending.MALFORMED,
+        AttemptEnding.MALFORMED_RESPONSE,
+        AttemptEnding.MALFORMED_RESPONSE,
     ),
-    "an answer": (LENGTH_2 + b"ok", wait, Ending.ANSWERED, Ending.ANSWERED),
+    "an answer": (LENGTH_2 + b"ok", wait, AttemptEnding.ANSWERED, AttemptEnding.ANSWERED),
     "an error": (
         b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         wait,
-        Ending.NODE_ERROR,
-        Ending.NODE_ERROR,
+        AttemptEnding.NODE_ERROR,
+        AttemptEnding.NODE_ERROR,
     ),
 }
-LENIENT_CASES: dict[str, tuple[bytes, Callable[..., None], Ending]] = {
-    "closed behind an answer without a length": (NO_LENGTH + b"all", close, Ending.ANSWERED_TO_CLOSE),
-    "reset in an answer without a length": (NO_LENGTH + b"half", reset, Ending.CUT_WITHOUT_LENGTH),
-    "closed on this side": (NO_LENGTH + b"half", close_own_end, Ending.CUT_WITHOUT_LENGTH),
-    "bytes behind the end": (LENGTH_2 + b"okmore", wait, Ending.ANSWERED),
+LENIENT_CASES: dict[str, tuple[bytes, Callable[..., None], AttemptEnding]] = {
+    "closed behind an answer without a length": (NO_LENGTH + b"all", close, AttemptEnding.ANSWERED_UNTIL_CLOSE),
+    "reset in an answer without a length": (NO_LENGTH + b"half", reset, AttemptEnding.BROKEN_WITHOUT_LENGTH),
+    "closed on this side": (NO_LENGTH + b"half", close_own_end, AttemptEnding.BROKEN_WITHOUT_LENGTH),
+    "bytes behind the end": (LENGTH_2 + b"okmore", wait, AttemptEnding.ANSWERED),
 }
 
 
-def ending_against(said: bytes, then: Callable[..., None], kept: bool, lenient: bool = False) -> Ending:
+def ending_against(said: bytes, then: Callable[..., None], kept: bool, lenient: bool = False) -> AttemptEnding:
     """The ending of an attempt whose node says `said` once the request has come."""
     listener = socket.create_server(("127.0.0.1", 0))
-    pool = Pool(listener.getsockname(), 1, 1.0, 5.0, lenient=lenient)
+    pool = ConnectionPool(listener.getsockname(), PoolOptions(1, 1.0, 5.0, lenient=lenient))
     if kept:
-        pool.give(pool.take(time.monotonic() + 1))
+        pool.release(pool.acquire(time.monotonic() + 1))
     attempt = one_attempt(0.3)
     job = gevent.spawn(run, pool, attempt)
     while not attempt.sent:
@@ -238,7 +256,7 @@
         gevent.sleep(0.02)
     if attempt.link is not None:
         then(peer, attempt.link, attempt)
-    got: Ending = job.get(timeout=5)
+    got: AttemptEnding = job.get(timeout=5)
     for sock in (peer, listener):
         sock.close()
     return got
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -18,7 +18,7 @@
     """A clock that was looked at up to `until`, as a head does."""
     clock, now = ArrivalClock(WALL, 0.0), 0.0
     while now < until:
-        clock.look(WALL + now, now)
+        clock.observe(WALL + now, now)
         now += LOOKS_S
     return clock
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_stamps_behind_a_step_are_right_again(step: float) -> None:
     clock = looked_at(10.0)
-    clock.look(WALL + step + 10.0, 10.0)
+    clock.observe(WALL + step + 10.0, 10.0)
     for k in range(1, 100):
         now = 10.0 + 0.01 * k
         assert clock.arrival(WALL + step + now - 0.004, WALL + step + now, now) == pytest.approx(now - 0.004, abs=1e-5)
