--- a/benchmarks/duties_walks.py
+++ b/benchmarks/duties_walks.py
@@ -13,14 +13,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from random import Random
 
-from fawnspool.leases.terms import Terms
+from fawnspool.leases.settings import LeaseSettings
 from fawnspool.model.duties import Duties, Net
 
 BAD = Net(delay=0.005, loss=0.1, twice=0.1, late=0.1, late_by=5.0)
 
 
-def terms(heads: int, voters: int, shards: int = 64, lease: float = 2.0, drift: float = 0.01) -> Terms:
-    return Terms(heads, tuple(range(voters)), lease, drift, (("a", shards),), max(64, -(-shards * 4 // heads)))
+def terms(heads: int, voters: int, shards: int = 64, lease: float = 2.0, drift: float = 0.01) -> LeaseSettings:
+    return LeaseSettings(heads, tuple(range(voters)), lease, drift, (("a", shards),), max(64, -(-shards * 4 // heads)))
 
 
 def walk(
@@ -58,7 +58,7 @@
             what < 0.6
             and host.number < voters
             and d.engine.now > lost_until
-            and all(h.floor >= 0 and (h.voter is None or h.voter.voting) for h in d.hosts[:voters])
+            and all(h.floor >= 0 and (h.voter is None or h.voter.is_voting) for h in d.hosts[:voters])
         ):
             d.kill(host)
             d.wipe(host)
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -13,8 +13,8 @@
 from fawnspool.config.head import HeadConfig, check
 from fawnspool.config.schema import ConfigError, load
 from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
-from fawnspool.gateway.lease_runner import terms_of
-from fawnspool.gateway.leased_work import PAUSE, RELEASE
+from fawnspool.gateway.lease_runner import lease_settings
+from fawnspool.gateway.role_context import PAUSE, RELEASE
 from fawnspool.net.server import address
 
 
@@ -30,7 +30,7 @@
             fail(f"{config_file}: has no duties block: its head takes no part in any")
         self.lease = config.duties.lease
         self.kinds = [d.name for d in config.duties.duty]
-        self.names = terms_of(config.duties, config.head.heads).names
+        self.names = lease_settings(config.duties, config.head.heads).role_names
         self.places = MapClient(address(config.catalogue.address), config.catalogue.call_timeout)
 
     def wishes(self) -> Wishes:
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -15,8 +15,8 @@
 from fawnspool.extents.records import Fact
 from fawnspool.gateway.endpoint_client import Told
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.gateway.leased_work import DRAIN
 from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.role_context import DRAIN
 from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
 from fawnspool.net.server import address
--- a/fawnspool/gateway/acceptor_log.py
+++ b/fawnspool/gateway/acceptor_log.py
@@ -1,8 +1,11 @@
-"""A voter's memory on disk: each vote a row, forced to the disk before it is said. Rows: duty, token, who; a first
-row names the terms that they were given under.
+"""An acceptor's memory on disk: a row for each vote, forced to the disk before the vote is announced.
 
-What does not read is not used: the voter then is one without memory, which says nothing until it has learned
-(`duties/voter.py`). A torn last row is that of a vote that was never said.
+    mark, FINGERPRINT              settings that the votes were given under; the first row
+    floor, TOKEN                   the acceptor recovered its memory: tokens up to this one may have been promised
+    vote, ROLE, TOKEN, INCARNATION
+
+A file that can't be read as a whole is not used: the acceptor is then one without memory, which stays silent until it
+has recovered (`leases/recovery.py`). A torn last row is that of a vote that was never announced.
 """
 
 from __future__ import annotations
@@ -11,86 +14,150 @@
 from pathlib import Path
 from typing import Any
 
-from fawnspool.leases.acceptor import Keep, Memory
-from fawnspool.leases.terms import Terms
+from fawnspool.leases.actions import AcceptorMemory, PersistVotes
+from fawnspool.leases.ballot import Ballot
+from fawnspool.leases.settings import LeaseSettings
 from fawnspool.records.frames import Reader, RecordingError, Writer
 
-LONG = 10_000  # rows after which the file is written anew at a start
+FILE_NAME = "votes.rec"
+MAX_OUTDATED_ROWS = 10_000  # beyond two a role; with more the file is rewritten at a start
+FINGERPRINT_ROW = "mark"
+FLOOR_ROW = "floor"
+VOTE_ROW = "vote"
+
+
+class _StoredVotes:
+    """The content of a file."""
+
+    def __init__(self) -> None:
+        self.votes: dict[int, Ballot] = {}
+        self.floor: int | None = None
+        self.fingerprint: int | None = None
+        self.row_count = 0
+
+    def add(self, kind: str, *values: int) -> None:
+        self.row_count += 1
+        if kind == FINGERPRINT_ROW:
+            self.fingerprint = values[0]
+        elif kind == FLOOR_ROW:
+            self.floor = values[0] if self.floor is None else max(self.floor, values[0])
+        else:
+            role, token, incarnation = values[:3]
+            if token >= self.votes.get(role, Ballot(0, 0)).token:
+                self.votes[role] = Ballot(token, incarnation)
+
+
+class AcceptorLog:
+    """The file of one acceptor.
+
+    Parameters
+    ----------
+    folder
+        Where the file lies; it is created.
+    settings
+        Present lease settings. Votes under others count as a floor.
+    sync
+        Whether votes are forced to the disk.
 
+    Attributes
+    ----------
+    memory : AcceptorMemory or None
+        What the file held at the start; None if there is no memory.
+    missing_reason : str
+        Why there is no memory.
 
-class VoteFile:
-    """Raises OSError where the folder can't be used at all."""
+    Raises
+    ------
+    OSError
+        If the folder can't be used at all.
+    """
 
-    def __init__(self, folder: Path, terms: Terms, sync: bool) -> None:
-        self.path, self.terms, self.sync = folder / "votes.rec", terms, sync
+    def __init__(self, folder: Path, settings: LeaseSettings, sync: bool) -> None:
         folder.mkdir(parents=True, exist_ok=True)
-        self.why = ""  # why there is no memory
-        self.writer: Writer | None = None
+        self.path = folder / FILE_NAME
+        self.settings = settings
+        self.sync = sync
+        self.missing_reason = ""
+        self._writer: Writer | None = None
         self.memory = self._read()
 
-    def _read(self) -> Memory | None:
+    def _read(self) -> AcceptorMemory | None:
         if not self.path.exists():
-            self.why = "there is no file"
+            self.missing_reason = "there is no file"
             return None
-        reader, rows, floor, mark, count = Reader(self.path), dict[int, tuple[int, int]](), -1, None, 0
+        reader = Reader(self.path)
+        stored = _StoredVotes()
         try:
-            for kind, *row in reader:
-                count += 1
-                if kind == "mark":
-                    mark = row[0]
-                elif kind == "floor":
-                    floor = max(floor, row[0])
-                elif row[1] >= rows.get(row[0], (0, 0))[0]:
-                    rows[row[0]] = (row[1], row[2])
-        except (RecordingError, TypeError, ValueError, IndexError, OSError) as bad:
-            self.why = str(bad)
+            for row in reader:
+                stored.add(*row)
+        except (RecordingError, TypeError, ValueError, IndexError, OSError) as error:
+            self.missing_reason = str(error)
             return None
-        if floor < 0 or (reader.torn and "cut short" not in reader.torn):
-            self.why = reader.torn or "it was never known how high tokens had come"
+        if stored.floor is None or stored.floor < 0 or (reader.torn and "cut short" not in reader.torn):
+            self.missing_reason = reader.torn or "it was never known how high tokens had come"
             return None
-        if mark != self.terms.mark:  # duties may bear other numbers now: of all of them the highest token
-            rows, floor = {}, max([floor, *(token for token, _ in rows.values())])
-            self._anew(rows, floor)
-        elif count > 2 * len(rows) + LONG:
-            self._anew(rows, floor)
-        return Memory(rows, floor)
-
-    def _anew(self, rows: dict[int, tuple[int, int]], floor: int) -> None:
+        if stored.fingerprint != self.settings.fingerprint:
+            # Roles may have other numbers now: the highest token of all of them counts for each.
+            floor = max([stored.floor, *(ballot.token for ballot in stored.votes.values())])
+            return self._rewrite(AcceptorMemory({}, floor))
+        memory = AcceptorMemory(stored.votes, stored.floor)
+        if stored.row_count > 2 * len(stored.votes) + MAX_OUTDATED_ROWS:
+            self._rewrite(memory)
+        return memory
+
+    def _rewrite(self, memory: AcceptorMemory) -> AcceptorMemory:
         draft = self.path.with_suffix(".draft")
         writer = Writer(draft)
-        for row in (("mark", self.terms.mark), ("floor", floor), *(("vote", d, t, w) for d, (t, w) in rows.items())):
-            writer.add(row)
+        writer.add((FINGERPRINT_ROW, self.settings.fingerprint))
+        writer.add((FLOOR_ROW, memory.floor))
+        for role, ballot in memory.votes.items():
+            writer.add((VOTE_ROW, role, *ballot))
         writer.flush()
         os.fsync(writer.fd)
         writer.close()
-        os.replace(draft, self.path)
+        draft.replace(self.path)
+        return memory
 
-    def keep(self, keep: Keep) -> None:
-        """On the disk when it returns. Raises OSError; the file is read up to its last whole row then."""
+    def persist(self, votes: PersistVotes) -> None:
+        """Write votes; they are on the disk when it returns.
+
+        Raises
+        ------
+        OSError
+            If they could not be written; the file can then be read up to its last whole row.
+        """
         try:
-            if self.writer is None:
-                self.writer = Writer(self.path, keep=self.memory is not None)
-                if self.memory is None:
-                    self.writer.add(("mark", self.terms.mark))
-            rows: list[Any] = [("vote", *row) for row in keep.rows]
-            if keep.floor >= 0:
-                rows.append(("floor", keep.floor))
-                self.memory = Memory({}, keep.floor)
-            for row in rows:
-                self.writer.add(row)
-            self.writer.flush()
-            if self.sync:
-                os.fdatasync(self.writer.fd)
+            self._append(votes)
         except OSError:
-            self._drop()
+            self._discard_writer()
             raise
 
-    def _drop(self) -> None:
-        """The next row must not stand behind a torn one: the file is opened anew, cut back to its last whole row."""
-        if self.writer is not None:
-            os.close(self.writer.fd)
-            self.writer.fd = -1
-            self.writer = None
+    def _append(self, votes: PersistVotes) -> None:
+        writer = self._open_writer()
+        rows: list[tuple[Any, ...]] = [(VOTE_ROW, *record) for record in votes.records]
+        if votes.floor is not None:
+            rows.append((FLOOR_ROW, votes.floor))
+            self.memory = AcceptorMemory({}, votes.floor)
+        for row in rows:
+            writer.add(row)
+        writer.flush()
+        if self.sync:
+            os.fdatasync(writer.fd)
+
+    def _open_writer(self) -> Writer:
+        if self._writer is None:
+            self._writer = Writer(self.path, keep=self.memory is not None)
+            if self.memory is None:
+                self._writer.add((FINGERPRINT_ROW, self.settings.fingerprint))
+        return self._writer
+
+    def _discard_writer(self) -> None:
+        """Close without writing: the next row must not stand behind a torn one, which reopening cuts off."""
+        if self._writer is not None:
+            os.close(self._writer.fd)
+            self._writer.fd = -1
+            self._writer = None
 
     def close(self) -> None:
-        self._drop()
+        """Close the file."""
+        self._discard_writer()
--- /dev/null
+++ b/fawnspool/gateway/acceptor_runner.py
@@ -0,0 +1,90 @@
+"""Carries out an acceptor's actions: votes go to disk before the messages behind them are sent.
+
+Votes are written in the hub's threads by a greenlet of its own, so that a slow disk delays neither requests nor this
+gateway's own renewals. Where they can't be written, nothing behind them is sent: the vote was not given.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import gevent
+from gevent.queue import Queue
+
+from fawnspool.gateway.acceptor_log import AcceptorLog
+from fawnspool.leases.acceptor import Acceptor
+from fawnspool.leases.actions import LeaseAction, PersistVotes, SendLeaseMessage
+from fawnspool.leases.messages import LeaseMessage
+
+
+class AcceptorRunner:
+    """Owner of an acceptor and of its log.
+
+    Parameters
+    ----------
+    send
+        Sends messages to the other gateways.
+    """
+
+    def __init__(
+        self, acceptor: Acceptor, votes: AcceptorLog, send: Callable[[list[SendLeaseMessage]], None], log: Any
+    ) -> None:
+        self.acceptor = acceptor
+        self.votes = votes
+        self.log = log
+        self._send = send
+        self._batches: Queue[list[LeaseAction]] = Queue()
+        self._greenlet: Any = None
+
+    def start(self) -> None:
+        """Start to write votes."""
+        self._greenlet = gevent.spawn(self._run)
+
+    def stop(self) -> None:
+        """Stop writing and close the log."""
+        if self._greenlet is not None:
+            self._greenlet.kill()
+        self.votes.close()
+
+    def receive(self, now: float, sender: int, message: LeaseMessage) -> None:
+        """Hand a message to the acceptor."""
+        self._enqueue(self.acceptor.receive(now, sender, message))
+
+    def tick(self, now: float) -> None:
+        """Let the acceptor do what is due."""
+        self._enqueue(self.acceptor.tick(now))
+
+    def _enqueue(self, actions: list[LeaseAction]) -> None:
+        if actions:
+            self._batches.put(actions)
+
+    def _run(self) -> None:
+        while True:
+            actions = self._batches.get()
+            try:
+                for action in actions:
+                    self._carry_out(action)
+            except OSError as error:
+                self._record_disk_failure(error)
+            else:
+                self._record_disk_success()
+
+    def _carry_out(self, action: LeaseAction) -> None:
+        if isinstance(action, PersistVotes):
+            gevent.get_hub().threadpool.apply(self.votes.persist, (action,))
+            self.acceptor.confirm_persisted(action)
+        else:
+            self._send([action])
+
+    def _record_disk_failure(self, error: OSError) -> None:
+        if not self.acceptor.disk_failed:
+            self.acceptor.disk_failed = True
+            self.log.error(
+                "votes_not_persisted", error=str(error), effect="no votes are given", remedy="make room in head.data"
+            )
+
+    def _record_disk_success(self) -> None:
+        if self.acceptor.disk_failed:
+            self.acceptor.disk_failed = False
+            self.log.info("votes_persisted_again")
--- /dev/null
+++ b/fawnspool/gateway/drain_worker.py
@@ -0,0 +1,149 @@
+"""The work of a `drain` role: moves extents off the shards that operators drain. `leases/drain.py` decides."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+from fawnspool.extents.migration import Step
+from fawnspool.extents.records import Fact
+from fawnspool.extents.replicas import Role
+from fawnspool.gateway.held_lease import HeldLease
+from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.role_context import DRAIN, POLL_INTERVAL_S, RoleContext
+from fawnspool.leases.drain import MoveRateLimiter, RetrySchedule, target_shard
+from fawnspool.scheduling import interface
+
+ANY_NODE = "any node"  # as a dependency of a role: one that is away is its own affair, all of them is this gateway's
+NEVER = float("-inf")
+MOVE_TIMEOUTS = 2  # calls' timeouts that one move may take
+
+
+class DrainWorker:
+    """Work of one lease."""
+
+    def __init__(self, context: RoleContext, lease: HeldLease) -> None:
+        kind = lease.kind
+        self.context = context
+        self.lease = lease
+        self.limiter = MoveRateLimiter(kind.moves / kind.shards, kind.bytes / kind.shards, kind.busy)
+        self.retries = RetrySchedule()
+        self.moved_count = 0
+        self._fenced_nodes: set[tuple[str, int]] = set()  # that have seen this holder's token
+        self._reported_at = NEVER
+        self._mover = Mover(
+            lambda shard: context.shard_addresses().get(shard),
+            context.map_client,
+            context.call_timeout_s,
+            taken=lambda step: lease.check(),
+            stamp=lease.stamp,
+            left=lambda: max(0.0, lease.remaining_s()),
+        )
+
+    def run(self) -> None:
+        """Drain until the lease ends."""
+        self.context.show_first_token(self.lease)
+        while True:
+            requests = self.context.operator_requests(self.lease)
+            drained = _drained_shards(requests)
+            if requests is None or not drained or self.context.is_paused(self.lease, requests):
+                self.lease.sleep(POLL_INTERVAL_S / 8)
+                continue
+            self._drain_once(drained)
+
+    def _drain_once(self, drained: set[int]) -> None:
+        """Try to move each extent that lies on a drained shard."""
+        remaining = [fact for fact in self.context.extents_of(self.lease) if fact.cell in drained]
+        self._report(len(remaining))
+        moved_before = self.moved_count
+        for fact in remaining:
+            if not self._is_still_drained(fact):
+                break
+            self._move(fact, drained)
+        if self.moved_count == moved_before:
+            self.lease.sleep(POLL_INTERVAL_S / 4)
+
+    def _is_still_drained(self, fact: Fact) -> bool:
+        requests = self.context.operator_requests(self.lease)
+        if requests is None or self.context.is_paused(self.lease, requests):
+            return False
+        return f"{DRAIN}{fact.cell}" in requests
+
+    def _report(self, remaining: int) -> None:
+        now = time.monotonic()
+        if now - self._reported_at >= POLL_INTERVAL_S:
+            self._reported_at = now
+            self.context.show_token(self.lease, f"{self.moved_count} moved, {remaining} left")
+
+    def _move(self, fact: Fact, drained: set[int]) -> None:
+        lease = self.lease
+        extent = (fact.volume, fact.extent)
+        if not self.retries.is_due(time.monotonic(), extent):
+            return
+        present = self.context.directory.map.find(*extent)  # a move, or a delete, may have come meanwhile
+        if present is None or present.cell != fact.cell:
+            return
+        self._wait_for_rate(present.size)
+        target = self._target(fact, drained)
+        ready = [self._show_token(shard) for shard in (fact.cell, target) if shard is not None]
+        lease.record_reachability(ANY_NODE, any(ready))
+        lease.check()
+        if target is None or not all(ready):
+            self.retries.record_failure(time.monotonic(), extent)
+            return
+        deadline = time.monotonic() + min(lease.remaining_s(), MOVE_TIMEOUTS * self.context.call_timeout_s)
+        step = self._mover.move(fact.volume, fact.extent, target, deadline)
+        lease.check()
+        if step is Step.DONE:
+            self.moved_count += 1
+            self.retries.record_success(extent)
+            lease.record_reachability(ANY_NODE, True)
+        else:
+            self._record_failed_move(fact, target)
+
+    def _wait_for_rate(self, size: int) -> None:
+        while True:
+            in_flight = self.context.view.requests_in_flight()
+            wait_s = self.limiter.wait_s(time.monotonic(), size, in_flight)
+            if wait_s <= 0:
+                return
+            self.lease.sleep(wait_s)
+
+    def _record_failed_move(self, fact: Fact, target: int) -> None:
+        extent = (fact.volume, fact.extent)
+        if self._mover.look(fact.cell, *extent) is None and self._mover.look(target, *extent) is None:
+            self.lease.record_reachability(ANY_NODE, False)
+            self.lease.check()
+        self.retries.record_failure(time.monotonic(), extent)
+
+    def _show_token(self, shard: int) -> bool:
+        """Show the token to a shard's node, once; return whether the node has taken it.
+
+        Raises
+        ------
+        StaleTokenError
+            If a newer holder was there.
+        """
+        address = self.context.shard_addresses().get(shard)
+        if address is None:
+            return False
+        if address not in self._fenced_nodes and self._mover.raise_fence(shard):
+            self._fenced_nodes.add(address)
+        self.lease.check()
+        return address in self._fenced_nodes
+
+    def _target(self, fact: Fact, drained: set[int]) -> int | None:
+        """Return the shard that an extent moves to: a predecessor's if it has fenced the extent for it."""
+        seen = self._mover.look(fact.cell, fact.volume, fact.extent)
+        next_generation = fact.stamp.generation + 1
+        if seen is not None and seen.role is Role.FENCED and seen.to >= 0 and seen.generation == next_generation:
+            return seen.to
+        return target_shard(fact.volume, fact.extent, _ready_shards(self.context.view.nodes()) - drained)
+
+
+def _drained_shards(requests: dict[str, str] | None) -> set[int]:
+    return {int(name.removeprefix(DRAIN)) for name in requests or () if name.startswith(DRAIN)}
+
+
+def _ready_shards(nodes: dict[int, Any]) -> set[int]:
+    return {known.cell for known in nodes.values() if known.phase is interface.Phase.READY}
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -18,7 +18,7 @@
 from fawnspool.extents.staleness import Do, Staleness, Terms
 from fawnspool.gateway.map_store import MapFile, read
 from fawnspool.gateway.watch_client import ListLink
-from fawnspool.leases.fencing import Fenced
+from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
 from fawnspool.records.background_writer import BackgroundWriter
@@ -68,7 +68,7 @@
             )
             if status.code == 403:
                 refused = msgspec.msgpack.decode(body, type=_Refused)
-                raise Fenced(refused.fenced, refused.newest)
+                raise StaleTokenError(refused.fenced, refused.newest)
             if status.code not in (200, 404, 409):
                 raise PlacesError(f"the map service answered {status.code}")
             return status.code, None if status.code == 404 else msgspec.msgpack.decode(body, type=kind)
@@ -92,14 +92,14 @@
         return gone
 
     def flip(self, volume: str, key: str, cell: int, generation: int, **stamp: Any) -> Fact | None:
-        """stamp: of a duty, see `duties/fence.py`. Raises Fenced."""
+        """stamp: of a duty, see `leases/fencing.py`. Raises StaleTokenError."""
         holds: Fact | None = self._call(
             b"/flip", Fact, volume=volume, key=key, cell=cell, generation=generation, **stamp
         )[1]
         return holds
 
     def fence(self, note: str, **stamp: Any) -> None:
-        """Show a token, and say how the duty fares. Raises Fenced."""
+        """Show a token, and say how the duty fares. Raises StaleTokenError."""
         self._call(b"/fence", dict, note=note, **stamp)
 
     def wish(self, name: str, value: str | None) -> None:
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -22,11 +22,13 @@
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
 from fawnspool.gateway.gossip_runner import Sharing
-from fawnspool.gateway.lease_runner import Duties
-from fawnspool.gateway.leased_work import Works
+from fawnspool.gateway.lease_runner import LeaseRunner
+from fawnspool.gateway.leased_work import LeasedWork
 from fawnspool.gateway.node_protocol import NodeSpeech
+from fawnspool.gateway.peer_channel import FleetPlace
 from fawnspool.gateway.peers import Peers
 from fawnspool.gateway.request_state import Attempt, Body, Pending
+from fawnspool.gateway.role_context import GatewayView, RoleContext
 from fawnspool.gossip.health_evidence import doubts
 from fawnspool.net.client import ConnectFailed, ConnectionBroken, call
 from fawnspool.net.http import BadMessage
@@ -103,7 +105,7 @@
             Places(source, Terms(heads=h.heads), h.seed, self.log) if source is not None else self._places(config)
         )
         self.peers: Peers | None = None
-        self.duties: Duties | None = None
+        self.leases: LeaseRunner | None = None
         self.sharing: Sharing | None = None
 
     def _places(self, config: HeadConfig) -> Places:
@@ -134,7 +136,7 @@
         self.list.start()
         self.places.start()
         if self.config.duties is not None and self.peers is not None:
-            self._start_duties(self.peers)
+            self._start_leases(self.peers)
         if self.config.shared is not None and self.peers is not None:
             self.sharing = Sharing(
                 self.config.shared,
@@ -150,46 +152,31 @@
             )
             self.sharing.start()
 
-    def _start_duties(self, peers: Peers) -> None:
+    def _start_leases(self, peers: Peers) -> None:
         c, k = self.config, self.config.catalogue
         assert c.duties is not None
-        works = Works(
-            self.places,
-            MapClient(address(k.address), k.call_timeout),
-            lambda: self.list.nodes,
-            lambda: len(self.pending),
-            self.log,
-            k.call_timeout,
-        )
-        self.duties = Duties(
-            c.duties,
-            c.head.number,
-            c.head.heads,
-            c.head.seed,
-            Path(c.head.data),
-            peers,
-            works.by_kind,
-            works.poll,
-            self.log,
-        )
-        self.duties.start()
+        place = FleetPlace(c.head.number, c.head.heads, c.head.seed)
+        view = GatewayView(nodes=lambda: self.list.nodes, requests_in_flight=lambda: len(self.pending))
+        map_client = MapClient(address(k.address), k.call_timeout)
+        self.leases = LeaseRunner(c.duties, place, Path(c.head.data), peers, self.log)
+        self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
 
     def hand_over(self) -> None:
         """What this head holds goes to others at once: the first thing of an end."""
-        if self.duties is not None:
-            self.duties.hand_over()
+        if self.leases is not None:
+            self.leases.hand_over()
 
     def duty_status(self) -> dict[str, Any] | None:
         """None: this head takes no part in duties."""
-        return None if self.duties is None else self.duties.status()
+        return None if self.leases is None else self.leases.status()
 
     def shared_status(self) -> dict[str, Any] | None:
         """None: this head shares nothing."""
         return None if self.sharing is None else self.sharing.status()
 
     def stop(self) -> None:
-        if self.duties is not None:
-            self.duties.stop()
+        if self.leases is not None:
+            self.leases.stop()
         if self.sharing is not None:
             self.sharing.stop()
         self.list.stop()
--- /dev/null
+++ b/fawnspool/gateway/inventory_worker.py
@@ -0,0 +1,64 @@
+"""The work of a `compare` role: what nodes hold against the map. `leases/inventory.py` decides what differs."""
+
+from __future__ import annotations
+
+import time
+
+import msgspec
+
+from fawnspool.gateway.held_lease import HeldLease
+from fawnspool.gateway.role_context import POLL_INTERVAL_S, RoleContext
+from fawnspool.leases.inventory import compare_inventories
+from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
+from fawnspool.net.http import BadMessage
+
+_StoredRow = tuple[str, str, int, str]  # a node's inventory: volume, key, and what is not needed here
+
+
+class InventoryWorker:
+    """Work of one lease."""
+
+    def __init__(self, context: RoleContext, lease: HeldLease) -> None:
+        self.context = context
+        self.lease = lease
+
+    def run(self) -> None:
+        """Compare at the role's interval until the lease ends."""
+        self.context.show_first_token(self.lease)
+        while True:
+            requests = self.context.operator_requests(self.lease)
+            if requests is not None and not self.context.is_paused(self.lease, requests):
+                self._compare()
+            self._wait()
+
+    def _compare(self) -> None:
+        lease = self.lease
+        stored = {shard: self._stored(address) for shard, address in self.context.shard_addresses().items()}
+        mapped = {(fact.volume, fact.extent): fact.cell for fact in self.context.extents_of(lease)}
+        report = compare_inventories(mapped, stored, lease.partition, lease.kind.shards)
+        self.context.log.info("inventories_compared", role=lease.name, report=str(report))
+        self.context.show_token(lease, str(report))
+
+    def _wait(self) -> None:
+        next_at = time.monotonic() + self.lease.kind.every
+        while time.monotonic() < next_at:
+            self.lease.sleep(POLL_INTERVAL_S)
+            self.lease.check()
+
+    def _stored(self, address: tuple[str, int]) -> list[tuple[str, str]] | None:
+        """Return what a node holds; None if it does not answer."""
+        timeout_s = self.context.call_timeout_s
+        try:
+            status, body = call(
+                Pool(address, 1, timeout_s, 0.0),
+                b"GET",
+                b"/-/objects",
+                time.monotonic() + min(timeout_s, self.lease.remaining_s()),
+            )
+            if status.code != 200:
+                return None
+            return [(row[0], row[1]) for row in msgspec.json.decode(body, type=list[_StoredRow])]
+        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError):
+            return None
+        finally:
+            self.lease.check()
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -1,9 +1,6 @@
-"""Carries duties out: passes datagrams and time to `duties/voter.py` and `duties/holder.py`, keeps votes, runs the
-work of what this head holds in greenlets of its own. It chooses nothing.
+"""Carries leases out: passes messages and time to the acceptor and the lease holder, and runs the work of held roles.
 
-One greenlet owns both objects; datagrams come to it through a queue. Votes are kept by a second one, in the hub's
-threads, so that a slow disk holds up neither requests nor this head's own renewals; what follows a vote is said once
-it is kept.
+It chooses nothing. One greenlet owns both objects; messages come to it through a queue.
 """
 
 from __future__ import annotations
@@ -11,321 +8,307 @@
 import os
 import time
 from collections import Counter, deque
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 import gevent
 from gevent.event import Event
-from gevent.queue import Queue
 
-from fawnspool.config.head import DutiesBlock, DutyBlock
-from fawnspool.gateway.acceptor_log import VoteFile
+from fawnspool.config.head import DutiesBlock
+from fawnspool.gateway.acceptor_log import AcceptorLog
+from fawnspool.gateway.acceptor_runner import AcceptorRunner
+from fawnspool.gateway.held_lease import HeldLease, LeaseExpiredError
+from fawnspool.gateway.lease_record import LeaseChange, LeaseRecord
+from fawnspool.gateway.peer_channel import FleetPlace, PeerChannel, PeerCodec
 from fawnspool.gateway.peers import Peers
-from fawnspool.leases.acceptor import Keep, Out, Say, Voter
-from fawnspool.leases.fencing import Fenced
-from fawnspool.leases.lease_holder import Holder, Took
-from fawnspool.leases.messages import FOR_HOLDER, LEADING, Message, Unread, pack, unpack
-from fawnspool.leases.terms import Terms
-from fawnspool.records.frames import Writer
-
-_INBOX = 4096  # datagrams that wait for their turn, at most
-_LAST_WORDS = 0.02  # seconds between the two sayings that all is given back
-
-
-class LeaseOver(Exception):
-    """The duty is not held any more, or its lease ends too soon for a step to be begun."""
-
-
-def terms_of(config: DutiesBlock, heads: int) -> Terms:
-    """What all heads agree on. Numbers are passed on as written."""
-    kinds = tuple((d.name, d.shards) for d in config.duty)
-    return Terms(heads, tuple(config.voters), config.lease, config.drift, kinds, config.most)
-
-
-@dataclass
-class Hold:
-    """What the work of one duty sees of its hold. Everything here looks at the clock anew."""
-
-    duties: Duties
-    duty: int
-    name: str
-    kind: DutyBlock
-    shard: int
-    token: int
-    work: Any = None
-
-    def left(self) -> float:
-        """Seconds for which a step may still take; 0 or less: none may be begun."""
-        d = self.duties
-        return d.holder.holds(d.clock(), self.duty, self.token) / d.rate
-
-    def check(self) -> None:
-        """Raises LeaseOver."""
-        if self.left() <= 0:
-            raise LeaseOver(self.name)
-
-    def stamp(self) -> dict[str, Any]:
-        """What a step bears. Raises LeaseOver."""
-        self.check()
-        return {"duty": self.name, "token": self.token, "who": self.duties.holder.who, "head": self.duties.me}
-
-    def reached(self, what: str, well: bool) -> None:
-        """Was something that the duty needs within reach just now?"""
-        self.duties.reached(self.duty, what, well)
-
-    def sleep(self, seconds: float) -> None:
-        """Raises LeaseOver where it ends meanwhile."""
-        gevent.sleep(max(0.0, min(seconds, self.left())))
-        self.check()
-
-
-class Duties:
-    """`works`: by kind, what is done while a duty of it is held; it returns or raises LeaseOver, Fenced. `beside`
-    runs all the while."""
-
-    def __init__(
-        self,
-        config: DutiesBlock,
-        me: int,
-        heads: int,
-        seed: int,
-        folder: Path,
-        peers: Peers,
-        works: dict[str, Callable[[Hold], None]],
-        beside: Callable[[Duties], None],
-        log: Any,
-    ) -> None:
-        self.config, self.me, self.peers, self.works, self.log = config, me, peers, works, log
-        self.beside = beside
-        self.terms = terms_of(config, heads)
-        self.rate = config.clock_rate
-        self.who = int.from_bytes(os.urandom(8), "big") >> 1 or 1
-        self.started = time.monotonic()
-        now = self.clock()
-        self.holder = Holder(self.terms, me, self.who, seed, now)
-        self.voter: Voter | None = None
-        self.file: VoteFile | None = None
-        if me in self.terms.voters:
-            self.file = VoteFile(folder, self.terms, config.sync)
-            if self.file.memory is None:
-                log.warning("this voter has no memory: it gives no vote until it has learned", why=self.file.why)
-            self.voter = Voter(self.terms, me, self.who, seed, now, self.file.memory)
-        self.record = Writer(config.record, keep=True) if config.record else None
-        self.holds: dict[int, Hold] = {}
-        self.inbox: deque[tuple[int, Message]] = deque(maxlen=_INBOX)
-        self.flag = Event()
-        self.to_keep: Queue[list[Out]] = Queue()
-        self.greenlets: list[Any] = []
-        self.counts: Counter[str] = Counter()  # for metrics: took, fenced, unread, unkept
-        self.lost: Counter[str] = Counter()  # by why
-        self.kinds = [(block, k) for block in config.duty for k in range(block.shards)]
+from fawnspool.leases.acceptor import Acceptor
+from fawnspool.leases.actions import LeaseAction, LeaseMember, SendLeaseMessage
+from fawnspool.leases.fencing import StaleTokenError
+from fawnspool.leases.lease_holder import NOT_RENEWED, LeaseAcquired, LeaseHolder, LeaseLost
+from fawnspool.leases.messages import (
+    FOR_HOLDER,
+    LEADING_BYTE,
+    LeaseMessage,
+    LeaseMessageError,
+    decode,
+    encode,
+)
+from fawnspool.leases.settings import LeaseSettings
+
+MAX_INBOX = 4096  # datagrams that wait for their turn
+RELEASE_PAUSE_S = 0.02  # between the two messages that all is given back, and for work to end before them
+WORK_FINISHED = "its work is over"
+RELEASED_BY_OPERATOR = "released by hand"
+CODEC = PeerCodec("leases", LEADING_BYTE, encode, decode, LeaseMessageError)
+
+
+def lease_settings(config: DutiesBlock, gateway_count: int) -> LeaseSettings:
+    """Return what all gateways agree on; numbers are passed on as written, as the fingerprint depends on them."""
+    kinds = tuple((block.name, block.shards) for block in config.duty)
+    return LeaseSettings(gateway_count, tuple(config.voters), config.lease, config.drift, kinds, config.most)
+
+
+def draw_incarnation() -> int:
+    """Return the number of this life of the gateway: 63 random bits, never 0."""
+    return int.from_bytes(os.urandom(8), "big") >> 1 or 1
+
+
+class RoleWork(Protocol):
+    """The work that this gateway can do."""
+
+    by_kind: Mapping[str, Callable[[HeldLease], None]]
+    """What is done while a role of the kind is held; it may raise LeaseExpiredError or StaleTokenError."""
+
+    def poll_operator_requests(self, runner: LeaseRunner) -> None:
+        """Run beside the work as long as the gateway does."""
+
+
+class LeaseRunner:
+    """This gateway's leases.
+
+    Parameters
+    ----------
+    config
+        The `duties` block of the settings.
+    folder
+        Where the acceptor keeps its votes.
+    """
+
+    def __init__(self, config: DutiesBlock, place: FleetPlace, folder: Path, peers: Peers, log: Any) -> None:
+        self.config = config
+        self.log = log
+        self.settings = lease_settings(config, place.gateway_count)
+        self.member = LeaseMember(place.gateway_id, draw_incarnation(), place.seed)
+        self.leases: dict[int, HeldLease] = {}
+        self.holder = LeaseHolder(self.settings, self.member, self.clock())
+        self.acceptor = self._open_acceptor(folder)
+        self.record = LeaseRecord(config.record, self.member, config.clock_rate)
+        self.acquired_count = 0
+        self.stale_token_count = 0
+        self.lost_counts: Counter[str] = Counter()  # by reason
+        self._channel = PeerChannel(peers, CODEC, log)
+        self._kinds = [(block, partition) for block in config.duty for partition in range(block.shards)]
+        self._work: Mapping[str, Callable[[HeldLease], None]] = {}
+        self._inbox: deque[tuple[int, LeaseMessage]] = deque(maxlen=MAX_INBOX)
+        self._has_messages = Event()
+        self._greenlets: list[Any] = []
+
+    def _open_acceptor(self, folder: Path) -> AcceptorRunner | None:
+        if self.member.gateway_id not in self.settings.acceptors:
+            return None
+        votes = AcceptorLog(folder, self.settings, self.config.sync)
+        if votes.memory is None:
+            self.log.warning(
+                "acceptor_memory_missing", reason=votes.missing_reason, effect="no votes are given until it recovers"
+            )
+        acceptor = Acceptor(self.settings, self.member, self.clock(), votes.memory)
+        return AcceptorRunner(acceptor, votes, self._send, self.log)
 
     def clock(self) -> float:
-        """This head's clock: only differences count. In a drill it may run at another rate."""
-        return time.monotonic() * self.rate
-
-    def start(self) -> None:
-        self.peers.claim(LEADING, self.hear)
-        self.greenlets = [gevent.spawn(self._run), gevent.spawn(self._keep), gevent.spawn(self.beside, self)]
+        """Return the time of this gateway's clock, in seconds; in a drill it may run at another rate."""
+        return time.monotonic() * self.config.clock_rate
+
+    def start(self, work: RoleWork) -> None:
+        """Take part: vote, and hold roles of the kinds that `work` can do."""
+        self._work = work.by_kind
+        self._channel.subscribe(self._enqueue)
+        self._greenlets.append(gevent.spawn(self._run))
+        if self.acceptor is not None:
+            self.acceptor.start()
+        self._greenlets.append(gevent.spawn(work.poll_operator_requests, self))
 
     def hand_over(self) -> None:
-        """Stop all work, then give everything back: once this returns another head may have it."""
-        if self.holder.ending:
+        """Stop all work, then give everything back: once this returns another gateway may have it."""
+        if self.holder.is_leaving:
             return
-        gevent.killall([h.work for h in self.holds.values() if h.work is not None], timeout=_LAST_WORDS)
-        for _ in range(2):
-            now = self.clock()
-            out = self.holder.leave(now) if not self.holder.ending else self.holder.last_words(now)
-            self._say(out)
-            self._happened()
-            gevent.sleep(_LAST_WORDS)
+        working = [lease.greenlet for lease in self.leases.values() if lease.greenlet is not None]
+        gevent.killall(working, timeout=RELEASE_PAUSE_S)
+        self._carry_out(self.holder.leave(self.clock()))
+        gevent.sleep(RELEASE_PAUSE_S)
+        self._carry_out(self.holder.repeat_releases(self.clock()))
+        gevent.sleep(RELEASE_PAUSE_S)
 
     def stop(self) -> None:
+        """Give everything back and end."""
         self.hand_over()
-        gevent.killall(self.greenlets)
-        if self.file is not None:
-            self.file.close()
-        if self.record is not None:
-            self.record.close()
-
-    # ------------------------------------------------------------ datagrams
-
-    def hear(self, sender: int, body: bytes) -> None:
-        try:
-            message = unpack(body)
-        except Unread as bad:
-            self.counts["unread"] += 1
-            self.log.debug("a datagram about duties does not read", sender=sender, why=str(bad))
-            return
-        self.inbox.append((sender, message))
-        self.flag.set()
-
-    def _say(self, out: list[Out]) -> None:
-        for o in out:
-            assert isinstance(o, Say)
-            if o.to == self.me:
-                self.inbox.append((self.me, o.message))
-                self.flag.set()
+        gevent.killall(self._greenlets)
+        if self.acceptor is not None:
+            self.acceptor.stop()
+        self.record.close()
+
+    # ------------------------------------------------------------ messages
+
+    def _enqueue(self, sender: int, message: LeaseMessage) -> None:
+        self._inbox.append((sender, message))
+        self._has_messages.set()
+
+    def _send(self, actions: Sequence[LeaseAction]) -> None:
+        for action in actions:
+            assert isinstance(action, SendLeaseMessage)
+            if action.recipient == self.member.gateway_id:
+                self._enqueue(self.member.gateway_id, action.message)
             else:
-                self.peers.send(o.to, pack(o.message))
+                self._channel.send(action.recipient, action.message)
 
-    def _keep(self) -> None:
-        pool = gevent.get_hub().threadpool
-        while True:
-            out = self.to_keep.get()
-            assert self.voter is not None
-            try:
-                for o in out:
-                    if isinstance(o, Keep):
-                        assert self.file is not None
-                        pool.apply(self.file.keep, (o,))
-                        self.voter.kept(o)
-                    else:
-                        self._say([o])
-                self._disk(False, "")
-            except OSError as bad:  # what was to follow is not said: the vote was not given
-                self._disk(True, str(bad))
-
-    def _disk(self, failed: bool, why: str) -> None:
-        assert self.voter is not None
-        if failed != self.voter.disk_failed:
-            self.voter.disk_failed = failed
-            if failed:
-                self.log.error("votes can't be kept, so none are given: make room in head.data", error=why)
-            else:
-                self.log.info("votes can be kept again")
-        self.counts["unkept"] += failed
+    def _carry_out(self, actions: Sequence[LeaseAction]) -> None:
+        self._send(actions)
+        self._handle_events()
 
     # ------------------------------------------------------------ time
 
     def _run(self) -> None:
-        """Everything that decides, in order. Never yields between a look at the clock and what follows from it."""
-        holder, voter = self.holder, self.voter
         while True:
-            due = min(holder.due(), voter.due() if voter is not None else float("inf"))
-            wait = (due - self.clock()) / self.rate
-            rung = not self.flag.wait(max(0.0, wait))
-            self.flag.clear()
-            now = self.clock()
-            if rung:
-                self._say(holder.woke(now, now - due))
-            while self.inbox:
-                sender, m = self.inbox.popleft()
-                if m.kind in FOR_HOLDER:
-                    self._say(holder.hear(now, sender, m))
-                elif voter is not None and (out := voter.hear(now, sender, m)):
-                    self.to_keep.put(out)
-            self._say(holder.tick(now))
-            if voter is not None and (out := voter.tick(now)):
-                self.to_keep.put(out)
-            self._happened()
-            self._note_ends()
-
-    def _happened(self) -> None:
-        events, self.holder.events = self.holder.events, []
-        for e in events:
-            name = self.terms.names[e.duty]
-            hold = self.holds.get(e.duty)
-            if isinstance(e, Took):
-                self._note("took", name, e.token, self.holder.end(e.duty))
-                if hold is not None:
-                    hold.token = e.token
-                    self.log.info("duty held under a higher token", duty=name, token=e.token)
-                    continue
-                self.counts["took"] += 1
-                self.log.info("duty taken", duty=name, token=e.token)
-                block, shard = self.kinds[e.duty]
-                hold = self.holds[e.duty] = Hold(self, e.duty, name, block, shard, e.token)
-                hold.work = gevent.spawn(self._work, hold)
+            deadline = self._next_deadline()
+            wait_s = (deadline - self.clock()) / self.config.clock_rate
+            has_messages = self._has_messages.wait(max(0.0, wait_s))
+            self._has_messages.clear()
+            self._step(None if has_messages else deadline)
+
+    def _next_deadline(self) -> float:
+        if self.acceptor is None:
+            return self.holder.next_deadline()
+        return min(self.holder.next_deadline(), self.acceptor.acceptor.next_deadline())
+
+    def _step(self, woken_at: float | None) -> None:
+        """Decide everything in order; it never yields between a look at the clock and what follows from it.
+
+        Parameters
+        ----------
+        woken_at
+            The deadline at which the loop should have woken up; None if a message woke it.
+        """
+        now = self.clock()
+        if woken_at is not None:
+            self._send(self.holder.record_lag(now, now - woken_at))
+        while self._inbox:
+            sender, message = self._inbox.popleft()
+            if message.type in FOR_HOLDER:
+                self._send(self.holder.receive(now, sender, message))
+            elif self.acceptor is not None:
+                self.acceptor.receive(now, sender, message)
+        self._send(self.holder.tick(now))
+        if self.acceptor is not None:
+            self.acceptor.tick(now)
+        self._handle_events()
+        for lease in self.leases.values():
+            self.record.add_renewal(lease, self.holder.expires_at(lease.role))
+
+    # ------------------------------------------------------------ events
+
+    def _handle_events(self) -> None:
+        events = self.holder.events
+        self.holder.events = []
+        for event in events:
+            if isinstance(event, LeaseAcquired):
+                self._handle_acquired(event)
             else:
-                self.lost[e.why] += 1
-                self._note("lost", name, e.token, self.clock(), e.why)
-                self.log.info("duty given up", duty=name, token=e.token, why=e.why)
-                if hold is not None:
-                    del self.holds[e.duty]
-                    if hold.work is not gevent.getcurrent():
-                        hold.work.kill(block=False)
-
-    def _work(self, hold: Hold) -> None:
-        why = ""
-        try:
-            self.works[hold.kind.name](hold)
-        except LeaseOver:
-            why = "not renewed"
-        except Fenced as bad:
-            self.counts["fenced"] += 1
-            self.log.warning(
-                "a step was refused: a newer holder has been there", duty=hold.name, token=hold.token, newest=bad.newest
-            )
-            if self.holds.get(hold.duty) is hold:
-                self._say(self.holder.fenced(self.clock(), hold.duty, bad.newest))
-                self._happened()
+                self._handle_lost(event)
+
+    def _handle_acquired(self, event: LeaseAcquired) -> None:
+        name = self.settings.role_names[event.role]
+        self.record.add(LeaseChange("took", name, event.token, self.holder.expires_at(event.role)))
+        lease = self.leases.get(event.role)
+        if lease is not None:
+            lease.token = event.token
+            self.log.info("lease_token_raised", role=name, token=event.token)
             return
-        except Exception as bad:
-            self.log.error("the work of a duty raised", duty=hold.name, exc_info=True)
-            why = f"its work raised {type(bad).__name__}"
-        if self.holds.get(hold.duty) is hold:
-            now = self.clock()
-            self._say(
-                self.holder.of_no_use(now, hold.duty, why)
-                if why.startswith("its")
-                else self.holder.release(now, hold.duty, why or "its work is over")
-            )
-            self._happened()
-
-    def reached(self, duty: int, what: str, well: bool) -> None:
-        self._say(self.holder.reached(self.clock(), duty, what, well))
-        self._happened()
-
-    def release(self, name: str, why: str = "released by hand") -> None:
-        duty = self.terms.names.index(name)
-        self._say(self.holder.release(self.clock(), duty, why))
-        self._happened()
-
-    # ------------------------------------------------------------ seeing into it
-
-    def _note(self, what: str, duty: str, token: int, end: float, why: str = "") -> None:
-        """For a drill: times on this machine's clock."""
-        if self.record is not None:
-            self.record.put(
-                {
-                    "k": "duty",
-                    "t": time.monotonic(),
-                    "head": self.me,
-                    "who": self.who,
-                    "what": what,
-                    "duty": duty,
-                    "token": token,
-                    "end": end / self.rate,
-                    "why": why,
-                }
-            )
+        self.acquired_count += 1
+        self.log.info("lease_acquired", role=name, token=event.token)
+        kind, partition = self._kinds[event.role]
+        lease = HeldLease(self, event.role, name, kind, partition, event.token)
+        self.leases[event.role] = lease
+        lease.greenlet = gevent.spawn(self._run_work, lease)
+
+    def _handle_lost(self, event: LeaseLost) -> None:
+        name = self.settings.role_names[event.role]
+        self.lost_counts[event.reason] += 1
+        self.record.add(LeaseChange("lost", name, event.token, self.clock(), event.reason))
+        self.log.info("lease_lost", role=name, token=event.token, reason=event.reason)
+        lease = self.leases.pop(event.role, None)
+        if lease is not None and lease.greenlet is not gevent.getcurrent():
+            lease.greenlet.kill(block=False)
+
+    # ------------------------------------------------------------ work
+
+    def _run_work(self, lease: HeldLease) -> None:
+        try:
+            self._work[lease.kind.name](lease)
+        except LeaseExpiredError:
+            self._release_held(lease, NOT_RENEWED)
+        except StaleTokenError as error:
+            self.stale_token_count += 1
+            self.log.warning("stale_token_refused", role=lease.name, token=lease.token, newest=error.newest)
+            if self._is_held(lease):
+                self._carry_out(self.holder.record_stale_token(self.clock(), lease.role, error.newest))
+        except Exception as error:
+            self.log.error("role_work_failed", role=lease.name, exc_info=True)
+            if self._is_held(lease):
+                reason = f"its work raised {type(error).__name__}"
+                self._carry_out(self.holder.release_unusable(self.clock(), lease.role, reason))
+        else:
+            self._release_held(lease, WORK_FINISHED)
+
+    def _is_held(self, lease: HeldLease) -> bool:
+        return self.leases.get(lease.role) is lease
+
+    def _release_held(self, lease: HeldLease, reason: str) -> None:
+        if self._is_held(lease):
+            self._carry_out(self.holder.release(self.clock(), lease.role, reason))
+
+    def remaining_s(self, role: int, token: int) -> float:
+        """Return the machine's seconds in which a step under this token may still be begun."""
+        return self.holder.remaining_s(self.clock(), role, token) / self.config.clock_rate
+
+    def stamp(self, lease: HeldLease) -> dict[str, Any]:
+        """Return what each step bears, in the form of the nodes' and the map service's protocol."""
+        return {
+            "duty": lease.name,
+            "token": lease.token,
+            "who": self.member.incarnation,
+            "head": self.member.gateway_id,
+        }
 
-    def _note_ends(self) -> None:
-        if self.record is None:
-            return
-        for hold in self.holds.values():
-            end = self.holder.end(hold.duty)
-            if end > getattr(hold, "noted", 0.0):
-                hold.noted = end  # type: ignore[attr-defined]
-                self._note("until", hold.name, hold.token, end)
+    def record_reachability(self, role: int, dependency: str, is_reachable: bool) -> None:
+        """Note whether something that a role needs was within reach."""
+        self._carry_out(self.holder.record_reachability(self.clock(), role, dependency, is_reachable))
+
+    def release(self, name: str) -> None:
+        """Give a role back as an operator asked for it."""
+        role = self.settings.role_names.index(name)
+        self._carry_out(self.holder.release(self.clock(), role, RELEASED_BY_OPERATOR))
+
+    # ------------------------------------------------------------ status
 
     def status(self) -> dict[str, Any]:
-        """What this head holds and, as a voter, what nobody holds as far as it knows."""
+        """Return what this gateway holds and, as an acceptor, what nobody holds as far as it knows."""
         now = self.clock()
-        out: dict[str, Any] = {
-            "held": {h.name: {"token": h.token, "left_s": round(h.left(), 2)} for h in self.holds.values()},
-            "takes": self.holder.takes and not self.holder.ending and now >= self.holder.able_at,
-            "took": self.counts["took"],
-            "lost": dict(self.lost),
-            "fenced": self.counts["fenced"],
-            "unread": self.counts["unread"],
-            "strangers": self.holder.strangers + (self.voter.strangers if self.voter is not None else 0),
-            "voter": None,
+        return {
+            "held": {
+                lease.name: {"token": lease.token, "left_s": round(lease.remaining_s(), 2)}
+                for lease in self.leases.values()
+            },
+            "takes": self.holder.is_available(now),
+            "took": self.acquired_count,
+            "lost": dict(self.lost_counts),
+            "fenced": self.stale_token_count,
+            "unread": self._channel.malformed_count,
+            "strangers": self._foreign_messages(),
+            "voter": None if self.acceptor is None else self._acceptor_status(self.acceptor.acceptor, now),
+        }
+
+    def _foreign_messages(self) -> int:
+        if self.acceptor is None:
+            return self.holder.foreign_messages
+        return self.holder.foreign_messages + self.acceptor.acceptor.foreign_messages
+
+    def _acceptor_status(self, acceptor: Acceptor, now: float) -> dict[str, Any]:
+        vacant_for_s = sorted(acceptor.vacant_for_s(now).items())
+        return {
+            "votes": acceptor.is_voting,
+            "disk_failed": acceptor.disk_failed,
+            "unheld_s": {
+                self.settings.role_names[role]: round(vacant_s / self.config.clock_rate, 1)
+                for role, vacant_s in vacant_for_s
+            },
         }
-        if self.voter is not None:
-            unheld = {self.terms.names[d]: round(t / self.rate, 1) for d, t in sorted(self.voter.unheld(now).items())}
-            out["voter"] = {"votes": self.voter.voting, "disk_failed": self.voter.disk_failed, "unheld_s": unheld}
-        return out
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -17,7 +17,7 @@
 from fawnspool.extents.records import Fact
 from fawnspool.extents.replicas import Role
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.leases.fencing import Fenced
+from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
 from fawnspool.net.http import BadMessage
 
@@ -130,7 +130,7 @@
         self.places.until(time.monotonic() + self.left()).flip(volume, extent, cell, generation, **stamp)
 
     def raise_fence(self, cell: int) -> bool:
-        """Show the token to a cell's node. Raises Fenced."""
+        """Show the token to a cell's node. Raises StaleTokenError."""
         try:
             return self._call(cell, b"POST", "/-/fence", "", "", effect=True)[0] == 200
         except _BAD:
@@ -158,7 +158,7 @@
         status, data = call(pool, method, target, time.monotonic() + min(self.timeout, self.left()), body)
         if status.code == 403:
             told = msgspec.json.decode(data, type=_Refused)
-            raise Fenced(told.fenced, told.newest)
+            raise StaleTokenError(told.fenced, told.newest)
         return status.code, data
 
     def look(self, cell: int, volume: str, extent: str) -> Seen | None:
--- /dev/null
+++ b/fawnspool/gateway/peer_channel.py
@@ -0,0 +1,64 @@
+"""Typed messages of one subsystem over the gateways' peer socket.
+
+The leading byte of a datagram body tells whose it is. A body that can't be decoded is counted and dropped.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Generic, TypeVar
+
+from fawnspool.gateway.peers import Peers
+
+MessageT = TypeVar("MessageT")
+
+
+@dataclass(frozen=True)
+class FleetPlace:
+    """This gateway's place in the fleet: its number, the number of gateways, and the seed of its random draws."""
+
+    gateway_id: int
+    gateway_count: int
+    seed: int
+
+
+@dataclass(frozen=True)
+class PeerCodec(Generic[MessageT]):
+    """How a subsystem's messages stand in datagrams; `decode` raises `malformed` for a body that is none of them."""
+
+    subsystem: str
+    leading_byte: int
+    encode: Callable[[MessageT], bytes]
+    decode: Callable[[bytes], MessageT]
+    malformed: type[Exception]
+
+
+class PeerChannel(Generic[MessageT]):
+    """One subsystem's messages to and from the other gateways."""
+
+    def __init__(self, peers: Peers, codec: PeerCodec[MessageT], log: Any) -> None:
+        self.peers = peers
+        self.codec = codec
+        self.log = log
+        self.malformed_count = 0
+
+    def subscribe(self, handler: Callable[[int, MessageT], None]) -> None:
+        """Have each message handled as `handler(sender, message)`."""
+
+        def receive(sender: int, body: bytes) -> None:
+            try:
+                message = self.codec.decode(body)
+            except self.codec.malformed as error:
+                self.malformed_count += 1
+                self.log.debug(
+                    "peer_message_malformed", subsystem=self.codec.subsystem, sender=sender, reason=str(error)
+                )
+                return
+            handler(sender, message)
+
+        self.peers.claim(self.codec.leading_byte, receive)
+
+    def send(self, recipient: int, message: MessageT) -> None:
+        """Send a message to one gateway, by its number."""
+        self.peers.send(recipient, self.codec.encode(message))
--- /dev/null
+++ b/fawnspool/gateway/role_context.py
@@ -0,0 +1,150 @@
+"""What the work of all roles shares: operators' requests, the map service, and this gateway's list of nodes.
+
+All that a successor needs is with the map and the nodes. Before its first step a holder shows its token to the map
+service, and to each node before a step there.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import gevent
+
+from fawnspool.extents.records import Fact
+from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError, Wishes
+from fawnspool.gateway.held_lease import HeldLease
+from fawnspool.gateway.lease_runner import LeaseRunner
+from fawnspool.leases.drain import partition_of
+from fawnspool.scheduling import interface
+
+POLL_INTERVAL_S = 1.0  # of operators' requests, for all roles of one gateway together
+POLLS_PER_LEASE = 2
+SHOW_TOKEN_RETRY_S = 0.2
+EXTENTS_PER_SLICE = 2000  # looked at before other greenlets get their turn
+MAP_SERVICE = "the map service"  # as a dependency of a role
+# Names of operators' requests, as the map service stores them.
+DRAIN = "drain/"
+PAUSE = "pause/"
+RELEASE = "release/"
+
+
+@dataclass(frozen=True)
+class GatewayView:
+    """What work sees of its gateway: its nodes by number, and the number of requests in flight."""
+
+    nodes: Callable[[], dict[int, Any]]
+    requests_in_flight: Callable[[], int]
+
+
+class RoleContext:
+    """Shared by the work of all roles of one gateway.
+
+    Parameters
+    ----------
+    directory
+        The gateway's map of extents.
+    map_client
+        Calls the map service.
+    """
+
+    def __init__(self, directory: Places, map_client: MapClient, view: GatewayView, log: Any) -> None:
+        self.directory = directory
+        self.map_client = map_client
+        self.view = view
+        self.log = log
+        self._requests: Wishes | None = None  # None: the map service does not say
+
+    @property
+    def call_timeout_s(self) -> float:
+        """Seconds that a call to a node or the map service may take."""
+        return self.map_client.timeout
+
+    # ------------------------------------------------------------ operators' requests
+
+    def poll_operator_requests(self, runner: LeaseRunner) -> None:
+        """Poll what operators ask for, while this gateway holds any role.
+
+        It runs beside the work, so that a gateway that is cut off from the map service knows it however long its work
+        waits.
+        """
+        lease_s = runner.settings.lease_s
+        interval_s = min(POLL_INTERVAL_S, lease_s / POLLS_PER_LEASE)
+        while True:
+            if not runner.leases:
+                self._requests = None
+                gevent.sleep(interval_s / 8)
+                continue
+            self._requests = self._fetch_requests(lease_s / 4)
+            for lease in list(runner.leases.values()):
+                lease.record_reachability(MAP_SERVICE, self._requests is not None)
+                if self._is_to_be_released(lease):
+                    runner.release(lease.name)
+            gevent.sleep(interval_s if self._requests is not None else interval_s / 8)
+
+    def _fetch_requests(self, timeout_s: float) -> Wishes | None:
+        try:
+            return self.map_client.until(time.monotonic() + timeout_s).wishes()
+        except PlacesError:
+            return None
+
+    def _is_to_be_released(self, lease: HeldLease) -> bool:
+        if self._requests is None:
+            return False
+        last_token = self._requests.wishes.get(RELEASE + lease.name)
+        return last_token is not None and lease.token <= int(last_token)
+
+    def operator_requests(self, lease: HeldLease) -> dict[str, str] | None:
+        """Return operators' requests by name; None while the map service does not answer."""
+        lease.check()
+        return None if self._requests is None else self._requests.wishes
+
+    def is_paused(self, lease: HeldLease, requests: dict[str, str]) -> bool:
+        """Return whether operators paused the role or its kind."""
+        return PAUSE + lease.name in requests or PAUSE + lease.kind.name in requests
+
+    # ------------------------------------------------------------ map and nodes
+
+    def show_token(self, lease: HeldLease, note: str) -> bool:
+        """Show the token, and how the work fares, to the map service; return whether it took it.
+
+        Raises
+        ------
+        StaleTokenError
+            If a newer holder was there.
+        LeaseExpiredError
+            If the lease is over.
+        """
+        stamp = lease.stamp()
+        try:
+            self.map_client.until(time.monotonic() + lease.remaining_s()).fence(note, **stamp)
+        except PlacesError:
+            lease.record_reachability(MAP_SERVICE, False)
+            lease.check()
+            return False
+        lease.record_reachability(MAP_SERVICE, True)
+        return True
+
+    def show_first_token(self, lease: HeldLease) -> None:
+        """Show the token to the map service until it is taken; to be called before the first step."""
+        while not self.show_token(lease, ""):
+            lease.sleep(SHOW_TOKEN_RETRY_S)
+
+    def shard_addresses(self) -> dict[int, tuple[str, int]]:
+        """Return the addresses, by shard, of the nodes that take work."""
+        return {
+            known.cell: known.address for known in self.view.nodes().values() if known.phase is not interface.Phase.GONE
+        }
+
+    def extents_of(self, lease: HeldLease) -> list[Fact]:
+        """Return the extents of a lease's partition as the gateway's map has them; others get their turn meanwhile."""
+        extents = []
+        for index, fact in enumerate(self.directory.map.facts()):
+            if index % EXTENTS_PER_SLICE == EXTENTS_PER_SLICE - 1:
+                gevent.sleep(0)
+                lease.check()
+            if fact.cell >= 0 and partition_of(fact.volume, fact.extent, lease.kind.shards) == lease.partition:
+                extents.append(fact)
+        return extents
--- a/fawnspool/leases/__init__.py
+++ b/fawnspool/leases/__init__.py
@@ -1,1 +1,4 @@
-"""Duties that one head holds at a time: votes, leases, fences, and what a holder does. No I/O, no clock, seeded."""
+"""Leases on roles that one gateway holds at a time: ballots, lease holders, fencing tokens and the work of a holder.
+
+Nothing here does I/O or reads a clock; randomness comes from seeds.
+"""
--- a/fawnspool/leases/ballot.py
+++ b/fawnspool/leases/ballot.py
@@ -1,10 +1,9 @@
-"""One voter's seat for one duty: whom it has given its vote, and until when. Pure functions, so that the same code is
-walked by the model checker, played in simulated time and run by heads.
+"""An acceptor's promise for one role: to whom it gave its vote, and until when.
 
-What is kept on disk before a vote is said: token and who. What is not: until when. So a voter that comes back takes
-every vote that it remembers for given just now (`reborn`); one that comes back without its memory says nothing until
-no vote that it may have given can be in force, and then learns from the other voters how high tokens have come
-(`voter.py`).
+Pure functions, so that the model checker, the simulation and the gateways run the same code. Token and incarnation
+are on disk before a vote is announced; the expiry is not. An acceptor that restarts therefore treats every remembered
+vote as given just now (`restore`). One without its memory stays silent until no vote that it may have given is in
+force, and then learns from the other acceptors how high tokens have risen (`recovered_floor`).
 """
 
 from __future__ import annotations
@@ -12,62 +11,129 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from enum import IntEnum
+from typing import NamedTuple
 
 
-class Verdict(IntEnum):
+class BallotVerdict(IntEnum):
+    """An acceptor's answer to a vote request."""
+
     GRANTED = 0
-    REFUSED = 1  # another holds it, or the token is not above what was promised
-    SILENT = 2  # this voter gives no votes yet
+    REJECTED = 1  # another gateway holds the vote, or the token is not above the promised one
+    RECOVERING = 2  # this acceptor gives no votes yet
+
+
+class Ballot(NamedTuple):
+    """A token and the gateway incarnation that asks for it."""
+
+    token: int
+    incarnation: int
+
+
+class RecoveryResponse(NamedTuple):
+    """What another acceptor says to one that lost its memory."""
+
+    has_memory: bool
+    highest_token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
-    """token: the highest that this voter has promised, 0: none; who: to which life of which head; until: on the voter's
-    own clock, nobody else gets its vote before; freed: that life gave it back and may not have this token again."""
+class Promise:
+    """An acceptor's vote for one role.
+
+    Parameters
+    ----------
+    token
+        The highest token promised; 0 if none was.
+    incarnation
+        The gateway incarnation that it was promised to.
+    expires_at
+        On the acceptor's clock; nobody else gets the vote before.
+    released
+        Whether that incarnation gave the vote back. It may not have the same token again.
+    """
 
     token: int = 0
-    who: int = 0
-    until: float = 0.0
-    freed: bool = False
+    incarnation: int = 0
+    expires_at: float = 0.0
+    released: bool = False
+
+    @property
+    def ballot(self) -> Ballot:
+        """The ballot that the vote was given to."""
+        return Ballot(self.token, self.incarnation)
+
+    def is_vacant(self, now: float) -> bool:
+        """Return whether another gateway may have the vote."""
+        return self.released or now >= self.expires_at
+
+
+def vote(promise: Promise, ballot: Ballot, now: float, floor: int, lease_s: float) -> tuple[Promise, BallotVerdict]:
+    """Answer a request for a vote, a first one or a renewal.
+
+    The incarnation that has the vote may ask for it under a higher token. It stays the only holder, and an acceptor
+    that promised a higher token to a proposal that failed can vote for it again.
+
+    Parameters
+    ----------
+    promise
+        The acceptor's present promise.
+    ballot
+        The vote that is asked for.
+    now
+        Time in seconds on the acceptor's clock.
+    floor
+        Tokens up to this one may have been promised before the acceptor lost its memory.
+    lease_s
+        Seconds for which a granted vote is promised.
+    """
+    if ballot == promise.ballot:
+        if promise.released:
+            return promise, BallotVerdict.REJECTED
+        return replace(promise, expires_at=now + lease_s), BallotVerdict.GRANTED
+    is_higher = ballot.token > max(promise.token, floor)
+    if is_higher and (promise.is_vacant(now) or ballot.incarnation == promise.incarnation):
+        return Promise(ballot.token, ballot.incarnation, now + lease_s), BallotVerdict.GRANTED
+    return promise, BallotVerdict.REJECTED
 
-    def vacant(self, now: float) -> bool:
-        return self.freed or now >= self.until
 
+def release(promise: Promise, ballot: Ballot) -> Promise:
+    """Take a vote back from exactly the ballot it was given to, so that a late message releases nothing newer.
+
+    The same object is returned if nothing changes.
+    """
+    return replace(promise, released=True) if ballot == promise.ballot else promise
 
-def ask(seat: Seat, now: float, token: int, who: int, floor: int, lease: float) -> tuple[Seat, Verdict]:
-    """A vote is asked for, a first one or again. floor: tokens up to it may have been promised before this voter lost
-    its memory. Whoever has the vote may ask for it under a higher token: one holder stays one holder, and a voter
-    that promised a higher one to a claim that came to nothing can vote for it again."""
-    if (token, who) == (seat.token, seat.who):
-        if seat.freed:
-            return seat, Verdict.REFUSED
-        return replace(seat, until=now + lease), Verdict.GRANTED
-    if token > max(seat.token, floor) and (seat.vacant(now) or who == seat.who):
-        return Seat(token, who, now + lease), Verdict.GRANTED
-    return seat, Verdict.REFUSED
 
+def restore(promise: Promise, now: float, lease_s: float) -> Promise:
+    """Return a promise read from disk as it must be treated after a restart.
 
-def free(seat: Seat, token: int, who: int) -> Seat:
-    """Given back. Only by whom it was given to, and for that very token: a late word frees nothing newer."""
-    return replace(seat, freed=True) if (token, who) == (seat.token, seat.who) else seat
+    The vote may have been renewed a moment before the restart, and a release is not on disk, so both count as just
+    granted.
+    """
+    return replace(promise, expires_at=now + lease_s, released=False) if promise.token else promise
 
 
-def reborn(seat: Seat, now: float, lease: float) -> Seat:
-    """After a restart with its memory: the vote may have been given, or renewed, a moment before the end. What was
-    given back is not on disk, so that counts as given, too."""
-    return replace(seat, until=now + lease, freed=False) if seat.token else seat
+def recovered_floor(responses: Mapping[int, RecoveryResponse], acceptor_count: int) -> int | None:
+    """Return how high tokens may have risen, for an acceptor without memory.
 
+    A token that counted was promised by a majority. Beside this acceptor that is one less than a majority, so any
+    majority of the others with memory contains one that promised it. If all the others have answered, that holds as
+    long as no majority lost its memory, and it lets the very first start of a fleet through. Ask only after a silence
+    of one lease: a ballot in which a forgotten vote counted is over then.
 
-def learned(said: Mapping[int, tuple[bool, int]], voters: int) -> int | None:
-    """How high tokens may have come, for a voter without its memory; None: too few of the others have said. said: by
-    voter (has it its memory, the highest token that it promised).
+    Parameters
+    ----------
+    responses
+        By acceptor.
+    acceptor_count
+        Number of all acceptors, with this one.
 
-    A token that counted was promised by a majority; beside this voter that is one less than a majority of the others,
-    so a majority of the others that have their memory holds one of them. If all others have said, that holds for as
-    long as no majority has lost its memory, and it lets the first start of all through. Asked only when this voter
-    has been silent for a lease: a round in which its forgotten vote counted is over, and nothing higher can come of it.
+    Returns
+    -------
+    int or None
+        None while too few of the other acceptors have answered.
     """
-    known = [token for has, token in said.values() if has]
-    if len(known) < voters // 2 + 1 and len(said) < voters - 1:
+    remembered = [response.highest_token for response in responses.values() if response.has_memory]
+    if len(remembered) < acceptor_count // 2 + 1 and len(responses) < acceptor_count - 1:
         return None
-    return max([0, *known])
+    return max([0, *remembered])
--- a/fawnspool/leases/candidate.py
+++ b/fawnspool/leases/candidate.py
@@ -1,36 +1,49 @@
-"""One head's claim to one duty: which votes it has, and until when it holds.
+"""A candidate's proposal to hold one role: the votes it has, and until when they make it the holder.
 
-A vote counts from the moment at which it was asked for, on the asker's own clock: the voter's lease began later. Both
-clocks may differ in rate by `drift`, so what a voter promises for `lease` of its seconds surely stands for `span` of
-the asker's. A claim holds while a majority of its votes stands; nothing else makes a holder.
+A vote counts from the moment of its request on the candidate's own clock, as the acceptor's lease began later. The
+two clocks may drift apart, so a vote that an acceptor promises for a lease of its seconds stands for a slightly
+shorter guaranteed time of the candidate's. A proposal holds while a majority of its votes stands.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+NEVER = float("-inf")
 
-def span(lease: float, drift: float) -> float:
-    """Seconds on the asker's clock for which a vote surely stands; each clock is off true time by `drift` at most."""
-    return lease * (1 - drift) / (1 + drift)
+
+def guaranteed_lease_s(lease_s: float, clock_drift: float) -> float:
+    """Return the seconds on the candidate's clock for which a vote stands, if each clock drifts at most so far."""
+    return lease_s * (1 - clock_drift) / (1 + clock_drift)
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
-    """votes: voter to when its last granted vote was asked for."""
+class Proposal:
+    """Votes for one token.
+
+    Parameters
+    ----------
+    token
+        The fencing token under which the role would be held.
+    started_at
+        When the candidate first asked for votes.
+    votes
+        By acceptor, when its latest granted vote was requested.
+    """
 
     token: int
-    began: float
+    started_at: float
     votes: dict[int, float] = field(default_factory=dict)
 
-    def granted(self, voter: int, asked: float) -> Claim:
-        """Answers may come late and twice: the latest asking counts."""
-        if asked <= self.votes.get(voter, float("-inf")):
+    def with_vote(self, acceptor: int, requested_at: float) -> Proposal:
+        """Return the proposal with a vote added. Responses may be late or doubled: the latest request counts."""
+        if requested_at <= self.votes.get(acceptor, NEVER):
             return self
-        return Claim(self.token, self.began, {**self.votes, voter: asked})
-
-    def end(self, majority: int, lasts: float) -> float:
-        """Until when it holds; -inf: it does not."""
-        if len(self.votes) < majority:
-            return float("-inf")
-        return sorted(self.votes.values(), reverse=True)[majority - 1] + lasts
+        return Proposal(self.token, self.started_at, {**self.votes, acceptor: requested_at})
+
+    def expires_at(self, quorum: int, vote_lifetime_s: float) -> float:
+        """Return the time until which a quorum of votes stands; ``NEVER`` without a quorum."""
+        if len(self.votes) < quorum:
+            return NEVER
+        latest_first = sorted(self.votes.values(), reverse=True)
+        return latest_first[quorum - 1] + vote_lifetime_s
--- a/fawnspool/leases/drain.py
+++ b/fawnspool/leases/drain.py
@@ -1,8 +1,8 @@
-"""What the holder of one shard of a drain does next. No I/O, no clock.
+"""Decisions of the gateway that drains one partition of the extents.
 
-Which extents are its own follows from their names, where they go from a draw that all heads make alike, so a
-successor goes on where its predecessor was without being told. How fast: an even part of the fleet's moves and bytes
-a second, and nothing while its head has its hands full.
+Which extents belong to a partition follows from their names, and where they go from rendezvous hashing, so a
+successor continues where its predecessor stopped without being told. Each partition uses an even part of the fleet's
+rates, and rests while its gateway is busy.
 """
 
 from __future__ import annotations
@@ -12,70 +12,100 @@
 
 import xxhash
 
-BACK_OFF_S = 0.2  # after the first failure of an extent, doubled with each
-BACK_OFF_MOST_S = 10.0
+FIRST_BACKOFF_S = 0.2  # after the first failure of an extent; doubled with each
+MAX_BACKOFF_S = 10.0
+MAX_BACKOFF_DOUBLINGS = 10
 BURST_S = 1.0  # of the rates that may be used at once: an even flow, so that a start is no surge
+BUSY_WAIT_S = 0.05
+MIN_WAIT_S = 0.001  # a wait of nothing, by rounding, would be asked for over and over
 
 
-def shard_of(volume: str, extent: str, shards: int) -> int:
-    """Over extents and not over volumes: one large volume is drained by many."""
-    return xxhash.xxh3_64_intdigest(f"{volume}\0{extent}".encode()) % shards
+def partition_of(volume: str, extent: str, partitions: int) -> int:
+    """Return the partition of an extent. It hashes extents and not volumes, so that many drain one large volume."""
+    return xxhash.xxh3_64_intdigest(f"{volume}\0{extent}".encode()) % partitions
 
 
-def target(volume: str, extent: str, cells: Iterable[int]) -> int | None:
-    """Of the cells that take extents, the one that is first by a draw that goes by the extent's name (rendezvous
-    hashing): the same at all heads, evenly spread, and a cell that goes or comes changes only its own part. None:
-    there is no cell."""
-    return max(cells, key=lambda c: xxhash.xxh3_64_intdigest(f"{c}\0{volume}\0{extent}".encode()), default=None)
+def target_shard(volume: str, extent: str, shards: Iterable[int]) -> int | None:
+    """Return the shard that an extent moves to, by rendezvous hashing; None if there is no shard.
+
+    It is the same on all gateways, evenly spread, and a shard that comes or goes changes only its own part.
+    """
+    return max(
+        shards, key=lambda shard: xxhash.xxh3_64_intdigest(f"{shard}\0{volume}\0{extent}".encode()), default=None
+    )
 
 
 @dataclass
-class Pace:
-    """Two buckets, moves and bytes, of one shard. Rates a second."""
-
-    moves: float
-    bytes: float
-    busy: int
-    level: list[float] = field(default_factory=lambda: [1.0, 0.0])
-    at: float | None = None
-
-    def wait(self, now: float, size: int, in_hand: int) -> float:
-        """Seconds until a move of so many bytes may begin; 0: now, and it is counted. A move larger than the bytes of a
-        burst waits for a full bucket and leaves it under 0."""
-        rates = (self.moves, self.bytes)
-        depths = tuple(max(1.0, r * BURST_S) for r in rates)
-        if self.at is not None:
-            self.level = [min(d, v + (now - self.at) * r) for d, v, r in zip(depths, self.level, rates, strict=True)]
-        else:
-            self.level = [1.0, depths[1]]
-        self.at = now
-        if in_hand >= self.busy:
-            return 0.05
-        wants = (1.0, min(float(size), depths[1]))
-        short = max((w - v) / r for w, v, r in zip(wants, self.level, rates, strict=True))
-        if short > 0:
-            return max(short, 0.001)  # rounding must not make it ask for ever
-        self.level = [self.level[0] - 1.0, self.level[1] - size]
+class MoveRateLimiter:
+    """Token buckets of moves and of bytes, of one partition.
+
+    Parameters
+    ----------
+    moves_per_s, bytes_per_s
+        Rates of the two buckets.
+    max_in_flight
+        Requests in flight on the gateway from which on no move begins.
+    """
+
+    moves_per_s: float
+    bytes_per_s: float
+    max_in_flight: int
+    levels: list[float] = field(default_factory=lambda: [1.0, 0.0])
+    refilled_at: float | None = None
+
+    def wait_s(self, now: float, size: int, in_flight: int) -> float:
+        """Return the seconds until a move of `size` bytes may begin; 0 starts it, and charges the buckets.
+
+        A move larger than a burst waits for a full bucket and leaves it below zero.
+        """
+        rates = (self.moves_per_s, self.bytes_per_s)
+        depths = tuple(max(1.0, rate * BURST_S) for rate in rates)
+        self._refill(now, rates, depths)
+        if in_flight >= self.max_in_flight:
+            return BUSY_WAIT_S
+        needs = (1.0, min(float(size), depths[1]))
+        shortage_s = max((need - level) / rate for need, level, rate in zip(needs, self.levels, rates, strict=True))
+        if shortage_s > 0:
+            return max(shortage_s, MIN_WAIT_S)
+        self.levels = [self.levels[0] - 1.0, self.levels[1] - size]
         return 0.0
 
+    def _refill(self, now: float, rates: tuple[float, ...], depths: tuple[float, ...]) -> None:
+        if self.refilled_at is None:
+            self.levels = [1.0, depths[1]]
+        else:
+            elapsed_s = now - self.refilled_at
+            self.levels = [
+                min(depth, level + elapsed_s * rate)
+                for depth, level, rate in zip(depths, self.levels, rates, strict=True)
+            ]
+        self.refilled_at = now
 
-class Failures:
-    """Extents whose move did not come to its end: each tried again later, the others meanwhile. Bounded: beyond it the
-    oldest is tried as if it were new."""
-
-    MOST = 4096
 
-    def __init__(self) -> None:
-        self.rows: dict[tuple[str, str], tuple[int, float]] = {}
+class RetrySchedule:
+    """Extents whose move failed, each with its backoff while others are moved.
 
-    def due(self, now: float, key: tuple[str, str]) -> bool:
-        return now >= self.rows.get(key, (0, now))[1]
+    It is bounded: beyond `MAX_EXTENTS` the oldest is tried as if it were new.
+    """
 
-    def failed(self, now: float, key: tuple[str, str]) -> None:
-        count = self.rows.pop(key, (0, 0.0))[0]
-        while len(self.rows) >= self.MOST:
-            del self.rows[next(iter(self.rows))]
-        self.rows[key] = (count + 1, now + min(BACK_OFF_MOST_S, BACK_OFF_S * 2.0 ** min(count, 10)))
+    MAX_EXTENTS = 4096
 
-    def done(self, key: tuple[str, str]) -> None:
-        self.rows.pop(key, None)
+    def __init__(self) -> None:
+        self.failures: dict[tuple[str, str], tuple[int, float]] = {}  # number of failures, when to retry
+
+    def is_due(self, now: float, extent: tuple[str, str]) -> bool:
+        """Return whether the extent may be tried now."""
+        _, retry_at = self.failures.get(extent, (0, now))
+        return now >= retry_at
+
+    def record_failure(self, now: float, extent: tuple[str, str]) -> None:
+        """Back off an extent, longer after each failure."""
+        count, _ = self.failures.pop(extent, (0, 0.0))
+        while len(self.failures) >= self.MAX_EXTENTS:
+            del self.failures[next(iter(self.failures))]
+        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** min(count, MAX_BACKOFF_DOUBLINGS))
+        self.failures[extent] = (count + 1, now + backoff_s)
+
+    def record_success(self, extent: tuple[str, str]) -> None:
+        """Forget an extent's failures."""
+        self.failures.pop(extent, None)
--- a/fawnspool/leases/inventory.py
+++ b/fawnspool/leases/inventory.py
@@ -1,43 +1,70 @@
-"""What nodes hold against what the map says, for one shard. Reports, mends nothing. No I/O, no clock."""
+"""Comparison of what nodes hold with what the map says, for one partition of the extents. It reports and repairs
+nothing.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from fawnspool.leases.drain import shard_of
+from fawnspool.leases.drain import partition_of
 
-NAMED_MOST = 5  # examples in a report
+MAX_EXAMPLES = 5  # named in a report
 
 
 @dataclass(frozen=True)
-class Report:
-    """missing: the map has them at a node that does not hold them; stray: a node holds them and the map has them
-    elsewhere, or not at all. Of nodes that did not answer nothing is said."""
+class InventoryReport:
+    """Differences between the map and the nodes; of nodes that did not answer nothing is said.
 
-    looked_at: int
+    Parameters
+    ----------
+    compared
+        Number of mapped extents in the partition.
+    missing
+        Extents that the map has at a node that does not hold them.
+    stray
+        Extents that a node holds and the map has elsewhere or not at all.
+    unreachable
+        Shards whose node did not answer.
+    """
+
+    compared: int
     missing: tuple[tuple[str, str], ...]
     stray: tuple[tuple[str, str], ...]
-    silent: tuple[int, ...]
+    unreachable: tuple[int, ...]
 
     def __str__(self) -> str:
-        text = f"{self.looked_at} looked at, {len(self.missing)} missing, {len(self.stray)} stray"
-        if self.silent:
-            text += f", cells {', '.join(map(str, self.silent))} silent"
-        named = [f"{v}/{k}" for v, k in (*self.missing, *self.stray)][:NAMED_MOST]
-        return text + (f" ({', '.join(named)})" if named else "")
-
-
-def compare(
-    mapped: Mapping[tuple[str, str], int], held: Mapping[int, Iterable[tuple[str, str]] | None], shard: int, shards: int
-) -> Report:
-    """mapped: extent to cell; held: by cell what its node has, None where it did not answer."""
-    mine = {name: cell for name, cell in mapped.items() if shard_of(*name, shards) == shard}
-    there = {
-        cell: {name for name in names if shard_of(*name, shards) == shard}
-        for cell, names in held.items()
-        if names is not None
+        text = f"{self.compared} looked at, {len(self.missing)} missing, {len(self.stray)} stray"
+        if self.unreachable:
+            text += f", cells {', '.join(map(str, self.unreachable))} silent"
+        examples = [f"{volume}/{extent}" for volume, extent in (*self.missing, *self.stray)][:MAX_EXAMPLES]
+        return text + (f" ({', '.join(examples)})" if examples else "")
+
+
+def compare_inventories(
+    mapped: Mapping[tuple[str, str], int],
+    stored: Mapping[int, Iterable[tuple[str, str]] | None],
+    partition: int,
+    partitions: int,
+) -> InventoryReport:
+    """Compare the map with the nodes' inventories.
+
+    Parameters
+    ----------
+    mapped
+        By extent (volume and key), the shard that the map names.
+    stored
+        By shard, the extents that its node holds; None where it did not answer.
+    partition, partitions
+        The partition that is compared, and how many there are.
+    """
+    expected = {extent: shard for extent, shard in mapped.items() if partition_of(*extent, partitions) == partition}
+    found = {
+        shard: {extent for extent in extents if partition_of(*extent, partitions) == partition}
+        for shard, extents in stored.items()
+        if extents is not None
     }
-    missing = sorted(name for name, cell in mine.items() if cell in there and name not in there[cell])
-    stray = sorted({name for cell, names in there.items() for name in names if mine.get(name) != cell})
-    return Report(len(mine), tuple(missing), tuple(stray), tuple(sorted(set(held) - set(there))))
+    missing = sorted(extent for extent, shard in expected.items() if shard in found and extent not in found[shard])
+    stray = sorted({extent for shard, extents in found.items() for extent in extents if expected.get(extent) != shard})
+    unreachable = sorted(set(stored) - set(found))
+    return InventoryReport(len(expected), tuple(missing), tuple(stray), tuple(unreachable))
--- a/fawnspool/leases/lease_holder.py
+++ b/fawnspool/leases/lease_holder.py
@@ -1,335 +1,392 @@
-"""One head's side of duties: it comes when it is called, asks for votes, holds while a majority stands, gives back.
+"""One gateway's side of the leases: it follows nominations, requests votes, renews, and gives roles back.
 
-A head that does not take duties for now (`takes`), or whose loop runs late, gives back what it holds. One token is
-used by one claim of one life of a head and never again after it was given back, so a late word about it can't revive
-it.
+A gateway that takes no roles for now, or whose event loop runs late, gives back what it holds. A token is used by one
+claim of one incarnation, and never again once given back, so that a late message can't revive it.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
 
-from fawnspool.leases.acceptor import Out, Say
-from fawnspool.leases.ballot import Verdict
-from fawnspool.leases.candidate import Claim
-from fawnspool.leases.messages import ENDS, NOT_NOW, TAKES, Kind, Message, Row, batches
-from fawnspool.leases.terms import Terms
-
-_SERIALS = 256  # askings remembered; older ones are longer ago than a lease
-_LAGS = 2  # late wakings within a lease after which a head is too slow to hold anything
+from fawnspool.leases.actions import LeaseAction, LeaseMember, SendLeaseMessage
+from fawnspool.leases.backoff import CandidacyBackoff
+from fawnspool.leases.ballot import BallotVerdict
+from fawnspool.leases.candidate import NEVER, Proposal
+from fawnspool.leases.messages import (
+    Availability,
+    BallotEntry,
+    LeaseMessage,
+    LeaseMessageType,
+    split_into_batches,
+)
+from fawnspool.leases.role_claim import FOREVER, RoleClaim
+from fawnspool.leases.settings import LeaseSettings
+
+SERIAL_BITS = 31
+MAX_REQUESTS = 256  # remembered by serial; older ones are longer ago than a lease
+MAX_LAGS_PER_LEASE = 2  # late wake-ups within a lease with which a gateway is too slow to hold anything
+FIRST_HEARTBEAT_SPREAD = 0.25  # of the heartbeat interval
+HEARTBEAT_SPREAD = (0.8, 1.2)  # of the heartbeat interval
+RELEASE_REPEATS_PER_LEASE = 20
+MIN_RETRIES_PER_LEASE = 20  # of a candidate, whatever an acceptor has it wait
+RETRY_SLACKS_PER_LEASE = 100  # added to the wait that an acceptor names
+REBALANCES_PER_LEASE = 4
+LAGS = "its loop lags"
+LEAVES = "ends"
+NOT_RENEWED = "not renewed"
+OUT_OF_REACH = "what it needs is out of reach"
+REBALANCED = "relieved"
+STALE_TOKEN = "fenced"
 
 
 @dataclass(frozen=True, slots=True)
-class Took:
-    """This head holds the duty from now on; where it did already: under a higher token from now on."""
+class LeaseAcquired:
+    """This gateway holds the role from now on; where it did already, under a higher token."""
 
-    duty: int
+    role: int
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """It does so no longer: work ends at once. why: a few words for log and metrics."""
+class LeaseLost:
+    """This gateway no longer holds the role, and its work must end at once; reason: for log and metrics."""
 
-    duty: int
+    role: int
     token: int
-    why: str
-
-
-Event = Took | Lost
-
-
-@dataclass(slots=True)
-class _Held:
-    claim: Claim
-    began: float  # when it came for it
-    holding: bool = False
-    retry: float = float("inf")  # of a candidate: when it asks again
-    no: set[int] = field(default_factory=set)  # of a candidate: voters that gave their vote to somebody for longer
-    next: Claim | None = None  # the same claim under a higher token, until a majority has given that
-    above: bool = False  # a voter whose vote is free has promised a higher token
-    heard: set[int] = field(default_factory=set)  # voters that answered at all
-
-
-class Holder:
-    """`who` must be drawn anew at each start. `events` holds what happened since it was last emptied, in order."""
-
-    def __init__(self, terms: Terms, me: int, who: int, seed: int, now: float) -> None:
-        self.terms, self.me, self.who, self.random = terms, me, who, Random(f"{seed}-{who}-holder")
-        self.held: dict[int, _Held] = {}
-        self.known: dict[int, int] = {}  # the highest token heard of, by duty
-        self.asked: dict[int, float] = {}  # serial to when it was sent
-        self.serial = self.random.getrandbits(31)
-        self.takes, self.ending = True, False
-        self.able_at = float("-inf")  # before, it takes nothing: it was of no use
-        self.useless = self.deaf = 0
-        self.next_here = now + self.random.random() * terms.here / 4
-        self.next_renew = now
-        self.alive: dict[int, tuple[float, int]] = {}  # voter: (when it said so, heads that take duties)
-        self.relieved = now
-        self.lags: list[float] = []
-        self.freed: list[tuple[float, int, int]] = []  # (when to say again that it is given back, duty, token)
-        self.events: list[Event] = []
-        self.well: dict[tuple[int, str], float] = {}  # when what a held duty needs was last within reach
-        self.strangers = 0
+    reason: str
+
+
+LeaseEvent = LeaseAcquired | LeaseLost
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingRelease:
+    repeat_at: float
+    role: int
+    token: int
+
+
+class LeaseHolder:
+    """Candidate and holder of one gateway.
+
+    `events` collects what happened, in order; whoever reads it empties it.
+
+    Parameters
+    ----------
+    member
+        This life of this gateway.
+    now
+        Time in seconds; only differences count.
+    """
+
+    def __init__(self, settings: LeaseSettings, member: LeaseMember, now: float) -> None:
+        self.settings = settings
+        self.incarnation = member.incarnation
+        self.random = Random(f"{member.seed}-{member.incarnation}-holder")
+        self.accepts_roles = True
+        self.is_leaving = False
+        self.events: list[LeaseEvent] = []
+        self.claims: dict[int, RoleClaim] = {}
+        self.backoff = CandidacyBackoff(settings.lease_s)
+        self.foreign_messages = 0  # from gateways whose settings differ, or that are no acceptors
+        self._highest_tokens: dict[int, int] = {}  # heard of, by role
+        self._serial = self.random.getrandbits(SERIAL_BITS)
+        self._requests: dict[int, float] = {}  # serial to when it was sent
+        self._next_heartbeat = now + self.random.random() * settings.heartbeat_interval_s * FIRST_HEARTBEAT_SPREAD
+        self._next_renewal = now
+        self._available_counts: dict[int, tuple[float, int]] = {}  # acceptor: when it said how many take roles
+        self._rebalanced_at = now
+        self._lags: list[float] = []
+        self._pending_releases: list[_PendingRelease] = []
+        self._reached_at: dict[tuple[int, str], float] = {}  # by role and what it needs
 
     # ------------------------------------------------------------ what it holds
 
-    def holds(self, now: float, duty: int, token: int) -> float:
-        """Seconds for which a step of this duty under this token may still be begun; 0 or less: none may."""
-        h = self.held.get(duty)
-        if h is None or not h.holding or h.claim.token != token:
+    def remaining_s(self, now: float, role: int, token: int) -> float:
+        """Return the seconds in which a step under this token may still be begun; 0 or less if none may."""
+        claim = self.claims.get(role)
+        if claim is None or not claim.is_holding or claim.proposal.token != token:
             return 0.0
-        return self._end(h) - self.terms.margin - now
+        return claim.expires_at(self.settings) - self.settings.margin_s - now
 
-    def count(self) -> int:
-        return sum(h.holding for h in self.held.values())
+    def held_count(self) -> int:
+        """Return the number of roles held."""
+        return sum(claim.is_holding for claim in self.claims.values())
 
-    def _end(self, h: _Held) -> float:
-        return h.claim.end(self.terms.majority, self.terms.span)
+    def expires_at(self, role: int) -> float:
+        """Return when the lease of a role ends if it is not renewed; ``NEVER`` if there is none."""
+        claim = self.claims.get(role)
+        return NEVER if claim is None else claim.held_until(self.settings)
 
-    def end(self, duty: int) -> float:
-        """When its hold ends if it is not renewed, on the clock of the calls; -inf: it has none."""
-        h = self.held.get(duty)
-        return self._end(h) if h is not None and h.holding else float("-inf")
+    def is_available(self, now: float) -> bool:
+        """Return whether the gateway takes roles at all now, however many it holds."""
+        return self.accepts_roles and not self.is_leaving and self.backoff.is_over(now)
 
-    # ------------------------------------------------------------ what it hears
+    def _accepts_nomination(self, now: float) -> bool:
+        return self.is_available(now) and len(self.claims) < self.settings.max_held_roles
 
-    def hear(self, now: float, sender: int, m: Message) -> list[Out]:
-        if m.mark != self.terms.mark or sender not in self.terms.voters:
-            self.strangers += 1
+    # ------------------------------------------------------------ messages
+
+    def receive(self, now: float, sender: int, message: LeaseMessage) -> list[LeaseAction]:
+        """Handle a message from an acceptor."""
+        if message.fingerprint != self.settings.fingerprint or sender not in self.settings.acceptors:
+            self.foreign_messages += 1
             return []
-        if m.kind is Kind.CALL:
-            return self._called(now, m)
-        if m.kind is Kind.TOLD:
-            return self._told(now, sender, m)
+        if message.type is LeaseMessageType.NOMINATION:
+            return self._follow_nomination(now, message)
+        if message.type is LeaseMessageType.VOTE_RESPONSE:
+            return self._take_response(now, sender, message)
         return []
 
-    def _willing(self, now: float) -> bool:
-        return self.takes and not self.ending and now >= self.able_at and len(self.held) < self.terms.most
-
-    def _called(self, now: float, m: Message) -> list[Out]:
-        new = list[Row]()
-        for r in m.rows:
-            if r.duty >= len(self.terms.names) or r.duty in self.held or not self._willing(now):
+    def _follow_nomination(self, now: float, message: LeaseMessage) -> list[LeaseAction]:
+        requests: list[BallotEntry] = []
+        for entry in message.entries:
+            is_known_role = entry.role < len(self.settings.role_names)
+            if not is_known_role or entry.role in self.claims or not self._accepts_nomination(now):
                 continue
-            self.known[r.duty] = max(self.known.get(r.duty, 0), r.token)
-            token = self.known[r.duty] + 1
-            self.known[r.duty] = token
-            self.held[r.duty] = _Held(Claim(token, now), now)
-            new.append(Row(r.duty, token))
-        return self._ask(now, new)
-
-    def _ask(self, now: float, rows: list[Row], voters: tuple[int, ...] = ()) -> list[Out]:
-        out = list[Out]()
-        for batch in batches(rows):
-            self.serial = (self.serial + 1) & 0xFFFFFFFF
-            self.asked[self.serial] = now
-            while len(self.asked) > _SERIALS:
-                del self.asked[next(iter(self.asked))]
-            out += [Say(v, self._message(now, Kind.ASK, batch, self.serial)) for v in voters or self.terms.voters]
-        return out
-
-    def _message(self, now: float, kind: Kind, rows: tuple[Row, ...] = (), serial: int = 0) -> Message:
-        return Message(
+            self._note_token(entry.role, entry.token)
+            token = self._raise_token(entry.role)
+            self.claims[entry.role] = RoleClaim(Proposal(token, now), now)
+            requests.append(BallotEntry(entry.role, token))
+        return self._request_votes(now, requests)
+
+    def _note_token(self, role: int, token: int) -> None:
+        self._highest_tokens[role] = max(self._highest_tokens.get(role, 0), token)
+
+    def _raise_token(self, role: int) -> int:
+        self._highest_tokens[role] = self._highest_tokens.get(role, 0) + 1
+        return self._highest_tokens[role]
+
+    def _request_votes(self, now: float, entries: list[BallotEntry]) -> list[LeaseAction]:
+        actions: list[LeaseAction] = []
+        for batch in split_into_batches(entries):
+            self._serial = (self._serial + 1) & 0xFFFFFFFF
+            self._requests[self._serial] = now
+            while len(self._requests) > MAX_REQUESTS:
+                del self._requests[next(iter(self._requests))]
+            actions += self._send_to_all(now, LeaseMessageType.VOTE_REQUEST, batch, self._serial)
+        return actions
+
+    def _send_to_all(
+        self, now: float, kind: LeaseMessageType, entries: tuple[BallotEntry, ...] = (), serial: int = 0
+    ) -> list[LeaseAction]:
+        message = LeaseMessage(
             kind,
-            self.terms.mark,
-            self.who,
+            self.settings.fingerprint,
+            self.incarnation,
             serial,
-            len(self.held),
-            ENDS if self.ending else TAKES if self._willing(now) else NOT_NOW,
-            rows,
+            len(self.claims),
+            self._availability(now),
+            entries,
         )
+        return [SendLeaseMessage(acceptor, message) for acceptor in self.settings.acceptors]
 
-    def _told(self, now: float, voter: int, m: Message) -> list[Out]:
-        asked = self.asked.get(m.serial)
-        if asked is None or m.who != self.who:
+    def _availability(self, now: float) -> Availability:
+        if self.is_leaving:
+            return Availability.LEAVING
+        return Availability.AVAILABLE if self._accepts_nomination(now) else Availability.UNAVAILABLE
+
+    def _take_response(self, now: float, acceptor: int, message: LeaseMessage) -> list[LeaseAction]:
+        requested_at = self._requests.get(message.serial)
+        if requested_at is None or message.incarnation != self.incarnation:
             return []
-        self.alive[voter] = (now, m.a)
-        back = list[Row]()
-        for r in m.rows:
-            if r.duty >= len(self.terms.names):
-                continue
-            self.known[r.duty] = max(self.known.get(r.duty, 0), r.token)
-            h = self.held.get(r.duty)
-            if h is None or asked < h.began:
-                if r.verdict == Verdict.GRANTED and (h is None or r.token != h.claim.token):
-                    back.append(Row(r.duty, r.token))  # a vote for a claim that is over: nobody must wait for it
-                continue
-            h.heard.add(voter)
-            if r.verdict == Verdict.GRANTED:
-                self._granted(now, voter, asked, r, h)
-            elif h.holding:
-                h.above |= r.verdict == Verdict.REFUSED and r.token > h.claim.token and not r.wait
-            else:
-                back += self._refused(now, voter, r, h)
-        return self._free(now, back)
-
-    def _granted(self, now: float, voter: int, asked: float, r: Row, h: _Held) -> None:
-        if r.token == h.claim.token:
-            h.claim = h.claim.granted(voter, asked)
-        elif h.next is not None and r.token == h.next.token:
-            h.next = h.next.granted(voter, asked)
-            # Answers may be read only after a stop: what they gave is over then, and nothing is held under it.
-            if h.next.end(self.terms.majority, self.terms.span) > max(self._end(h), now):
-                h.claim, h.next, h.above = h.next, None, False
-                self.events.append(Took(r.duty, h.claim.token))
-        if not h.holding and self._end(h) - self.terms.margin > now:
-            self.deaf = 0
-            h.holding, h.retry = True, float("inf")
-            self.events.append(Took(r.duty, h.claim.token))
-
-    def _refused(self, now: float, voter: int, r: Row, h: _Held) -> list[Row]:
-        """Of a candidate: it asks again soon, above what was promised; where a majority has somebody for longer, it
-        goes."""
-        if r.wait > self.terms.renew:
-            h.no.add(voter)
-            if len(h.no) > len(self.terms.voters) - self.terms.majority:
-                return self._drop(now, r.duty, "")
-        if r.token >= h.claim.token:
-            h.claim = Claim(self.known[r.duty] + 1, now)
-            self.known[r.duty] += 1
-        # It may be free sooner than that voter knows: what gives it back is on its way.
-        h.retry = min(h.retry, now + min(r.wait + self.terms.lease / 100, self.terms.lease / 20))
+        self._available_counts[acceptor] = (now, message.count)
+        released: list[BallotEntry] = []
+        for entry in message.entries:
+            if entry.role < len(self.settings.role_names):
+                self._note_token(entry.role, entry.token)
+                released += self._take_verdict(now, acceptor, requested_at, entry)
+        return self._send_releases(now, released)
+
+    def _take_verdict(self, now: float, acceptor: int, requested_at: float, entry: BallotEntry) -> list[BallotEntry]:
+        """Handle the answer for one role; return votes to be given back."""
+        claim = self.claims.get(entry.role)
+        is_granted = entry.verdict == BallotVerdict.GRANTED
+        if claim is None or requested_at < claim.started_at:
+            if is_granted and (claim is None or entry.token != claim.proposal.token):
+                return [BallotEntry(entry.role, entry.token)]  # a vote for an ended claim: nobody must wait for it
+            return []
+        claim.responded.add(acceptor)
+        if is_granted:
+            self._take_grant(now, acceptor, requested_at, entry, claim)
+            return []
+        if claim.is_holding:
+            if entry.verdict == BallotVerdict.REJECTED:
+                claim.record_outbid(entry)
+            return []
+        return self._take_rejection(now, acceptor, entry, claim)
+
+    def _take_grant(self, now: float, acceptor: int, requested_at: float, entry: BallotEntry, claim: RoleClaim) -> None:
+        if claim.record_grant(now, acceptor, requested_at, entry.token, self.settings):
+            self.events.append(LeaseAcquired(entry.role, claim.proposal.token))
+        if claim.try_promote(now, self.settings):
+            self.backoff.record_answered()
+            self.events.append(LeaseAcquired(entry.role, claim.proposal.token))
+
+    def _take_rejection(self, now: float, acceptor: int, entry: BallotEntry, claim: RoleClaim) -> list[BallotEntry]:
+        """Have a candidate ask again soon above the promised token, or give up where a majority votes for others."""
+        if claim.record_rejection(acceptor, entry, self.settings):
+            return self._drop(now, entry.role, "")
+        if entry.token >= claim.proposal.token:
+            claim.proposal = Proposal(self._raise_token(entry.role), now)
+        # The role may be free sooner than that acceptor knows, as a release is on its way.
+        lease_s = self.settings.lease_s
+        wait_s = min(entry.wait_s + lease_s / RETRY_SLACKS_PER_LEASE, lease_s / MIN_RETRIES_PER_LEASE)
+        claim.retry_at = min(claim.retry_at, now + wait_s)
         return []
 
     # ------------------------------------------------------------ giving back
 
-    def _drop(self, now: float, duty: int, why: str) -> list[Row]:
-        h = self.held.pop(duty)
-        for key in [k for k in self.well if k[0] == duty]:
-            del self.well[key]
-        if h.holding:
-            self.events.append(Lost(duty, h.claim.token, why))
-        tokens = [h.claim.token] + ([h.next.token] if h.next is not None else [])
-        self.freed += [(now + self.terms.lease / 20, duty, t) for t in tokens]  # said twice, as one may be lost
-        return [Row(duty, t, int(h.holding)) for t in tokens]
-
-    def _free(self, now: float, rows: list[Row]) -> list[Out]:
-        return [Say(v, self._message(now, Kind.FREE, batch)) for batch in batches(rows) for v in self.terms.voters]
-
-    def release(self, now: float, duty: int, why: str) -> list[Out]:
-        """Give one back: the event comes first, work has ended when this is said."""
-        return self._free(now, self._drop(now, duty, why)) if duty in self.held else []
-
-    def leave(self, now: float, why: str = "ends") -> list[Out]:
-        """Give all back and take no more."""
-        self.ending = True
-        return self._free(now, [row for duty in list(self.held) for row in self._drop(now, duty, why)])
-
-    def of_no_use(self, now: float, duty: int, why: str) -> list[Out]:
-        """What the duty needs is out of this head's reach, for longer than a lease. It takes nothing for a while,
-        longer each time: guards duties against a head that holds and does nothing. Harm: where the service itself is
-        away all heads rest, and the duty waits up to 8 leases after it is back."""
-        if now >= self.able_at:  # several duties that are given back at one stroke count once
-            self.useless = min(4, self.useless + 1)
-            self.able_at = now + self.terms.lease * 2.0 ** (self.useless - 1)
-        return self.release(now, duty, why)
-
-    def reached(self, now: float, duty: int, what: str, well: bool) -> list[Out]:
-        """Whether something that the duty needs was within this head's reach just now. Given back after a lease
-        without."""
-        if well:
-            self.useless = 0
-            self.well[duty, what] = now
+    def _drop(self, now: float, role: int, reason: str) -> list[BallotEntry]:
+        """End a claim; return its votes, to be given back twice, as one message may be lost."""
+        claim = self.claims.pop(role)
+        self._reached_at = {key: at for key, at in self._reached_at.items() if key[0] != role}
+        if claim.is_holding:
+            self.events.append(LeaseLost(role, claim.proposal.token, reason))
+        repeat_at = now + self.settings.lease_s / RELEASE_REPEATS_PER_LEASE
+        self._pending_releases += [_PendingRelease(repeat_at, role, token) for token in claim.tokens()]
+        return [BallotEntry(role, token, int(claim.is_holding)) for token in claim.tokens()]
+
+    def _drop_all(self, now: float, reason: str) -> list[LeaseAction]:
+        return self._send_releases(
+            now, [entry for role in list(self.claims) for entry in self._drop(now, role, reason)]
+        )
+
+    def _send_releases(self, now: float, entries: list[BallotEntry]) -> list[LeaseAction]:
+        return [
+            action
+            for batch in split_into_batches(entries)
+            for action in self._send_to_all(now, LeaseMessageType.RELEASE, batch)
+        ]
+
+    def release(self, now: float, role: int, reason: str) -> list[LeaseAction]:
+        """Give a role back; its event must be handled, and work have ended, before the messages are sent."""
+        if role not in self.claims:
             return []
-        if duty not in self.held or now - self.well.setdefault((duty, what), self.held[duty].began) <= self.terms.lease:
+        return self._send_releases(now, self._drop(now, role, reason))
+
+    def leave(self, now: float, reason: str = LEAVES) -> list[LeaseAction]:
+        """Give all roles back and take no more."""
+        self.is_leaving = True
+        return self._drop_all(now, reason)
+
+    def repeat_releases(self, now: float) -> list[LeaseAction]:
+        """Send the latest releases once more, before the process ends."""
+        repeated = [BallotEntry(pending.role, pending.token) for pending in self._pending_releases]
+        self._pending_releases = []
+        return self._send_releases(now, repeated)
+
+    def release_unusable(self, now: float, role: int, reason: str) -> list[LeaseAction]:
+        """Give back a role whose work can't be done here, and take none for a while."""
+        self.backoff.record_unusable(now)
+        return self.release(now, role, reason)
+
+    def record_reachability(self, now: float, role: int, dependency: str, is_reachable: bool) -> list[LeaseAction]:
+        """Note whether something that a role needs was within reach; after a lease without it give the role back."""
+        if is_reachable:
+            self.backoff.record_usable()
+            self._reached_at[role, dependency] = now
             return []
-        return self.of_no_use(now, duty, "what it needs is out of reach")
-
-    def last_words(self, now: float) -> list[Out]:
-        """Once more what was given back of late: nobody hears this head after it."""
-        again = [Row(d, t) for _, d, t in self.freed]
-        self.freed = []
-        return self._free(now, again)
-
-    def fenced(self, now: float, duty: int, newest: int) -> list[Out]:
-        """A place has taken a newer token: this one is over, whatever the clock says."""
-        self.known[duty] = max(self.known.get(duty, 0), newest)
-        return self.release(now, duty, "fenced")
-
-    def woke(self, now: float, lag: float) -> list[Out]:
-        """The head's loop ran so late. Twice within a lease by more than the margin: it can't keep to leases."""
-        if lag <= self.terms.margin:
+        claim = self.claims.get(role)
+        if claim is None:
             return []
-        self.lags = [t for t in self.lags if now - t < self.terms.lease] + [now]
-        if len(self.lags) < _LAGS or not self.held:
+        reached_at = self._reached_at.setdefault((role, dependency), claim.started_at)
+        if now - reached_at <= self.settings.lease_s:
             return []
-        self.lags = []
-        self.able_at = max(self.able_at, now + self.terms.lease)
-        return self._free(now, [row for duty in list(self.held) for row in self._drop(now, duty, "its loop lags")])
+        return self.release_unusable(now, role, OUT_OF_REACH)
+
+    def record_stale_token(self, now: float, role: int, newest_token: int) -> list[LeaseAction]:
+        """Give back a role of which a place has seen a newer token, whatever the clock says."""
+        self._note_token(role, newest_token)
+        return self.release(now, role, STALE_TOKEN)
+
+    def record_lag(self, now: float, lag_s: float) -> list[LeaseAction]:
+        """Note a late wake-up of the event loop; several within a lease mean that no lease can be kept."""
+        if lag_s <= self.settings.margin_s:
+            return []
+        self._lags = [*(at for at in self._lags if now - at < self.settings.lease_s), now]
+        if len(self._lags) < MAX_LAGS_PER_LEASE or not self.claims:
+            return []
+        self._lags = []
+        self.backoff.record_lagging(now)
+        return self._drop_all(now, LAGS)
 
     # ------------------------------------------------------------ time
 
-    def due(self) -> float:
-        times = [self.next_here, *(t for t, _, _ in self.freed)]
-        if self.held:
-            times += [
-                self.next_renew,
-                *(
-                    min(self._end(h), h.retry) if h.holding else min(h.retry, h.began + self.terms.renew)
-                    for h in self.held.values()
-                ),
-            ]
-        return min(times)
-
-    def tick(self, now: float) -> list[Out]:
-        out = list[Out]()
-        over = [
-            d
-            for d, h in self.held.items()
-            if (h.holding and now >= self._end(h)) or (not h.holding and now >= h.began + self.terms.renew)
+    def next_deadline(self) -> float:
+        """Return when `tick` must be called."""
+        deadlines = [self._next_heartbeat, *(pending.repeat_at for pending in self._pending_releases)]
+        if self.claims:
+            deadlines.append(self._next_renewal)
+            deadlines += [claim.next_deadline(self.settings) for claim in self.claims.values()]
+        return min(deadlines)
+
+    def tick(self, now: float) -> list[LeaseAction]:
+        """Do what is due: end leases that are over, retry, renew and send heartbeats."""
+        return [
+            *self._end_expired(now),
+            *self._rebalance(now),
+            *self._retry(now),
+            *self._renew(now),
+            *self._send_heartbeat(now),
         ]
-        if any(self.held[d].holding or len(self.held[d].heard) < self.terms.majority for d in over):
-            self._deaf(now)
-        back = [row for d in over for row in self._drop(now, d, "not renewed")]
-        if back:
-            out += self._free(now, back)
-        elif again := [Row(d, t) for at, d, t in self.freed if at <= now]:
-            self.freed = [row for row in self.freed if row[0] > now]
-            out += self._free(now, again)
-        out += self._relief(now)
-        retry = [Row(d, h.claim.token) for d, h in self.held.items() if not h.holding and h.retry <= now]
-        for r in retry:
-            self.held[r.duty].retry = float("inf")
-        out += self._ask(now, retry)
-        if now >= self.next_renew:
-            self.next_renew = now + self.terms.renew
-            out += self._ask(now, [Row(d, self._token(now, d, h), 1) for d, h in self.held.items() if h.holding])
-        if now >= self.next_here:
-            self.next_here = now + self.terms.here * self.random.uniform(0.8, 1.2)
-            out += [Say(v, self._message(now, Kind.HERE)) for v in self.terms.voters]
-        return out
-
-    def _token(self, now: float, duty: int, h: _Held) -> int:
-        """Which token a renewal asks for: a higher one where a voter can't vote for this one any more, as the loss of
-        another voter would end the hold then. Once a lease at most: two that outbid each other must not go on for
-        ever."""
-        if h.above and h.next is None and now - h.claim.began >= self.terms.lease:
-            self.known[duty] = self.known.get(duty, 0) + 1
-            h.next = Claim(self.known[duty], now)
-        return h.claim.token if h.next is None else h.next.token
-
-    def _deaf(self, now: float) -> None:
-        """This head hears no majority: it takes nothing for a while, longer each time, and says so, as it may be
-        heard all the same. Guards duties against a head that is called, asks, and hears no answer; meanwhile its
-        votes would hold up the others. Harm: after the heal it rests up to 4 leases more."""
-        if now < self.able_at:
-            return
-        self.deaf = min(3, self.deaf + 1)
-        self.able_at = now + self.terms.lease * 2.0 ** (self.deaf - 1) / 2
-        self.next_here = now
-
-    def _relief(self, now: float) -> list[Out]:
-        """Give one back if this head holds more than its part by more than one. Its part follows from what a majority
-        of voters says of who is there; one at a time, so that it is seen what that did."""
-        fresh = sorted(n for t, n in self.alive.values() if now - t <= self.terms.lease)
-        if len(fresh) < self.terms.majority or now - self.relieved < self.terms.lease / 4:
+
+    def _end_expired(self, now: float) -> list[LeaseAction]:
+        """Drop the claims that are over; with none, repeat the releases that are due."""
+        expired = [role for role, claim in self.claims.items() if claim.is_over(now, self.settings)]
+        if any(self._was_unanswered(self.claims[role]) for role in expired) and self.backoff.record_unanswered(now):
+            self._next_heartbeat = now  # it may be heard all the same, so it says that it takes nothing
+        released = [entry for role in expired for entry in self._drop(now, role, NOT_RENEWED)]
+        if released:
+            return self._send_releases(now, released)
+        repeated = [
+            BallotEntry(pending.role, pending.token) for pending in self._pending_releases if pending.repeat_at <= now
+        ]
+        self._pending_releases = [pending for pending in self._pending_releases if pending.repeat_at > now]
+        return self._send_releases(now, repeated)
+
+    def _was_unanswered(self, claim: RoleClaim) -> bool:
+        return claim.is_holding or len(claim.responded) < self.settings.quorum
+
+    def _retry(self, now: float) -> list[LeaseAction]:
+        due = {role: claim for role, claim in self.claims.items() if not claim.is_holding and claim.retry_at <= now}
+        for claim in due.values():
+            claim.retry_at = FOREVER
+        return self._request_votes(now, [BallotEntry(role, claim.proposal.token) for role, claim in due.items()])
+
+    def _renew(self, now: float) -> list[LeaseAction]:
+        if now < self._next_renewal:
+            return []
+        self._next_renewal = now + self.settings.renewal_interval_s
+        renewals: list[BallotEntry] = []
+        for role, claim in self.claims.items():
+            if not claim.is_holding:
+                continue
+            if claim.needs_higher_token(now, self.settings):
+                claim.successor = Proposal(self._raise_token(role), now)
+            renewals.append(BallotEntry(role, claim.renewal_token(), 1))
+        return self._request_votes(now, renewals)
+
+    def _send_heartbeat(self, now: float) -> list[LeaseAction]:
+        if now < self._next_heartbeat:
+            return []
+        self._next_heartbeat = now + self.settings.heartbeat_interval_s * self.random.uniform(*HEARTBEAT_SPREAD)
+        return self._send_to_all(now, LeaseMessageType.HEARTBEAT)
+
+    def _rebalance(self, now: float) -> list[LeaseAction]:
+        """Give one role back if this gateway holds more than its part by more than one.
+
+        Its part follows from what a majority of acceptors says of who takes roles. One at a time, so that the effect
+        is seen before the next.
+        """
+        settings = self.settings
+        recent = sorted(count for at, count in self._available_counts.values() if now - at <= settings.lease_s)
+        if len(recent) < settings.quorum or now - self._rebalanced_at < settings.lease_s / REBALANCES_PER_LEASE:
             return []
-        there = fresh[len(fresh) // 2]
-        mine = [d for d, h in self.held.items() if h.holding]
-        if not there or len(mine) <= -(-len(self.terms.names) // there) + 1:
+        available = recent[len(recent) // 2]
+        held = [role for role, claim in self.claims.items() if claim.is_holding]
+        if not available or len(held) <= -(-len(settings.role_names) // available) + 1:
             return []
-        self.relieved = now
-        return self.release(now, self.random.choice(mine), "relieved")
+        self._rebalanced_at = now
+        return self.release(now, self.random.choice(held), REBALANCED)
--- a/fawnspool/leases/messages.py
+++ b/fawnspool/leases/messages.py
@@ -1,20 +1,22 @@
-"""What heads say to each other about duties, as bodies of their datagrams (at most 256 bytes).
-
-    body = u8 0xD0, u8 kind, u32 mark of the terms, u64 who (drawn at each start of a head), u32 serial, u16 a, u16 b,
-           then rows of u16 duty, u64 token, u8 verdict, u16 wait (milliseconds)
-
-    ASK     head to voter     votes wanted: duty, token, verdict: 1 if it holds it already. a: duties held,
-                              b: NOT_NOW, TAKES or ENDS
-    TOLD    voter to head     to the ASK of that serial: verdict, the token promised, for how long others wait.
-                              a: heads that are there and take duties
-    FREE    head to voter     gives votes back: duty, token, verdict: 1 if it held it. a, b as in ASK
-    HERE    head to voter     is there; a, b as in ASK
-    CALL    voter to head     nobody holds these: ask for them. token: the highest that the voter has promised
-    FLOOR   voter to voter    how high have tokens come? (asked by one that lost its memory)
-    KNOWN   voter to voter    to the FLOOR of that serial. a: 1 if it has its memory; one row, its token the highest
-
-TOLD and KNOWN bear the asker's `who`: no other life of it may take them for its own. The leading byte tells all of them
-from the module's own bodies (1, 2). What does not read is counted and harms nothing.
+"""Codec of the datagrams that gateways exchange about leases (bodies of at most 256 bytes).
+
+    body = u8 0xD0, u8 type, u32 settings fingerprint, u64 incarnation (drawn at each start of a gateway), u32 serial,
+           u16 count, u16 availability, then entries of u16 role, u64 token, u8 verdict, u16 wait (milliseconds)
+
+    1 VOTE_REQUEST       candidate to acceptor   votes wanted: role, token, verdict: 1 if it holds the role already.
+                                                 count: roles held, availability: of this gateway for roles
+    2 VOTE_RESPONSE      acceptor to candidate   to the request of that serial: verdict, the token promised, for how
+                                                 long others wait. count: gateways that are there and take roles
+    3 RELEASE            holder to acceptor      gives votes back: role, token, verdict: 1 if it held the role.
+                                                 count, availability as in VOTE_REQUEST
+    4 HEARTBEAT          gateway to acceptor     it is there; count, availability as in VOTE_REQUEST
+    5 NOMINATION         acceptor to gateway     nobody holds these: ask for them. token: the highest promised
+    6 RECOVERY_REQUEST   acceptor to acceptor    how high have tokens risen? (by one that lost its memory)
+    7 RECOVERY_RESPONSE  acceptor to acceptor    to the request of that serial. count: 1 if it has its memory; one
+                                                 entry, its token the highest
+
+Responses carry the incarnation of the gateway that asked, so that no other incarnation takes them for its own. The
+leading byte tells these bodies from the scheduler's own (1, 2). What can't be decoded is counted and dropped.
 """
 
 from __future__ import annotations
@@ -23,69 +25,122 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-LEADING = 0xD0
-ROWS = 17  # of one body
-_HEAD = struct.Struct(">BBIQIHH")
-_ROW = struct.Struct(">HQBH")
-WAIT_MOST = 65_535
-NOT_NOW, TAKES, ENDS = 0, 1, 2  # what a head says of itself
+LEADING_BYTE = 0xD0
+MAX_ENTRIES = 17  # of one body
+MAX_WAIT_MS = 65_535
+_MAX_U16 = 0xFFFF
+_U32_MASK = 0xFFFFFFFF
+_HEADER = struct.Struct(">BBIQIHH")
+_ENTRY = struct.Struct(">HQBH")
 
 
-class Kind(IntEnum):
-    ASK = 1
-    TOLD = 2
-    FREE = 3
-    HERE = 4
-    CALL = 5
-    FLOOR = 6
-    KNOWN = 7
+class LeaseMessageType(IntEnum):
+    """Type of a lease message, as on the wire."""
 
+    VOTE_REQUEST = 1
+    VOTE_RESPONSE = 2
+    RELEASE = 3
+    HEARTBEAT = 4
+    NOMINATION = 5
+    RECOVERY_REQUEST = 6
+    RECOVERY_RESPONSE = 7
 
-FOR_HOLDER = (Kind.TOLD, Kind.CALL)  # the others are for voters
 
+FOR_HOLDER = (LeaseMessageType.VOTE_RESPONSE, LeaseMessageType.NOMINATION)  # the others are for acceptors
 
-@dataclass(frozen=True, slots=True)
-class Row:
-    duty: int
-    token: int
-    verdict: int = 0
-    wait: float = 0.0  # seconds
 
+class Availability(IntEnum):
+    """Whether a gateway accepts nominations, as on the wire."""
 
-@dataclass(frozen=True, slots=True)
-class Message:
-    kind: Kind
-    mark: int
-    who: int
-    serial: int = 0
-    a: int = 0
-    b: int = 0
-    rows: tuple[Row, ...] = ()
+    UNAVAILABLE = 0
+    AVAILABLE = 1
+    LEAVING = 2
 
 
-class Unread(Exception):
-    """A body that is none of these."""
+class LeaseMessageError(Exception):
+    """A datagram body is no lease message."""
 
+    @classmethod
+    def of_length(cls, size: int) -> LeaseMessageError:
+        """Return the error for a body of a length that no message has."""
+        return cls(f"{size} bytes")
 
-def pack(m: Message) -> bytes:
-    out = [_HEAD.pack(LEADING, m.kind, m.mark, m.who, m.serial & 0xFFFFFFFF, min(m.a, 65535), min(m.b, 65535))]
-    for r in m.rows[:ROWS]:
-        out.append(_ROW.pack(r.duty, r.token, r.verdict, min(WAIT_MOST, max(0, round(r.wait * 1000)))))
-    return b"".join(out)
+    @classmethod
+    def of_type(cls, message_type: int, leading_byte: int) -> LeaseMessageError:
+        """Return the error for an unknown leading byte or message type."""
+        return cls(f"kind {message_type} behind {leading_byte:#x}")
 
 
-def unpack(body: bytes) -> Message:
-    """Raises Unread."""
-    rest = len(body) - _HEAD.size
-    if rest < 0 or rest % _ROW.size or rest > ROWS * _ROW.size:
-        raise Unread(f"{len(body)} bytes")
-    leading, kind, mark, who, serial, a, b = _HEAD.unpack_from(body)
-    if leading != LEADING or kind not in Kind._value2member_map_:
-        raise Unread(f"kind {kind} behind {leading:#x}")
-    rows = tuple(Row(d, t, v, w / 1000) for d, t, v, w in _ROW.iter_unpack(body[_HEAD.size :]))
-    return Message(Kind(kind), mark, who, serial, a, b, rows)
+@dataclass(frozen=True, slots=True)
+class BallotEntry:
+    """What a message says about one role."""
 
+    role: int
+    token: int
+    verdict: int = 0  # any byte: a `BallotVerdict` in responses
+    wait_s: float = 0.0
 
-def batches(rows: list[Row]) -> list[tuple[Row, ...]]:
-    """Rows by bodies."""
-    return [tuple(rows[k : k + ROWS]) for k in range(0, len(rows), ROWS)]
+    @property
+    def is_held(self) -> bool:
+        """Whether the sender of a request or release holds (held) the role."""
+        return bool(self.verdict)
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseMessage:
+    """One datagram; what `count` and `availability` mean depends on the type."""
+
+    type: LeaseMessageType
+    fingerprint: int
+    incarnation: int
+    serial: int = 0
+    count: int = 0
+    availability: int = 0
+    entries: tuple[BallotEntry, ...] = ()
+
+
+def encode(message: LeaseMessage) -> bytes:
+    """Return the datagram body of a message; entries beyond `MAX_ENTRIES` are left out."""
+    header = _HEADER.pack(
+        LEADING_BYTE,
+        message.type,
+        message.fingerprint,
+        message.incarnation,
+        message.serial & _U32_MASK,
+        min(message.count, _MAX_U16),
+        min(message.availability, _MAX_U16),
+    )
+    return header + b"".join(
+        _ENTRY.pack(entry.role, entry.token, entry.verdict, _wait_ms(entry.wait_s))
+        for entry in message.entries[:MAX_ENTRIES]
+    )
+
+
+def _wait_ms(wait_s: float) -> int:
+    return min(MAX_WAIT_MS, max(0, round(wait_s * 1000)))
+
+
+def decode(body: bytes) -> LeaseMessage:
+    """Read a datagram body.
+
+    Raises
+    ------
+    LeaseMessageError
+        If the body is no lease message.
+    """
+    entries_size = len(body) - _HEADER.size
+    if entries_size < 0 or entries_size % _ENTRY.size or entries_size > MAX_ENTRIES * _ENTRY.size:
+        raise LeaseMessageError.of_length(len(body))
+    leading, message_type, fingerprint, incarnation, serial, count, availability = _HEADER.unpack_from(body)
+    if leading != LEADING_BYTE or message_type not in LeaseMessageType._value2member_map_:
+        raise LeaseMessageError.of_type(message_type, leading)
+    entries = tuple(
+        BallotEntry(role, token, verdict, wait_ms / 1000)
+        for role, token, verdict, wait_ms in _ENTRY.iter_unpack(body[_HEADER.size :])
+    )
+    return LeaseMessage(LeaseMessageType(message_type), fingerprint, incarnation, serial, count, availability, entries)
+
+
+def split_into_batches(entries: list[BallotEntry]) -> list[tuple[BallotEntry, ...]]:
+    """Divide entries among as few messages as hold them."""
+    return [tuple(entries[start : start + MAX_ENTRIES]) for start in range(0, len(entries), MAX_ENTRIES)]
--- a/fawnspool/model/duties.py
+++ b/fawnspool/model/duties.py
@@ -1,5 +1,5 @@
-"""Duties in simulated time: the heads' own `Voter` and `Holder` on clocks that differ, over a network that cuts,
-loses, doubles and delays, with stops, kills and restarts drawn from a seed.
+"""Duties in simulated time: the heads' own `Acceptor` and `LeaseHolder` on clocks that differ, over a network that
+cuts, loses, doubles and delays, with stops, kills and restarts drawn from a seed.
 
 What is checked comes from all heads' state at one true time, which no head can see: two that hold one duty at once, a
 token that does not rise. What is measured: datagrams and bytes of each head, and the time until a duty is held again.
@@ -12,10 +12,12 @@
 from random import Random
 from typing import Any
 
-from fawnspool.leases.acceptor import Keep, Memory, Out, Voter
-from fawnspool.leases.lease_holder import Holder, Lost, Took
-from fawnspool.leases.messages import FOR_HOLDER, ROWS, Message
-from fawnspool.leases.terms import Terms
+from fawnspool.leases.acceptor import Acceptor
+from fawnspool.leases.actions import AcceptorMemory, LeaseAction, LeaseMember, PersistVotes
+from fawnspool.leases.ballot import Ballot
+from fawnspool.leases.lease_holder import LeaseAcquired, LeaseHolder, LeaseLost
+from fawnspool.leases.messages import FOR_HOLDER, MAX_ENTRIES, LeaseMessage
+from fawnspool.leases.settings import LeaseSettings
 from fawnspool.model.engine import Engine
 
 _UDP = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
@@ -43,10 +45,10 @@
     stopped: bool = False
     holder: Any = None
     voter: Any = None
-    disk: dict[int, tuple[int, int]] = field(default_factory=dict)
+    disk: dict[int, Ballot] = field(default_factory=dict)
     floor: int = -1  # -1: the disk is empty
     full: bool = False  # nothing can be kept, and nothing that follows is said
-    inbox: list[tuple[int, Message]] = field(default_factory=list)
+    inbox: list[tuple[int, LeaseMessage]] = field(default_factory=list)
     wakes: float = float("inf")
     sent: int = 0
     bytes: int = 0
@@ -55,10 +57,10 @@
 class Duties:
     """`heads` hosts from the start. `wrong` holds what must not be, `gaps` rows of (duty, why it was lost, seconds)."""
 
-    def __init__(self, terms: Terms, seed: int, net: Net, rates: Iterable[float] = ()) -> None:
+    def __init__(self, terms: LeaseSettings, seed: int, net: Net, rates: Iterable[float] = ()) -> None:
         self.terms, self.seed, self.net = terms, seed, net
         self.random, self.engine = Random(f"{seed}-duties"), Engine()
-        self.hosts = [Host(n) for n in range(terms.heads)]
+        self.hosts = [Host(n) for n in range(terms.gateway_count)]
         for host, rate in zip(self.hosts, rates, strict=False):
             host.rate = rate
         self.cut: set[tuple[int, int]] = set()  # (from, to)
@@ -81,11 +83,10 @@
         who = self.random.getrandbits(63) + 1
         now = self.clock(host)
         host.up, host.stopped, host.inbox, host.wakes = True, False, [], float("inf")
-        host.holder = Holder(self.terms, host.number, who, self.seed, now)
-        memory = Memory(dict(host.disk), host.floor) if host.floor >= 0 else None
-        host.voter = (
-            Voter(self.terms, host.number, who, self.seed, now, memory) if host.number in self.terms.voters else None
-        )
+        member = LeaseMember(host.number, who, self.seed)
+        host.holder = LeaseHolder(self.terms, member, now)
+        memory = AcceptorMemory(dict(host.disk), host.floor) if host.floor >= 0 else None
+        host.voter = Acceptor(self.terms, member, now, memory) if host.number in self.terms.acceptors else None
         self._wake(host, host.life)
 
     def kill(self, host: Host, why: str = "killed") -> None:
@@ -143,7 +144,7 @@
         self._again(host)
 
     def _again(self, host: Host) -> None:
-        due = min(host.holder.due(), host.voter.due() if host.voter is not None else float("inf"))
+        due = min(host.holder.next_deadline(), host.voter.next_deadline() if host.voter is not None else float("inf"))
         at = max(self.engine.now + 0.001, (due - 1000.0) / host.rate)
         if at < host.wakes:
             host.wakes = at
@@ -153,21 +154,21 @@
         if host.wakes == at:
             self._wake(host, life)
 
-    def _out(self, host: Host, out: list[Out]) -> None:
+    def _out(self, host: Host, out: list[LeaseAction]) -> None:
         for o in out:
-            if isinstance(o, Keep):
+            if isinstance(o, PersistVotes):
                 if host.full:
                     return
-                host.disk |= {duty: (token, who) for duty, token, who in o.rows}
-                host.floor = max(host.floor, o.floor, 0 if o.rows else -1)
-                host.voter.kept(o)
+                host.disk |= {role: Ballot(token, who) for role, token, who in o.records}
+                host.floor = max(host.floor, -1 if o.floor is None else o.floor, 0 if o.records else -1)
+                host.voter.confirm_persisted(o)
             else:
-                self._send(host, o.to, o.message)
+                self._send(host, o.recipient, o.message)
 
-    def _send(self, host: Host, to: int, m: Message) -> None:
+    def _send(self, host: Host, to: int, m: LeaseMessage) -> None:
         if to != host.number:
             host.sent += 1
-            host.bytes += _UDP + 22 + 13 * min(ROWS, len(m.rows))
+            host.bytes += _UDP + 22 + 13 * min(MAX_ENTRIES, len(m.entries))
             if (host.number, to) in self.cut or self.random.random() < self.net.loss:
                 return
         n = self.net
@@ -177,7 +178,7 @@
                 delay += self.random.random() * n.late_by
             self.engine.after(delay, self._arrive, self.hosts[to], host.number, m)
 
-    def _arrive(self, host: Host, sender: int, m: Message) -> None:
+    def _arrive(self, host: Host, sender: int, m: LeaseMessage) -> None:
         if not host.up:
             return
         if host.stopped:
@@ -186,13 +187,13 @@
             return
         self._hear(host, sender, m)
 
-    def _hear(self, host: Host, sender: int, m: Message) -> None:
+    def _hear(self, host: Host, sender: int, m: LeaseMessage) -> None:
         now = self.clock(host)
         self._out(
             host,
-            host.holder.hear(now, sender, m)
-            if m.kind in FOR_HOLDER
-            else host.voter.hear(now, sender, m)
+            host.holder.receive(now, sender, m)
+            if m.type in FOR_HOLDER
+            else host.voter.receive(now, sender, m)
             if host.voter is not None
             else [],
         )
@@ -202,30 +203,35 @@
     def _happened(self, host: Host) -> None:
         events, host.holder.events = host.holder.events, []
         for e in events:
-            if isinstance(e, Took):
+            if isinstance(e, LeaseAcquired):
                 self._took(host, e)
             elif (
-                isinstance(e, Lost)
-                and (mine := self.owner.get(e.duty)) is not None
+                isinstance(e, LeaseLost)
+                and (mine := self.owner.get(e.role)) is not None
                 and mine[0] is host
                 and mine[2] == e.token
-                and e.duty not in self.lost
+                and e.role not in self.lost
             ):
-                self.lost[e.duty] = (self.engine.now, e.why)
+                self.lost[e.role] = (self.engine.now, e.reason)
 
-    def _took(self, host: Host, e: Took) -> None:
+    def _took(self, host: Host, e: LeaseAcquired) -> None:
         self.took += 1
-        had = self.owner.get(e.duty)
+        had = self.owner.get(e.role)
         if had is not None:
             other, life, token = had
-            if other is not host and other.life == life and other.up and other.holder.end(e.duty) > self.clock(other):
-                self.wrong.append(f"{self.engine.now:.3f}: duty {e.duty}: {host.number} and {other.number} hold it")
+            if (
+                other is not host
+                and other.life == life
+                and other.up
+                and other.holder.expires_at(e.role) > self.clock(other)
+            ):
+                self.wrong.append(f"{self.engine.now:.3f}: duty {e.role}: {host.number} and {other.number} hold it")
             if e.token <= token:
-                self.wrong.append(f"{self.engine.now:.3f}: duty {e.duty}: token {e.token} after {token}")
-            if e.duty in self.lost:
-                since, why = self.lost.pop(e.duty)
-                self.gaps.append((e.duty, why, self.engine.now - since))
-        self.owner[e.duty] = (host, host.life, e.token)
+                self.wrong.append(f"{self.engine.now:.3f}: duty {e.role}: token {e.token} after {token}")
+            if e.role in self.lost:
+                since, why = self.lost.pop(e.role)
+                self.gaps.append((e.role, why, self.engine.now - since))
+        self.owner[e.role] = (host, host.life, e.token)
 
     # ------------------------------------------------------------ seeing into it
 
@@ -235,7 +241,7 @@
         for host in self.hosts:
             if host.up and not host.stopped:
                 now = self.clock(host)
-                out |= {d: host.number for d in host.holder.held if host.holder.end(d) > now}
+                out |= {d: host.number for d in host.holder.claims if host.holder.expires_at(d) > now}
         return out
 
     def run(self, seconds: float) -> None:
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -24,7 +24,7 @@
 from fawnspool.extents.change_log import Past, Way
 from fawnspool.extents.map import shard_of
 from fawnspool.extents.records import Delta, Fact, Stamp, State
-from fawnspool.leases.fencing import Fence, Fenced
+from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.http import BadMessage
 from fawnspool.net.server import Exchange
 from fawnspool.records.frames import MAGIC, Reader
@@ -217,8 +217,8 @@
         return [msgspec.msgpack.decode(raw, type=Holding) for _, raw in txn.cursor(db=self.fences)]
 
     def pass_fence(self, stamp: Stamped, note: str = "") -> None:
-        """A step of a duty: kept before anything is done. Raises Fenced."""
-        self.fence.passes(stamp.duty, stamp.token, stamp.who)
+        """A step of a duty: kept before anything is done. Raises StaleTokenError."""
+        self.fence.admit(stamp.duty, stamp.token, stamp.who)
         row = Holding(stamp.duty, stamp.token, stamp.who, stamp.head, time.time(), note)
         with self.env.begin(write=True) as txn:
             old = txn.get(stamp.duty.encode(), db=self.fences)
@@ -387,9 +387,9 @@
         told |= {"duty": stamp.duty, "token": stamp.token, "who": stamp.who, "head": stamp.head}
         try:
             self.catalogue.pass_fence(stamp, str(a.get("note", "")))
-        except Fenced as bad:
+        except StaleTokenError as bad:
             self.note("fenced", node=-1, newest=bad.newest, **told)
-            return 403, {"fenced": bad.duty, "newest": bad.newest}
+            return 403, {"fenced": bad.role, "newest": bad.newest}
         self.note("effect", node=-1, **told)
         return self._do(path, a)
 
--- a/fawnspool/standins/moving.py
+++ b/fawnspool/standins/moving.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from fawnspool.extents.replicas import Answer, Role, Side
-from fawnspool.leases.fencing import Fence, Fenced
+from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.store import Store
 
@@ -142,9 +142,9 @@
             "key": query.get("key"),
         }
         try:
-            if self.fence.passes(duty, token, who):
+            if self.fence.admit(duty, token, who):
                 self.writer.put((duty, token, who))
-        except Fenced as bad:
+        except StaleTokenError as bad:
             self.note("fenced", newest=bad.newest, **told)
             return bad.newest
         self.note("effect", **told)
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -15,12 +15,12 @@
 import gevent
 
 from fawnspool.cli.main import main
-from fawnspool.gateway import acceptor_log, lease_runner, leased_work
+from fawnspool.gateway import acceptor_log, drain_worker, held_lease, lease_runner, role_context
 from fawnspool.gossip import health_evidence
 from fawnspool.leases import ballot
-from fawnspool.leases.acceptor import Memory
-from fawnspool.leases.ballot import Seat
-from fawnspool.leases.fencing import Fenced
+from fawnspool.leases.actions import AcceptorMemory
+from fawnspool.leases.ballot import Ballot, Promise
+from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.scheduling import scheduler
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.standins import moving
@@ -35,47 +35,48 @@
     """A holder whose work heeds neither clock nor loss."""
     names = {n: getattr(gevent, n) for n in dir(gevent)}
     lease_runner.gevent = SimpleNamespace(**names | {"spawn": Stubborn.spawn})  # type: ignore[attr-defined]
-    lease_runner.Hold.left = lambda self: 5.0  # type: ignore[method-assign]
-    real, last = leased_work.Works._wishes, dict[str, str]()
+    held_lease.HeldLease.remaining_s = lambda self: 5.0  # type: ignore[method-assign]
+    operator_requests = role_context.RoleContext.operator_requests
+    last_requests: dict[str, str] = {}
 
-    def wishes(self: Any, hold: Any) -> dict[str, str]:
-        last.update(real(self, hold) or {})
-        return last
+    def remembered_requests(self: Any, lease: Any) -> dict[str, str]:
+        last_requests.update(operator_requests(self, lease) or {})
+        return last_requests
 
-    leased_work.Works._wishes = wishes  # type: ignore[method-assign]
-    move = leased_work._Drain._move
+    role_context.RoleContext.operator_requests = remembered_requests  # type: ignore[method-assign]
+    move = drain_worker.DrainWorker._move
 
-    def moves(self: Any, *args: Any) -> None:
-        with suppress(Fenced):
+    def move_unfenced(self: Any, *args: Any) -> None:
+        with suppress(StaleTokenError):
             move(self, *args)
 
-    leased_work._Drain._move = moves  # type: ignore[method-assign]
+    drain_worker.DrainWorker._move = move_unfenced  # type: ignore[method-assign]
 
 
 def no_token() -> None:
-    lease_runner.Hold.stamp = lambda self: {}  # type: ignore[method-assign]
+    held_lease.HeldLease.stamp = lambda self: {}  # type: ignore[method-assign]
 
 
 def forgets_votes() -> None:
     """A voter that takes its empty memory for all there is."""
-    real = acceptor_log.VoteFile.__init__
+    real = acceptor_log.AcceptorLog.__init__
 
     def init(self: Any, *args: Any) -> None:
         real(self, *args)
-        self.memory = Memory({}, 0)
+        self.memory = AcceptorMemory({}, 0)
 
-    acceptor_log.VoteFile.__init__ = init  # type: ignore[method-assign]
+    acceptor_log.AcceptorLog.__init__ = init  # type: ignore[method-assign]
 
 
 def votes_twice() -> None:
     """A voter that gives its vote again while it stands, and calls heads all the while."""
-    real = ballot.ask
+    vote = ballot.vote
 
-    def ask(seat: Seat, now: float, token: int, *rest: Any) -> Any:
-        return real(replace(seat, until=0.0), now, token, *rest)
+    def vote_again(promise: Promise, requested: Ballot, *rest: Any) -> Any:
+        return vote(replace(promise, expires_at=0.0), requested, *rest)
 
-    ballot.ask = ask
-    Seat.vacant = lambda self, now: True  # type: ignore[method-assign]
+    ballot.vote = vote_again
+    Promise.is_vacant = lambda self, now: True  # type: ignore[method-assign]
 
 
 def forgets_fence() -> None:
@@ -83,7 +84,7 @@
     real = moving.Gate.passes
 
     def passes(self: Any, query: dict[str, str], what: str) -> int | None:
-        self.fence.seen.clear()
+        self.fence.newest.clear()
         return real(self, query, what)
 
     moving.Gate.passes = passes  # type: ignore[method-assign]
@@ -91,26 +92,26 @@
 
 def full_disk() -> None:
     """A voter whose disk is full from some seconds after its start on."""
-    real, began = acceptor_log.VoteFile.keep, time.monotonic()
+    real, began = acceptor_log.AcceptorLog.persist, time.monotonic()
 
     def keep(self: Any, what: Any) -> None:
         if time.monotonic() - began > 4.0:
             raise OSError(errno.ENOSPC, "No space left on device")
         real(self, what)
 
-    acceptor_log.VoteFile.keep = keep  # type: ignore[method-assign]
+    acceptor_log.AcceptorLog.persist = keep  # type: ignore[method-assign]
 
 
 def wrong_place() -> None:
     """A holder that begins with what has moved already: now these, now those cells are to be drained for it."""
-    real = leased_work.Works._wishes
+    operator_requests = role_context.RoleContext.operator_requests
 
-    def wishes(self: Any, hold: Any) -> dict[str, str] | None:
-        wanted = real(self, hold)
+    def changing_requests(self: Any, lease: Any) -> dict[str, str] | None:
+        requests = operator_requests(self, lease)
         kept = int(time.monotonic()) % 6
-        return {f"drain/{k}": "" for k in range(6) if k != kept} if wanted else wanted
+        return {f"drain/{shard}": "" for shard in range(6) if shard != kept} if requests else requests
 
-    leased_work.Works._wishes = wishes  # type: ignore[method-assign]
+    role_context.RoleContext.operator_requests = changing_requests  # type: ignore[method-assign]
 
 
 def keeps_lent() -> None:
--- a/tests/e2e/test_duties.py
+++ b/tests/e2e/test_leases.py
@@ -1,10 +1,8 @@
-"""Duties between real processes: faults between them, late steps, and doctored ones that the judge must find."""
+"""Leases between real processes: faults between them, late steps, and doctored ones that the judge must find."""
 
 from __future__ import annotations
 
-import json
-import subprocess
-import sys
+import importlib.util
 import time
 from collections import Counter
 from dataclasses import replace
@@ -21,6 +19,7 @@
 from fawnspool.records.frames import rows_of
 from fawnspool.rules.story import read
 from tests.e2e.rig import wait_for
+from tests.e2e.run_imports import modules_of_run
 
 FILE = Path(__file__).parent / "duties.hcl"
 
@@ -167,7 +166,7 @@
     ]  # the same life under a higher token is no new holder
     assert not late and [r for r in story.duties if r["what"] == "until" and r["t"] > story.first + 9.0]
     assert not [t for t in broken(result) if "still lie" not in t], broken(result)
-    assert "votes can't be kept" in "".join(p.read_text() for p in tmp_path.glob("head-*.log"))
+    assert "votes_not_persisted" in "".join(p.read_text() for p in tmp_path.glob("head-*.log"))
     assert result.service.whole.in_time > 0.8 * result.service.whole.asked
 
 
@@ -211,10 +210,10 @@
 
 
 def test_run_starts_and_imports_none_of_it() -> None:
-    code = (
-        "import sys, json, fawnspool.relay.process; "
-        "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))"
-    )
-    loaded = json.loads(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout)
-    assert "fawnspool.relay.process" in loaded and "fawnspool.gateway.core" in loaded
-    assert not [m for m in loaded if "dut" in m or m.endswith((".works", ".peers", ".votefile", ".lives", ".extents"))]
+    """By names of modules, so the words are those of the packages and modules that make up leases and moves."""
+    words = ("dut", "lease", "acceptor", "role_context", "worker", "extent")
+    endings = (".peers", ".peer_channel", ".incarnations", ".migrator")
+    loaded = modules_of_run()
+    assert not [name for name in loaded if any(word in name for word in words) or name.endswith(endings)]
+    for name in ("fawnspool.leases", "fawnspool.gateway.lease_runner", "fawnspool.gateway.drain_worker"):
+        assert importlib.util.find_spec(name) is not None, f"{name} is gone: name what took its place"
--- /dev/null
+++ b/tests/lease_model.py
@@ -0,0 +1,516 @@
+"""All interleavings of three acceptors and two candidates for one role, on the code that gateways run
+(`leases/ballot.py`, `candidate.py`).
+
+What was sent stays sent: a message may arrive at any later moment, as often as it likes, or never, so loss, doubling
+and delay need no steps of their own. A stopped process is a candidate or acceptor that does nothing for a while. Steps
+are: time, campaign, renewal, an arriving message, a release, an acceptor's restart with and without its disk, a
+candidate's restart, an effect that is sent and one that arrives. `python -m tests.lease_model` prints the states
+walked; `MISTAKES` are those that a walk must find.
+
+Messages are tuples, as a walk holds millions of them:
+
+    ("request", acceptor, token, incarnation, requested_at)
+    ("grant", acceptor, token, incarnation, requested_at)
+    ("release", acceptor, token, incarnation)
+    ("recovered", recovering acceptor, sender, end of its silence, sender has its memory, highest token)
+    ("effect", token, incarnation)
+"""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable, Iterator
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import dataclass, replace
+from heapq import heappop, heappush
+from itertools import permutations
+from typing import Any, NamedTuple
+
+from fawnspool.leases import ballot as ballots
+from fawnspool.leases.ballot import Ballot, BallotVerdict, Promise, RecoveryResponse
+from fawnspool.leases.candidate import NEVER, Proposal, guaranteed_lease_s
+
+LEASE_S = 2.0
+ACCEPTORS = range(3)
+ORDERS = tuple((order, {old: new for new, old in enumerate(order)}) for order in permutations(ACCEPTORS))
+TOO_MANY_STATES = "too many states"
+OLDER_AFTER_NEWER = -1  # as the newest effect
+
+Message = tuple[Any, ...]
+Votes = tuple[tuple[int, float], ...]  # acceptor, when its vote was requested
+
+
+@dataclass(frozen=True)
+class Rules:
+    """The rules as they are; a mistake replaces one of them."""
+
+    vote: Callable[..., Any] = ballots.vote
+    release: Callable[..., Any] = ballots.release
+    restore: Callable[..., Any] = ballots.restore
+    recovered_floor: Callable[..., Any] = ballots.recovered_floor
+    quorum: int = 2
+    persists_votes: bool = True  # before they are announced
+    silence_s: float = LEASE_S  # of an acceptor without its memory
+    counts_from_response: bool = False
+    heeds_end: bool = True  # a holder heeds its lease's end
+    fences: bool = True  # a place remembers the newest token
+    drops_released: bool = True  # a claim that is given up is not taken up again
+
+
+@dataclass(frozen=True)
+class Bounds:
+    """How far a walk goes: the time, the tokens, and how often each step is taken at most."""
+
+    time: int = 4
+    tokens: int = 3
+    campaigns: int = 2  # of all candidates
+    renewals: int = 1
+    restarts: int = 1  # of acceptors, with their disk
+    losses: int = 1  # of an acceptor's disk
+    lives: int = 0  # restarts of candidates
+    releases: int = 1
+    effects: bool = True
+
+
+class Taken(NamedTuple):
+    """How often each bounded step was taken."""
+
+    campaigns: int = 0
+    renewals: int = 0
+    restarts: int = 0
+    losses: int = 0
+    lives: int = 0
+    releases: int = 0
+
+
+class AcceptorState(NamedTuple):
+    """responses: of the other acceptors to one without its memory, (sender, has its memory, highest token); None: it
+    has its memory and votes."""
+
+    promise: Promise = Promise()
+    floor: float = 0
+    silent_until: float = 0.0
+    responses: tuple[tuple[int, bool, int], ...] | None = None
+
+
+class Claim(NamedTuple):
+    """A candidate's or holder's claim; successor: a higher token that is asked for, 0: none."""
+
+    token: int
+    votes: Votes = ()
+    successor: int = 0
+    successor_votes: Votes = ()
+
+
+class Candidate(NamedTuple):
+    incarnation: int
+    claim: Claim | None = None
+
+
+class State(NamedTuple):
+    """last_holder: token and incarnation; fence: the newest token of the place where effects arrive."""
+
+    now: int = 0
+    acceptors: tuple[AcceptorState, ...] = (AcceptorState(),) * 3
+    candidates: tuple[Candidate, ...] = (Candidate(1), Candidate(2))
+    messages: Any = frozenset()  # in the canonical form a sorted tuple
+    taken: Taken = Taken()
+    last_holder: tuple[int, int] = (0, 0)
+    fence: int = 0
+    newest_effect: int = 0
+
+    def send(self, *messages: Message) -> State:
+        return self._replace(messages=self.messages | set(messages))
+
+    def with_acceptor(self, index: int, acceptor: AcceptorState) -> State:
+        return self._replace(acceptors=_replaced(self.acceptors, index, acceptor))
+
+    def with_claim(self, index: int, claim: Claim | None) -> State:
+        candidate = self.candidates[index]._replace(claim=claim)
+        return self._replace(candidates=_replaced(self.candidates, index, candidate))
+
+    def counted(self, step: str) -> State:
+        return self._replace(taken=self.taken._replace(**{step: getattr(self.taken, step) + 1}))
+
+
+def _replaced(rows: tuple[Any, ...], index: int, row: Any) -> tuple[Any, ...]:
+    return (*rows[:index], row, *rows[index + 1 :])
+
+
+def _expires_at(rules: Rules, votes: Votes) -> float:
+    return Proposal(0, 0.0, dict(votes)).expires_at(rules.quorum, guaranteed_lease_s(LEASE_S, 0.0))
+
+
+def holds(rules: Rules, now: float, claim: Claim | None) -> bool:
+    if claim is None:
+        return False
+    expires_at = _expires_at(rules, claim.votes)
+    return expires_at > now or (not rules.heeds_end and expires_at > NEVER)
+
+
+# ---------------------------------------------------------------- steps
+
+
+def steps(rules: Rules, bounds: Bounds, canonical: State) -> Iterator[State]:
+    """All states that follow a state."""
+    state = canonical._replace(messages=frozenset(canonical.messages))
+    if state.now < bounds.time:
+        yield state._replace(now=state.now + 1)
+    for index, candidate in enumerate(state.candidates):
+        yield from _campaigns(rules, bounds, state, index, candidate)
+        if candidate.claim is not None:
+            yield from _claim_steps(rules, bounds, state, index, candidate.incarnation, candidate.claim)
+    for index, acceptor in enumerate(state.acceptors):
+        yield from _restarts(rules, bounds, state, index, acceptor)
+        yield from _recovery_messages(state, index, acceptor)
+    for message in state.messages:
+        yield from _ARRIVALS[message[0]](rules, state, *message[1:])
+
+
+def _requests(state: State, token: int, incarnation: int) -> set[Message]:
+    return {("request", acceptor, token, incarnation, state.now) for acceptor in ACCEPTORS}
+
+
+def _campaigns(rules: Rules, bounds: Bounds, state: State, index: int, candidate: Candidate) -> Iterator[State]:
+    incarnation, claim = candidate
+    if state.taken.campaigns >= bounds.campaigns:
+        return
+    for token in range(1 if claim is None else claim.token + 1, bounds.tokens + 1):
+        is_used = any(m[0] == "request" and m[2:4] == (token, incarnation) for m in state.messages)
+        if is_used or (claim is not None and claim.successor):
+            continue  # a token is used once by an incarnation
+        campaign = Claim(token)
+        if claim is not None and holds(rules, state.now, claim):
+            # A holder goes on under its old token until the higher one has a majority.
+            campaign = Claim(claim.token, claim.votes, token)
+        yield state.with_claim(index, campaign).send(*_requests(state, token, incarnation)).counted("campaigns")
+
+
+def _claim_steps(
+    rules: Rules, bounds: Bounds, state: State, index: int, incarnation: int, claim: Claim
+) -> Iterator[State]:
+    is_holding = holds(rules, state.now, claim)
+    token = claim.successor or claim.token
+    requests = _requests(state, token, incarnation)
+    if state.taken.renewals < bounds.renewals and is_holding and not requests <= state.messages:
+        yield state.send(*requests).counted("renewals")
+    if state.taken.releases < bounds.releases:
+        releases = {
+            ("release", acceptor, released, incarnation) for acceptor in ACCEPTORS for released in {claim.token, token}
+        }
+        kept = None if rules.drops_released else claim
+        yield state.with_claim(index, kept).send(*releases).counted("releases")
+    if state.taken.lives < bounds.lives:
+        reborn = Candidate(incarnation + 10)
+        yield state._replace(candidates=_replaced(state.candidates, index, reborn)).counted("lives")
+    effect = ("effect", claim.token, incarnation)
+    if bounds.effects and effect not in state.messages and is_holding:
+        yield state.send(effect)
+
+
+def _restarts(rules: Rules, bounds: Bounds, state: State, index: int, acceptor: AcceptorState) -> Iterator[State]:
+    forgetful = AcceptorState(Promise(), 0, state.now + rules.silence_s, ())
+    if state.taken.restarts < bounds.restarts:
+        stored = acceptor.promise if rules.persists_votes else Promise()
+        restarted = acceptor._replace(promise=rules.restore(stored, state.now, LEASE_S))
+        if acceptor.responses is not None:
+            restarted = forgetful
+        yield state.with_acceptor(index, restarted).counted("restarts")
+    if state.taken.losses < bounds.losses:
+        yield state.with_acceptor(index, forgetful).counted("losses")
+
+
+def _recovery_messages(state: State, index: int, acceptor: AcceptorState) -> Iterator[State]:
+    if acceptor.responses is None or state.now < acceptor.silent_until:
+        return
+    for sender, other in enumerate(state.acceptors):
+        highest = max(other.promise.token, other.floor)
+        message = ("recovered", index, sender, acceptor.silent_until, other.responses is None, highest)
+        if sender != index and message not in state.messages:
+            yield state.send(message)
+
+
+# ---------------------------------------------------------------- arriving messages
+
+
+def _request_arrives(
+    rules: Rules, state: State, index: int, token: int, incarnation: int, requested_at: float
+) -> Iterator[State]:
+    acceptor = state.acceptors[index]
+    if acceptor.responses is not None:
+        return
+    requested = Ballot(token, incarnation)
+    promise, verdict = rules.vote(acceptor.promise, requested, state.now, acceptor.floor, LEASE_S)
+    after = state.with_acceptor(index, acceptor._replace(promise=promise))
+    if verdict is BallotVerdict.GRANTED:
+        yield after.send(("grant", index, token, incarnation, requested_at))
+    elif promise != acceptor.promise:
+        yield after
+
+
+def _grant_arrives(
+    rules: Rules, state: State, acceptor: int, token: int, incarnation: int, requested_at: float
+) -> Iterator[State]:
+    counts_from = state.now if rules.counts_from_response else requested_at
+    for index, candidate in enumerate(state.candidates):
+        claim = candidate.claim
+        if claim is None or candidate.incarnation != incarnation or token not in (claim.token, claim.successor):
+            continue
+        voted = _with_vote(rules, claim, token, acceptor, counts_from)
+        if voted != claim:
+            yield state.with_claim(index, voted)
+
+
+def _with_vote(rules: Rules, claim: Claim, token: int, acceptor: int, counts_from: float) -> Claim:
+    is_present = token == claim.token
+    before = claim.votes if is_present else claim.successor_votes
+    votes = tuple(sorted(Proposal(token, 0.0, dict(before)).with_vote(acceptor, counts_from).votes.items()))
+    claim = claim._replace(votes=votes) if is_present else claim._replace(successor_votes=votes)
+    if claim.successor and _expires_at(rules, claim.successor_votes) > _expires_at(rules, claim.votes):
+        return Claim(claim.successor, claim.successor_votes)
+    return claim
+
+
+def _release_arrives(rules: Rules, state: State, index: int, token: int, incarnation: int) -> Iterator[State]:
+    acceptor = state.acceptors[index]
+    if acceptor.responses is not None:
+        return
+    promise = rules.release(acceptor.promise, Ballot(token, incarnation))
+    if promise != acceptor.promise:
+        yield state.with_acceptor(index, acceptor._replace(promise=promise))
+
+
+def _recovered_arrives(
+    rules: Rules, state: State, index: int, sender: int, silent_until: float, has_memory: bool, highest: int
+) -> Iterator[State]:
+    acceptor = state.acceptors[index]
+    response = (sender, has_memory, highest)
+    if acceptor.responses is None or silent_until != acceptor.silent_until or response in acceptor.responses:
+        return
+    responses = tuple(sorted({row[0]: row for row in (*acceptor.responses, response)}.values()))
+    floor = rules.recovered_floor({row[0]: RecoveryResponse(*row[1:]) for row in responses}, len(ACCEPTORS))
+    if floor is None:
+        yield state.with_acceptor(index, acceptor._replace(responses=responses))
+    else:
+        yield state.with_acceptor(index, acceptor._replace(floor=floor, responses=None))
+
+
+def _effect_arrives(rules: Rules, state: State, token: int, incarnation: int) -> Iterator[State]:
+    fence = state.fence if rules.fences else 0
+    if token >= fence and token != state.newest_effect:
+        newest = token if token > state.newest_effect else OLDER_AFTER_NEWER
+        yield state._replace(fence=token, newest_effect=newest)
+
+
+_ARRIVALS: dict[str, Callable[..., Iterator[State]]] = {
+    "request": _request_arrives,
+    "grant": _grant_arrives,
+    "release": _release_arrives,
+    "recovered": _recovered_arrives,
+    "effect": _effect_arrives,
+}
+
+
+# ---------------------------------------------------------------- canonical states
+
+
+def _live_messages(bounds: Bounds, state: State) -> set[Message]:
+    """Messages that can still do anything."""
+    no_more_losses = state.taken.losses >= bounds.losses
+    votes: dict[tuple[int, int], dict[int, float]] = {}
+    for incarnation, claim in state.candidates:
+        if claim is not None:
+            votes[incarnation, claim.token] = dict(claim.votes)
+            votes[incarnation, claim.successor] = dict(claim.successor_votes)
+    return {message for message in state.messages if _is_live(state, message, votes, no_more_losses)}
+
+
+def _is_live(
+    state: State, message: Message, votes: dict[tuple[int, int], dict[int, float]], no_more_losses: bool
+) -> bool:
+    match message:
+        case ("grant", acceptor, token, incarnation, requested_at):
+            had = votes.get((incarnation, token))
+            return had is not None and requested_at > had.get(acceptor, -1.0)
+        case ("request" | "release", index, token, *_):
+            acceptor = state.acceptors[index]
+            if no_more_losses and acceptor.responses is None:
+                return bool(token >= max(acceptor.promise.token, acceptor.floor))
+        case ("recovered", index, _, silent_until, *_):
+            acceptor = state.acceptors[index]
+            return acceptor.responses is not None and acceptor.silent_until == silent_until
+    return True
+
+
+def _renumbered_message(message: Message, number: dict[int, int]) -> Message:
+    match message:
+        case ("recovered", index, sender, *rest):
+            return ("recovered", number[index], number[sender], *rest)
+        case ("effect", *_):
+            return message
+        case (kind, index, *rest):
+            return (kind, number[index], *rest)
+    raise AssertionError(message)
+
+
+def _renumbered_acceptor(acceptor: AcceptorState, number: dict[int, int]) -> AcceptorState:
+    if acceptor.responses is None:
+        return acceptor
+    responses = tuple(sorted((number[sender], has_memory, top) for sender, has_memory, top in acceptor.responses))
+    return acceptor._replace(responses=responses)
+
+
+def _renumbered_candidate(candidate: Candidate, number: dict[int, int]) -> Candidate:
+    claim = candidate.claim
+    if claim is None:
+        return candidate
+    votes = tuple(sorted((number[acceptor], at) for acceptor, at in claim.votes))
+    successor_votes = tuple(sorted((number[acceptor], at) for acceptor, at in claim.successor_votes))
+    return candidate._replace(claim=Claim(claim.token, votes, claim.successor, successor_votes))
+
+
+def canonical(bounds: Bounds, state: State) -> State:
+    """Of all states that differ by the acceptors' numbers alone, one; and without messages that can do nothing any
+    more."""
+    live = _live_messages(bounds, state)
+    best: Any = None
+    for order, number in ORDERS:
+        acceptors = tuple(_renumbered_acceptor(state.acceptors[old], number) for old in order)
+        messages = tuple(sorted(_renumbered_message(message, number) for message in live))
+        candidates = tuple(_renumbered_candidate(candidate, number) for candidate in state.candidates)
+        rows = tuple(
+            (p.token, p.incarnation, p.expires_at, p.released, floor, silent_until, responses or ())
+            for p, floor, silent_until, responses in acceptors
+        )
+        key = (rows, messages, str(candidates))
+        if best is None or key < best[0]:
+            best = (key, acceptors, candidates, messages)
+    _, acceptors, candidates, messages = best
+    return state._replace(acceptors=acceptors, candidates=candidates, messages=messages)
+
+
+# ---------------------------------------------------------------- the walk
+
+
+def wrong(rules: Rules, state: State) -> str:
+    """What must not be in a state; empty if all is well."""
+    if sum(holds(rules, state.now, candidate.claim) for candidate in state.candidates) > 1:
+        return "two hold at once"
+    if state.newest_effect == OLDER_AFTER_NEWER:
+        return "an effect under an older token after a newer one"
+    return ""
+
+
+def _nearness(rules: Rules, state: State) -> float:
+    """How near a state looks to two holders."""
+    claims = [candidate.claim for candidate in state.candidates if candidate.claim is not None]
+    votes = sum(
+        len(claim.votes) + len(claim.successor_votes) + 3.0 * holds(rules, state.now, claim) for claim in claims
+    )
+    return votes + len(claims) + 4.0 * state.fence
+
+
+def _present_holder(rules: Rules, state: State) -> tuple[int, int] | None:
+    for incarnation, claim in state.candidates:
+        if claim is not None and holds(rules, state.now, claim):
+            return claim.token, incarnation
+    return None
+
+
+def walk(rules: Rules, bounds: Bounds, most: int = 10**9, deep: bool = False) -> tuple[int, str]:
+    """(states walked, what went wrong in one of them or ""). deep: states with most votes first, which finds a mistake
+    sooner; all of them are walked either way."""
+    first = State()
+    seen = {first}
+    queue = [(0.0, 0, first)]
+    while queue:
+        _, _, state = heappop(queue)
+        for following in steps(rules, bounds, state):
+            if problem := wrong(rules, following):
+                return len(seen), problem
+            holder = _present_holder(rules, following)
+            if holder is not None and holder != following.last_holder:
+                if holder[0] <= following.last_holder[0]:
+                    return len(seen), f"token {holder[0]} holds after {following.last_holder[0]}"
+                following = following._replace(last_holder=holder)
+            following = canonical(bounds, following)
+            if following not in seen:
+                if len(seen) >= most:
+                    return len(seen), TOO_MANY_STATES
+                seen.add(following)
+                heappush(queue, (-_nearness(rules, following) if deep else 0.0, len(seen), following))
+    return len(seen), ""
+
+
+# ---------------------------------------------------------------- mistakes
+
+
+def _vote_at_any_time(promise: Promise, requested: Ballot, *rest: Any) -> Any:
+    return ballots.vote(replace(promise, expires_at=0.0), requested, *rest)
+
+
+def _vote_for_same_token(promise: Promise, requested: Ballot, *rest: Any) -> Any:
+    if promise.token == requested.token:
+        promise = replace(promise, incarnation=requested.incarnation)
+    return ballots.vote(promise, requested, *rest)
+
+
+def _restore_as_expired(promise: Promise, now: float, lease_s: float) -> Promise:
+    return replace(promise, expires_at=now)
+
+
+def _release_any(promise: Promise, released: Ballot) -> Promise:
+    return replace(promise, released=True)
+
+
+BASE = Bounds(time=3, tokens=2, renewals=0, restarts=0, losses=0, releases=0, effects=False)
+SMALL = {"as it is": replace(BASE, time=2)}
+LARGE = {
+    "acceptors restart": replace(BASE, time=2, restarts=1),
+    "an acceptor loses its disk": replace(BASE, losses=1),
+    "given back": replace(BASE, time=2, releases=1),
+    "effects": replace(BASE, time=2, effects=True),
+    "renewed": replace(BASE, time=2, renewals=1),
+    "three campaigns": replace(BASE, time=2, campaigns=3, tokens=3),
+    "a candidate's life more": replace(BASE, time=2, lives=1),
+    "longer": BASE,
+}
+NOW = replace(BASE, time=0)
+MISTAKES: dict[str, tuple[Rules, Bounds]] = {
+    "a vote is given while another stands": (Rules(vote=_vote_at_any_time), NOW),
+    "an acceptor gives one token to two": (Rules(vote=_vote_for_same_token), NOW),
+    "votes are not persisted": (Rules(persists_votes=False), replace(NOW, restarts=1)),
+    "a restarted acceptor takes its votes for over": (Rules(restore=_restore_as_expired), replace(NOW, restarts=1)),
+    "an acceptor without its memory votes at once": (
+        Rules(recovered_floor=lambda responses, count: 0, silence_s=0.0),
+        replace(NOW, losses=1),
+    ),
+    "it does not wait before it recovers": (Rules(silence_s=0.0), replace(NOW, losses=1)),
+    "the lease counts from the response": (Rules(counts_from_response=True), replace(BASE, time=2)),
+    "one vote is enough": (Rules(quorum=1), NOW),
+    "the holder does not heed the end": (Rules(heeds_end=False), replace(BASE, time=2)),
+    "a late message releases a newer vote": (
+        Rules(release=_release_any),
+        replace(NOW, releases=1, campaigns=3, tokens=3),
+    ),
+    "the holder goes on after it gave back": (Rules(drops_released=False), replace(NOW, releases=1)),
+    "the fence forgets": (Rules(fences=False), replace(NOW, effects=True, releases=1)),
+}
+
+
+def _case(bounds: Bounds) -> tuple[int, str]:
+    return walk(Rules(), bounds)
+
+
+def main() -> None:
+    with ProcessPoolExecutor() as pool:
+        cases = {**SMALL, **LARGE}
+        for name, (count, problem) in zip(cases, pool.map(_case, cases.values()), strict=True):
+            print(f"{name}: {count:,} states, {problem or 'nothing wrong'}", flush=True)
+    for name, (rules, bounds) in MISTAKES.items():
+        count, problem = walk(rules, bounds, deep=True)
+        print(f"{name}: {problem or 'NOT FOUND'} after {count:,} states", flush=True)
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/test_acceptor_log.py
@@ -0,0 +1,88 @@
+"""An acceptor's votes on disk: what outlives its process, and what is not used."""
+
+from __future__ import annotations
+
+import errno
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from benchmarks.duties_walks import terms
+from fawnspool.gateway.acceptor_log import FILE_NAME, AcceptorLog
+from fawnspool.leases.actions import AcceptorMemory, PersistVotes, VoteRecord
+from fawnspool.leases.ballot import Ballot
+
+SETTINGS = terms(5, 3, 8)
+
+
+def vote(role: int, token: int, incarnation: int) -> PersistVotes:
+    return PersistVotes((VoteRecord(role, token, incarnation),))
+
+
+def test_votes_outlive_their_process_and_a_torn_row_is_one_that_was_never_announced(tmp_path: Path) -> None:
+    log = AcceptorLog(tmp_path, SETTINGS, sync=True)
+    assert log.memory is None
+    log.persist(PersistVotes((), 0))
+    log.persist(PersistVotes((VoteRecord(1, 5, 7), VoteRecord(2, 6, 8))))
+    log.persist(vote(1, 9, 10))
+    log.close()
+    assert AcceptorLog(tmp_path, SETTINGS, sync=True).memory == AcceptorMemory({1: Ballot(9, 10), 2: Ballot(6, 8)}, 0)
+
+    path = tmp_path / FILE_NAME
+    path.write_bytes(path.read_bytes()[:-3])
+    torn = AcceptorLog(tmp_path, SETTINGS, sync=True)
+    assert torn.memory == AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8)}, 0)
+    torn.persist(vote(3, 4, 4))
+    torn.close()
+    complete = AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8), 3: Ballot(4, 4)}, 0)
+    assert AcceptorLog(tmp_path, SETTINGS, sync=True).memory == complete
+
+
+def test_a_damaged_file_is_no_memory_rather_than_half_of_one(tmp_path: Path) -> None:
+    log = AcceptorLog(tmp_path, SETTINGS, sync=True)
+    log.persist(PersistVotes((VoteRecord(1, 5, 7), VoteRecord(2, 6, 8)), 0))
+    log.close()
+    path = tmp_path / FILE_NAME
+    damaged = bytearray(path.read_bytes())
+    damaged[60] ^= 1
+    path.write_bytes(bytes(damaged))
+    assert AcceptorLog(tmp_path, SETTINGS, sync=True).memory is None
+
+
+def test_votes_under_other_settings_count_as_a_floor(tmp_path: Path) -> None:
+    log = AcceptorLog(tmp_path, SETTINGS, sync=False)
+    log.persist(PersistVotes((VoteRecord(1, 5, 7),), 0))
+    log.close()
+    other = replace(SETTINGS, acceptors=(0, 1, 3))
+    assert AcceptorLog(tmp_path, other, sync=False).memory == AcceptorMemory({}, 5)
+
+
+def test_a_vote_that_could_not_be_written_is_not_there_afterwards(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    log = AcceptorLog(tmp_path, SETTINGS, sync=False)
+    log.persist(PersistVotes((VoteRecord(1, 5, 7),), 0))
+
+    def fail_as_full(fd: int, data: Any) -> int:
+        raise OSError(errno.ENOSPC, "No space left on device")
+
+    with monkeypatch.context() as patch:
+        patch.setattr("os.write", fail_as_full)
+        with pytest.raises(OSError):
+            log.persist(vote(1, 6, 8))
+    log.persist(vote(2, 7, 9))
+    log.close()
+    expected = AcceptorMemory({1: Ballot(5, 7), 2: Ballot(7, 9)}, 0)
+    assert AcceptorLog(tmp_path, SETTINGS, sync=False).memory == expected
+
+
+def test_the_file_keeps_its_stored_form(tmp_path: Path) -> None:
+    """Gateways before and after an upgrade read each other's files."""
+    log = AcceptorLog(tmp_path, SETTINGS, sync=False)
+    log.persist(PersistVotes((VoteRecord(1, 5, 7),), 3))
+    log.close()
+    from fawnspool.records.frames import Reader
+
+    assert list(Reader(tmp_path / FILE_NAME)) == [["mark", SETTINGS.fingerprint], ["vote", 1, 5, 7], ["floor", 3]]
