--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -11,8 +11,8 @@
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
-from fawnspool.gateway.lease_runner import terms_of
-from fawnspool.gateway.leased_work import PAUSE, RELEASE
+from fawnspool.gateway.lease_runner import lease_settings
+from fawnspool.gateway.role_context import PAUSE, RELEASE
 from fawnspool.net.listener import parse_address
 
 
@@ -25,7 +25,7 @@
             fail(f"{config_file}: has no duties block: its head takes no part in any")
         self.lease = config.duties.lease
         self.kinds = [d.name for d in config.duties.duty]
-        self.names = terms_of(config.duties, config.head.heads).names
+        self.names = lease_settings(config.duties, config.head.heads).role_names
         self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
 
     def wishes(self) -> Wishes:
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -13,8 +13,8 @@
 from fawnspool.extents.records import ExtentRecord
 from fawnspool.gateway.endpoint_client import Told
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.gateway.leased_work import DRAIN
 from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.role_context import DRAIN
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.listener import parse_address
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -24,7 +24,7 @@
 from fawnspool.extents.records import ExtentRecord
 from fawnspool.extents.replicas import ReplicaRole
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.leases.fencing import Fenced
+from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
@@ -139,7 +139,7 @@
         self.places.until(time.monotonic() + self.left()).flip(volume, extent, cell, generation, **stamp)
 
     def raise_fence(self, cell: int) -> bool:
-        """Show the token to a cell's node. Raises Fenced."""
+        """Show the token to a cell's node. Raises StaleTokenError."""
         try:
             return self._call(cell, b"POST", "/-/fence", "", "", effect=True)[0] == 200
         except _BAD:
@@ -167,7 +167,7 @@
         status, data = call(pool, method, target, time.monotonic() + min(self.timeout, self.left()), body)
         if status.code == 403:
             told = msgspec.json.decode(data, type=_Refused)
-            raise Fenced(told.fenced, told.newest)
+            raise StaleTokenError(told.fenced, told.newest)
         return status.code, data
 
     def look(self, cell: int, volume: str, extent: str) -> ReplicaReport | None:
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -24,7 +24,7 @@
 from fawnspool.extents.change_log import CatchUpMethod, ChangeLogState
 from fawnspool.extents.map import partition_of
 from fawnspool.extents.records import LOG_START, NO_SHARD, ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
-from fawnspool.leases.fencing import Fence, Fenced
+from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server_connection import Exchange
 from fawnspool.records.frames import MAGIC, Reader
@@ -223,8 +223,8 @@
         return [msgspec.msgpack.decode(raw, type=Holding) for _, raw in txn.cursor(db=self.fences)]
 
     def pass_fence(self, stamp: Stamped, note: str = "") -> None:
-        """A step of a duty: kept before anything is done. Raises Fenced."""
-        self.fence.passes(stamp.duty, stamp.token, stamp.who)
+        """A step of a duty: kept before anything is done. Raises StaleTokenError."""
+        self.fence.admit(stamp.duty, stamp.token, stamp.who)
         row = Holding(stamp.duty, stamp.token, stamp.who, stamp.head, time.time(), note)
         with self.env.begin(write=True) as txn:
             old = txn.get(stamp.duty.encode(), db=self.fences)
@@ -397,9 +397,9 @@
         told |= {"duty": stamp.duty, "token": stamp.token, "who": stamp.who, "head": stamp.head}
         try:
             self.catalogue.pass_fence(stamp, str(a.get("note", "")))
-        except Fenced as bad:
+        except StaleTokenError as bad:
             self.note("fenced", node=-1, newest=bad.newest, **told)
-            return 403, {"fenced": bad.duty, "newest": bad.newest}
+            return 403, {"fenced": bad.role, "newest": bad.newest}
         self.note("effect", node=-1, **told)
         return self._do(path, a)
 
--- a/tests/test_former_formats.py
+++ b/tests/test_former_formats.py
@@ -15,9 +15,10 @@
 
 from fawnspool.cli.main import main
 from fawnspool.gateway import map_store
-from fawnspool.gateway.acceptor_log import VoteFile
-from fawnspool.leases.acceptor import Memory
-from fawnspool.leases.terms import Terms
+from fawnspool.gateway.acceptor_log import AcceptorLog
+from fawnspool.leases.actions import AcceptorMemory
+from fawnspool.leases.ballot import Ballot
+from fawnspool.leases.settings import LeaseSettings
 from fawnspool.records.decision_recording import open_recording, settings_to_stored
 
 FORMATS = Path(__file__).parent / "formats" / "d5787bd"
@@ -108,11 +109,12 @@
 def test_the_log_of_an_acceptor_of_the_former_build_is_its_memory(tmp_path: Path) -> None:
     (tmp_path / "votes.rec").write_bytes((FORMATS / "votes/votes.rec").read_bytes())
     kinds = (("drain", 12), ("compare", 2))
-    terms = Terms(heads=5, voters=(0, 1, 2), lease=1.0, drift=0.01, kinds=kinds)
-    file = VoteFile(tmp_path, terms, sync=False)
+    settings = LeaseSettings(gateway_count=5, acceptors=(0, 1, 2), lease_s=1.0, clock_drift=0.01, role_kinds=kinds)
+    file = AcceptorLog(tmp_path, settings, sync=False)
     file.close()
-    assert file.why == ""
-    assert file.memory == Memory(VOTES, floor=1)
+    assert file.missing_reason == ""
+    votes = {role: Ballot(token, incarnation) for role, (token, incarnation) in VOTES.items()}
+    assert file.memory == AcceptorMemory(votes, floor=1)
 
 
 def test_a_comparison_that_the_former_build_kept_is_listed_and_shown() -> None:
