--- a/fawnspool/adapter/__main__.py
+++ b/fawnspool/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fawnspool.adapter`: the decisions on the simulator's wire."""
+"""`python -m fawnspool.adapter`: the scheduler on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 def main() -> int:
+    """Serve standard input, and return the exit code: 2 where a frame did not read."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as bad:
-        print(f"fawnspool.adapter: {bad}", file=sys.stderr)
+    except WireError as error:
+        print(f"fawnspool.adapter: {error}", file=sys.stderr)  # noqa: T201 the command's own message
         return 2
     return 0
 
--- a/fawnspool/adapter/host.py
+++ b/fawnspool/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decision module on one wire; each knows only its own events."""
+"""Hosts many schedulers on one wire; each knows only its own events."""
 
 from __future__ import annotations
 
@@ -11,38 +11,45 @@
 
 
 class Host:
-    """The instances of this process, by number."""
+    """The schedulers of this process, by the number of their instance."""
 
     def __init__(self) -> None:
-        self.heads: dict[int, Scheduler] = {}
-
-    def batch(
-        self, now: float, events: list[tuple[int, wire.WireEvent]]
-    ) -> list[tuple[int, interface.Action | wire.Crash]]:
-        """All actions of one batch, an instance's in the order of its events."""
-        out: list[tuple[int, interface.Action | wire.Crash]] = []
-        for who, event in events:
+        self.schedulers: dict[int, Scheduler] = {}
+
+    def batch(self, now: float, events: list[tuple[int, wire.WireEvent]]) -> list[tuple[int, wire.WireAction]]:
+        """Return all actions of one batch, an instance's in the order of its events.
+
+        An instance whose settings do not read, or whose scheduler raises, answers with a Crash.
+        """
+        replies: list[tuple[int, wire.WireAction]] = []
+        for instance, event in events:
             try:
-                out.extend((who, action) for action in self._one(now, who, event))
-            except SettingsError as bad:
-                out.append((who, wire.Crash(str(bad))))
-            except Exception as bad:  # the bench is told of any error in the decisions
-                out.append((who, wire.Crash(f"{type(bad).__name__}: {bad}")))
-        return out
-
-    def _one(self, now: float, who: int, event: wire.WireEvent) -> list[interface.Action]:
+                replies.extend((instance, action) for action in self._handle(now, instance, event))
+            except SettingsError as error:
+                replies.append((instance, wire.Crash(str(error))))
+            except Exception as error:  # the simulator is told of any error in the decisions
+                replies.append((instance, wire.Crash(f"{type(error).__name__}: {error}")))
+        return replies
+
+    def _handle(self, now: float, instance: int, event: wire.WireEvent) -> list[interface.Action]:
         if isinstance(event, wire.Start):
-            self.heads[who] = Scheduler(read_settings(event.conf), event.seed)
+            self.schedulers[instance] = Scheduler(read_settings(event.conf), event.seed)
             return []
         if isinstance(event, wire.Stop):
-            self.heads.pop(who, None)
+            self.schedulers.pop(instance, None)
             return []
-        head = self.heads.get(who)
-        return [] if head is None else head.handle(now, event)
+        scheduler = self.schedulers.get(instance)
+        return [] if scheduler is None else scheduler.handle(now, event)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch until the input ends."""
+    """Answer each batch until the input ends.
+
+    Raises
+    ------
+    WireError
+        A frame does not read.
+    """
     host = Host()
     while (batch := wire.read_batch(source)) is not None:
         sink.write(wire.encode(host.batch(*batch)))
--- a/fawnspool/adapter/wire.py
+++ b/fawnspool/adapter/wire.py
@@ -1,39 +1,30 @@
-"""The simulator's binary frames, to and from the project's own records.
+"""The simulator's binary frames, to and from the scheduler's events and actions.
 
-One table per direction: code, struct layout, and how the fields read. Nothing here chooses.
+A batch is a header, records of a fixed size and a tail for what has none. Each kind of record has a layout and a
+function here; nothing else knows the codes. `fawnspool/adapter/host.py` gives the records to their schedulers.
 """
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from enum import IntEnum
 from typing import Any, BinaryIO
 
 from fawnspool.scheduling import interface
 
 EVENT_SIZE = 56
 ACTION_SIZE = 24
-EVERYONE = 0xFFFFFFFF
+EVERY_GATEWAY = 0xFFFFFFFF
+LAST_EVENT_CODE = 10
 
 _LENGTH = struct.Struct(">I")
-_HEAD = struct.Struct(">Id")
-_REPLY = struct.Struct(">II")
-_ENTRY = struct.Struct(">IBHHBfd")
-_EVENTS = {
-    1: struct.Struct(">IQII"),
-    2: struct.Struct(">IIBdB4f"),
-    3: struct.Struct(">IIBIQdQfffB"),
-    4: struct.Struct(">IHII"),
-    5: struct.Struct(">IQ"),
-    6: struct.Struct(">I"),
-    7: struct.Struct(">IBQII"),
-    8: struct.Struct(">II"),
-    9: struct.Struct(">IIHId"),
-    10: struct.Struct(">IIIHdBHHBB4f"),
-}
+_BATCH_HEADER = struct.Struct(">Id")  # records, clock
+_REPLY_HEADER = struct.Struct(">II")  # records, bytes that follow
+_ENDPOINT = struct.Struct(">IBHHBfd")
 _PHASES = {0: interface.Phase.GONE, 1: interface.Phase.READY, 2: interface.Phase.DRAINING}
-_LISTS = {
+_UPDATE_KINDS = {
     0: interface.UpdateKind.CACHED,
     1: interface.UpdateKind.SNAPSHOT,
     2: interface.UpdateKind.DELTA,
@@ -49,16 +40,28 @@
     70: interface.Result.CANCELLED,
     80: interface.Result.NOT_SENT,
 }
-_REPEAT, _WRITE = 2, 4
+_IS_CLIENT_RETRY = 2  # flags of a request
+_WRITES = 4
 
 
 class WireError(Exception):
-    """A frame that does not read; the text names the offset and what was expected."""
+    """A frame that does not read.
+
+    Parameters
+    ----------
+    offset : int
+        From the first byte of the frame.
+    expected : str
+        What should have stood there, and what was found.
+    """
+
+    def __init__(self, offset: int, expected: str) -> None:
+        super().__init__(f"offset {offset}: expected {expected}")
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A head comes up, with its settings as text and its seed."""
+    """A gateway comes up, with its settings as text and its seed."""
 
     seed: int
     conf: str
@@ -66,170 +69,308 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The head was killed; all it knew is void."""
+    """The gateway was killed; all it knew is void."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The decision code raised, or its settings do not read."""
+    """The scheduler raised, or its settings do not read."""
 
     text: str
 
 
 WireEvent = interface.Event | Start | Stop
+WireAction = interface.Action | Crash
+
+
+# ---------------------------------------------------------------- batches
 
 
 def read_batch(stream: BinaryIO) -> tuple[float, list[tuple[int, WireEvent]]] | None:
-    """The next batch, or None where the input ends between frames."""
-    head = _take(stream, 4, 0, "the length of a batch")
-    if not head:
+    """Return the next batch as `decode` does, or None where the input ends between frames.
+
+    Raises
+    ------
+    WireError
+        The input ends within a frame, or the frame does not read.
+    """
+    header = _read_exactly(stream, _LENGTH.size, 0, "the length of a batch")
+    if not header:
         return None
-    (length,) = _LENGTH.unpack(head)
-    if length < _HEAD.size:
-        raise WireError(f"offset 0: expected a length of at least {_HEAD.size}, found {length}")
-    body = _take(stream, length, 4, f"{length} bytes of batch")
-    if not body and length:
-        raise WireError(f"offset 4: expected {length} bytes of batch, found the end of input")
+    (length,) = _LENGTH.unpack(header)
+    if length < _BATCH_HEADER.size:
+        raise WireError(0, f"a length of at least {_BATCH_HEADER.size}, found {length}")
+    body = _read_exactly(stream, length, _LENGTH.size, f"{length} bytes of batch")
+    if not body:
+        raise WireError(_LENGTH.size, f"{length} bytes of batch, found the end of input")
     return decode(body)
 
 
-def _take(stream: BinaryIO, count: int, offset: int, what: str) -> bytes:
-    """Exactly count bytes, or none at the end of input."""
+def _read_exactly(stream: BinaryIO, count: int, offset: int, expected: str) -> bytes:
+    """Return exactly so many bytes, or none at the end of input."""
     data = stream.read(count)
     while data and len(data) < count:
         more = stream.read(count - len(data))
         if not more:
-            raise WireError(f"offset {offset + len(data)}: expected {what}, found the end of input")
+            raise WireError(offset + len(data), f"{expected}, found the end of input")
         data += more
     return data
 
 
 def decode(body: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
-    """The clock and the events of a batch's bytes after the length field."""
-    count, now = _HEAD.unpack_from(body, 0)
-    tail = _HEAD.size + count * EVENT_SIZE
-    if tail > len(body):
-        raise WireError(f"offset 4: expected room for {count} records, found {len(body)} bytes")
-    events = [_event(body, _HEAD.size + k * EVENT_SIZE, tail) for k in range(count)]
-    return now, events
-
-
-def _event(body: bytes, at: int, tail: int) -> tuple[int, WireEvent]:
-    code = body[at]
-    layout = _EVENTS.get(code)
-    if layout is None:
-        raise WireError(f"offset {at + 4}: expected an event code from 1 to 10, found {code}")
-    who, *f = layout.unpack_from(body, at + 1)
+    """Return the clock, in seconds, and the events of a batch's bytes after the length field.
+
+    Each event comes with the number of the instance that it is for.
+
+    Raises
+    ------
+    WireError
+        A record does not read.
+    """
+    count, now = _BATCH_HEADER.unpack_from(body, 0)
+    tail_start = _BATCH_HEADER.size + count * EVENT_SIZE
+    if tail_start > len(body):
+        raise WireError(_LENGTH.size, f"room for {count} records, found {len(body)} bytes")
+    records = (_EventRecord(body, _BATCH_HEADER.size + number * EVENT_SIZE, tail_start) for number in range(count))
+    return now, [_decode_event(record) for record in records]
+
+
+@dataclass(slots=True)
+class _EventRecord:
+    """Where one record of a batch is.
+
+    Attributes
+    ----------
+    body : bytes
+        Of the batch, without its length field.
+    start, tail_start : int
+        Offsets in the body, of the record and of the tail that all records share.
+    """
+
+    body: bytes
+    start: int
+    tail_start: int
+
+    def offset(self) -> int:
+        """Return the record's offset in the frame, of which the length field is a part."""
+        return self.start + _LENGTH.size
+
+    def from_tail(self, offset: int, length: int) -> bytes:
+        """Return a part of the tail."""
+        begin = self.tail_start + offset
+        if begin + length > len(self.body):
+            raise WireError(self.offset(), f"{length} bytes in the tail, found the end of the batch")
+        return self.body[begin : begin + length]
+
+
+def _decode_event(record: _EventRecord) -> tuple[int, WireEvent]:
+    code = record.body[record.start]
+    if code not in _EVENT_DECODERS:
+        raise WireError(record.offset(), f"an event code from 1 to {LAST_EVENT_CODE}, found {code}")
+    layout, decoder = _EVENT_DECODERS[code]
+    instance, *fields = layout.unpack_from(record.body, record.start + 1)
     try:
-        return who, _BUILD[code](body, at, tail, f)
-    except KeyError as bad:
-        raise WireError(f"offset {at + 4}: expected a known value in event {code}, found {bad}") from None
+        return instance, decoder(record, *fields)
+    except KeyError as unknown:
+        raise WireError(record.offset(), f"a known value in event {code}, found {unknown}") from None
     except UnicodeDecodeError:
-        raise WireError(f"offset {at + 4}: expected settings in UTF-8") from None
+        raise WireError(record.offset(), "settings in UTF-8") from None
 
 
-def _slice(body: bytes, at: int, start: int, length: int) -> bytes:
-    if start + length > len(body):
-        raise WireError(f"offset {at + 4}: expected {length} bytes in the tail, found the end of the batch")
-    return body[start : start + length]
+# ---------------------------------------------------------------- events
 
 
-def _start(body: bytes, at: int, tail: int, f: list[int]) -> WireEvent:
-    return Start(f[0], _slice(body, at, tail + f[1], f[2]).decode())
+def _start(record: _EventRecord, seed: int, conf_offset: int, conf_length: int) -> Start:
+    return Start(seed, record.from_tail(conf_offset, conf_length).decode())
 
 
-def _list(body: bytes, at: int, tail: int, f: list[int]) -> WireEvent:
-    raw = _slice(body, at, tail + f[2], f[3] * _ENTRY.size)
-    rows = tuple(
-        interface.Endpoint(n, z, k, c, _PHASES[p], size, up) for n, z, k, c, p, size, up in _ENTRY.iter_unpack(raw)
-    )
-    return interface.EndpointUpdate(_LISTS[f[0]], f[1], rows)
+def _probed(
+    record: _EventRecord, node: int, result: int, elapsed_s: float, has_report: int, *report: float
+) -> interface.Probed:
+    return interface.Probed(node, _RESULTS[result], elapsed_s, report if has_report else None)
 
 
-def _request(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
-    ident, cls, plan, item, patience, volume, units, shard, heads, opts = f
+def _request(  # noqa: PLR0913, PLR0917 one parameter a field of the record
+    record: _EventRecord,
+    request_id: int,
+    class_index: int,
+    plan_index: int,
+    extent: int,
+    timeout_s: float,
+    volume: int,
+    units: float,
+    shard: float,
+    gateway_count: float,
+    flags: int,
+) -> interface.Request:
     return interface.Request(
-        int(ident),
-        int(cls),
-        int(plan),
-        int(item),
-        patience,
-        int(volume),
-        units,
-        int(shard),
-        int(heads),
-        bool(int(opts) & _REPEAT),
-        bool(int(opts) & _WRITE),
+        id=request_id,
+        class_index=class_index,
+        plan_index=plan_index,
+        extent=extent,
+        timeout_s=timeout_s,
+        volume=volume,
+        units=units,
+        shard=int(shard),
+        gateway_count=int(gateway_count),
+        is_client_retry=bool(flags & _IS_CLIENT_RETRY),
+        writes=bool(flags & _WRITES),
+    )
+
+
+def _peer_message(record: _EventRecord, sender: int, offset: int, length: int) -> interface.PeerMessage:
+    return interface.PeerMessage(sender, record.from_tail(offset, length))
+
+
+def _timer(record: _EventRecord, token: int) -> interface.Timer:
+    return interface.Timer(token)
+
+
+def _stop(record: _EventRecord) -> Stop:
+    return Stop()
+
+
+def _endpoint_update(
+    record: _EventRecord, kind: int, version: int, offset: int, count: int
+) -> interface.EndpointUpdate:
+    rows = record.from_tail(offset, count * _ENDPOINT.size)
+    endpoints = tuple(
+        interface.Endpoint(node, zone, node_kind, shard, _PHASES[phase], size, started_at)
+        for node, zone, node_kind, shard, phase, size, started_at in _ENDPOINT.iter_unpack(rows)
     )
+    return interface.EndpointUpdate(_UPDATE_KINDS[kind], version, endpoints)
+
 
+def _client_disconnected(record: _EventRecord, request_id: int) -> interface.ClientDisconnected:
+    return interface.ClientDisconnected(request_id)
 
-def _load(f: list[float]) -> tuple[float, ...] | None:
-    return tuple(f[1:]) if f[0] else None
 
+def _stream_started(
+    record: _EventRecord, request_id: int, attempt: int, node: int, elapsed_s: float
+) -> interface.StreamStarted:
+    return interface.StreamStarted(request_id, attempt, node, elapsed_s)
 
-def _outcome(body: bytes, at: int, tail: int, f: list[float]) -> WireEvent:
-    ident, node, attempt, took, final, others, used, reason = f[:8]
+
+def _outcome(  # noqa: PLR0913, PLR0917 one parameter a field of the record
+    record: _EventRecord,
+    request_id: int,
+    node: int,
+    attempt: int,
+    elapsed_s: float,
+    is_final: int,
+    units_by_others: int,
+    usage_code: int,
+    result: int,
+    has_report: int,
+    *report: float,
+) -> interface.Outcome:
     return interface.Outcome(
-        int(ident),
-        int(attempt),
-        int(node),
-        took,
-        _RESULTS[int(reason)],
-        bool(final),
-        int(others),
-        (used - 1) / 100 if used else None,
-        _load(f[8:]),
+        id=request_id,
+        attempt=attempt,
+        node=node,
+        elapsed_s=elapsed_s,
+        result=_RESULTS[result],
+        final=bool(is_final),
+        units_by_others=units_by_others,
+        volume_usage=(usage_code - 1) / 100 if usage_code else None,  # 0: not told; else percent plus one
+        load_report=report if has_report else None,
     )
 
 
-_BUILD: dict[int, Callable[[bytes, int, int, list[Any]], WireEvent]] = {
-    1: _start,
-    2: lambda b, at, tail, f: interface.Probed(f[0], _RESULTS[f[1]], f[2], _load(f[3:])),
-    3: _request,
-    4: lambda b, at, tail, f: interface.PeerMessage(f[0], _slice(b, at, tail + f[1], f[2])),
-    5: lambda b, at, tail, f: interface.Timer(f[0]),
-    6: lambda b, at, tail, f: Stop(),
-    7: _list,
-    8: lambda b, at, tail, f: interface.ClientDisconnected(f[0]),
-    9: lambda b, at, tail, f: interface.StreamStarted(f[0], f[1], f[2], f[3]),
-    10: _outcome,
+_EVENT_DECODERS: dict[int, tuple[struct.Struct, Callable[..., WireEvent]]] = {
+    1: (struct.Struct(">IQII"), _start),
+    2: (struct.Struct(">IIBdB4f"), _probed),
+    3: (struct.Struct(">IIBIQdQfffB"), _request),
+    4: (struct.Struct(">IHII"), _peer_message),
+    5: (struct.Struct(">IQ"), _timer),
+    6: (struct.Struct(">I"), _stop),
+    7: (struct.Struct(">IBQII"), _endpoint_update),
+    8: (struct.Struct(">II"), _client_disconnected),
+    9: (struct.Struct(">IIHId"), _stream_started),
+    10: (struct.Struct(">IIIHdBHHBB4f"), _outcome),
 }
 
 
-def encode(replies: list[tuple[int, interface.Action | Crash]]) -> bytes:
-    """One reply frame."""
-    tail = bytearray()
-    records = []
-
-    def text(data: bytes) -> tuple[int, int]:
-        tail.extend(data)
-        return len(tail) - len(data), len(data)
-
-    for who, a in replies:
-        match a:
-            case interface.Send():
-                raw = struct.pack(">BIIId", 1, who, a.id, a.node, a.timeout_s)
-            case interface.RejectRequest():
-                raw = struct.pack(">BIId", 2, who, a.id, a.retry_after_s)
-            case interface.FailRequest():
-                raw = struct.pack(">BII", 3, who, a.id)
-            case interface.Cancel():
-                raw = struct.pack(">BIIH", 4, who, a.id, a.attempt)
-            case interface.SetTimer():
-                raw = struct.pack(">BIdQ", 5, who, a.delay_s, a.token)
-            case interface.Probe():
-                raw = struct.pack(">BII", 6, who, a.node)
-            case interface.CloseIdle():
-                raw = struct.pack(">BII", 7, who, a.node)
-            case interface.SendPeerMessage():
-                raw = struct.pack(">BIIII", 8, who, EVERYONE if a.gateway_id is None else a.gateway_id, *text(a.body))
-            case interface.Log():
-                raw = struct.pack(">BIII", 9, who, *text(a.text.encode()))
-            case Crash():
-                raw = struct.pack(">BIII", 10, who, *text(a.text.encode()))
-            case interface.SetWatch():
-                raw = struct.pack(">BIB", 11, who, a.enabled)
-            case interface.FetchEndpoints():
-                raw = struct.pack(">BI", 12, who)
-        records.append(raw.ljust(ACTION_SIZE, b"\0"))
-    return b"".join([_REPLY.pack(len(records), len(records) * ACTION_SIZE + len(tail)), *records, tail])
+# ---------------------------------------------------------------- actions
+
+
+class _ActionCode(IntEnum):
+    SEND = 1
+    REJECT_REQUEST = 2
+    FAIL_REQUEST = 3
+    CANCEL = 4
+    SET_TIMER = 5
+    PROBE = 6
+    CLOSE_IDLE = 7
+    SEND_PEER_MESSAGE = 8
+    LOG = 9
+    CRASH = 10
+    SET_WATCH = 11
+    FETCH_ENDPOINTS = 12
+
+
+@dataclass(slots=True)
+class _Tail:
+    """What the records of a reply have of no fixed size."""
+
+    data: bytearray = field(default_factory=bytearray)
+
+    def add(self, text: bytes) -> tuple[int, int]:
+        """Append a text, and return its offset and length."""
+        offset = len(self.data)
+        self.data += text
+        return offset, len(text)
+
+
+def encode(replies: list[tuple[int, WireAction]]) -> bytes:
+    """Return one reply frame; each action comes with the number of the instance that asks for it."""
+    tail = _Tail()
+    records = bytearray()
+    for instance, action in replies:
+        code, layout, encoder = _ACTION_ENCODERS[type(action)]
+        record = layout.pack(code, instance, *encoder(action, tail))
+        records += record.ljust(ACTION_SIZE, b"\0")
+    header = _REPLY_HEADER.pack(len(replies), len(records) + len(tail.data))
+    return b"".join((header, records, tail.data))
+
+
+def _peer_message_fields(action: interface.SendPeerMessage, tail: _Tail) -> tuple[int, int, int]:
+    receiver = EVERY_GATEWAY if action.gateway_id is None else action.gateway_id
+    return receiver, *tail.add(action.body)
+
+
+def _text_fields(action: interface.Log | Crash, tail: _Tail) -> tuple[int, int]:
+    return tail.add(action.text.encode())
+
+
+_ActionFields = Callable[[Any, _Tail], tuple[Any, ...]]
+_ACTION_ENCODERS: dict[type, tuple[_ActionCode, struct.Struct, _ActionFields]] = {
+    interface.Send: (
+        _ActionCode.SEND,
+        struct.Struct(">BIIId"),
+        lambda action, tail: (action.id, action.node, action.timeout_s),
+    ),
+    interface.RejectRequest: (
+        _ActionCode.REJECT_REQUEST,
+        struct.Struct(">BIId"),
+        lambda action, tail: (action.id, action.retry_after_s),
+    ),
+    interface.FailRequest: (_ActionCode.FAIL_REQUEST, struct.Struct(">BII"), lambda action, tail: (action.id,)),
+    interface.Cancel: (
+        _ActionCode.CANCEL,
+        struct.Struct(">BIIH"),
+        lambda action, tail: (action.id, action.attempt),
+    ),
+    interface.SetTimer: (
+        _ActionCode.SET_TIMER,
+        struct.Struct(">BIdQ"),
+        lambda action, tail: (action.delay_s, action.token),
+    ),
+    interface.Probe: (_ActionCode.PROBE, struct.Struct(">BII"), lambda action, tail: (action.node,)),
+    interface.CloseIdle: (_ActionCode.CLOSE_IDLE, struct.Struct(">BII"), lambda action, tail: (action.node,)),
+    interface.SendPeerMessage: (_ActionCode.SEND_PEER_MESSAGE, struct.Struct(">BIIII"), _peer_message_fields),
+    interface.Log: (_ActionCode.LOG, struct.Struct(">BIII"), _text_fields),
+    Crash: (_ActionCode.CRASH, struct.Struct(">BIII"), _text_fields),
+    interface.SetWatch: (_ActionCode.SET_WATCH, struct.Struct(">BIB"), lambda action, tail: (action.enabled,)),
+    interface.FetchEndpoints: (_ActionCode.FETCH_ENDPOINTS, struct.Struct(">BI"), lambda action, tail: ()),
+}
--- a/fawnspool/baselines/__init__.py
+++ b/fawnspool/baselines/__init__.py
@@ -1,1 +1,1 @@
-"""Policies to compare with. None of them is for service."""
+"""Policies to compare the scheduler with. None of them is for service."""
--- a/fawnspool/baselines/passthrough.py
+++ b/fawnspool/baselines/passthrough.py
@@ -1,57 +1,95 @@
-"""A plain head: sends everything at once, tries nothing again, turns nothing away. For comparison only."""
+"""A gateway without decisions: sends everything at once, retries nothing, sheds nothing. For comparison only."""
 
 from __future__ import annotations
 
 from random import Random
 
-from fawnspool.scheduling import interface
+from fawnspool.scheduling.interface import (
+    Action,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdate,
+    Event,
+    FailRequest,
+    FetchEndpoints,
+    Outcome,
+    Phase,
+    RejectRequest,
+    Request,
+    Result,
+    Send,
+    SetTimer,
+    Settings,
+    SetWatch,
+    Timer,
+    UpdateKind,
+)
+
+POLL_RETRY_DELAY_S = 1.0
+NEVER_RAN = (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_SENT)
 
 
 class PassThrough:
-    """The same calls as the decision module; the actions of a head without decisions."""
+    """The same calls as `Scheduler`.
+
+    Parameters
+    ----------
+    settings : Settings
+        What the platform and its nodes are like.
+    seed : int
+        Of the random draws of nodes for new objects.
+    """
 
-    def __init__(self, settings: interface.Settings, seed: int) -> None:
-        self.s, self.random = settings, Random(seed)
-        self.nodes: dict[int, interface.Endpoint] = {}
-        self.cells: dict[int, int] = {}
-        self.open: dict[int, interface.Request] = {}
-        self.acts: list[interface.Action] = []
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self._settings = settings
+        self._random = Random(seed)
+        self._ready: dict[int, Endpoint] = {}  # by node
+        self._node_of_shard: dict[int, int] = {}
+        self._in_flight: set[int] = set()
 
-    def handle(self, now: float, event: interface.Event) -> list[interface.Action]:
-        self.acts = []
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Take in an event, and return what is to be done."""
         match event:
-            case interface.EndpointUpdate():
-                self._list(event)
-            case interface.Request():
-                cell = event.shard if event.shard >= 0 else self.random.choice(sorted(self.cells) or [-1])
-                if cell in self.cells:
-                    self.open[event.id] = event
-                    self.acts.append(interface.Send(event.id, self.cells[cell], event.timeout_s))
-                else:
-                    self.acts.append(interface.RejectRequest(event.id))
-            case interface.Outcome():
-                if self.open.pop(event.id, None) is not None and not event.final:
-                    never = event.result in (
-                        interface.Result.OVERLOADED,
-                        interface.Result.CONNECT_FAILED,
-                        interface.Result.NOT_SENT,
-                    )
-                    self.acts.append(interface.RejectRequest(event.id) if never else interface.FailRequest(event.id))
-            case interface.ClientDisconnected():
-                self.open.pop(event.id, None)
-            case interface.Timer():
-                self.acts.append(interface.SetWatch(True) if self.s.polls_endpoints else interface.FetchEndpoints())
+            case EndpointUpdate():
+                return self._update_endpoints(event)
+            case Request():
+                return [self._send_or_reject(event)]
+            case Outcome():
+                return self._end(event)
+            case ClientDisconnected():
+                self._in_flight.discard(event.id)
+                return []
+            case Timer():
+                return [self._poll()]
             case _:
-                pass
-        return self.acts
-
-    def _list(self, event: interface.EndpointUpdate) -> None:
-        if event.kind is interface.UpdateKind.POLL_FAILED:
-            self.acts.append(interface.SetTimer(1.0, 0))
-            return
-        known = self.nodes if event.kind is interface.UpdateKind.DELTA else {}
-        known.update((e.node, e) for e in event.entries)
-        self.nodes = {n: e for n, e in known.items() if e.phase is interface.Phase.READY}
-        self.cells = {e.shard: e.node for e in self.nodes.values()}
-        if event.kind is interface.UpdateKind.CACHED:
-            self.acts.append(interface.SetWatch(True) if self.s.polls_endpoints else interface.FetchEndpoints())
+                return []
+
+    def _send_or_reject(self, request: Request) -> Action:
+        shard = request.shard
+        if request.is_new_object and self._node_of_shard:
+            shard = self._random.choice(sorted(self._node_of_shard))
+        node = self._node_of_shard.get(shard)
+        if node is None:
+            return RejectRequest(request.id)
+        self._in_flight.add(request.id)
+        return Send(request.id, node, request.timeout_s)
+
+    def _end(self, outcome: Outcome) -> list[Action]:
+        if outcome.id not in self._in_flight:
+            return []
+        self._in_flight.remove(outcome.id)
+        if outcome.final:
+            return []
+        return [RejectRequest(outcome.id) if outcome.result in NEVER_RAN else FailRequest(outcome.id)]
+
+    def _update_endpoints(self, event: EndpointUpdate) -> list[Action]:
+        if event.kind is UpdateKind.POLL_FAILED:
+            return [SetTimer(POLL_RETRY_DELAY_S, 0)]
+        known = self._ready if event.kind is UpdateKind.DELTA else {}
+        known.update((endpoint.node, endpoint) for endpoint in event.entries)
+        self._ready = {node: endpoint for node, endpoint in known.items() if endpoint.phase is Phase.READY}
+        self._node_of_shard = {endpoint.shard: endpoint.node for endpoint in self._ready.values()}
+        return [self._poll()] if event.kind is UpdateKind.CACHED else []
+
+    def _poll(self) -> Action:
+        return SetWatch(True) if self._settings.polls_endpoints else FetchEndpoints()
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -277,8 +277,9 @@
 
 def test_a_head_that_goes_on_after_a_drain(rigs: Callable[..., Rig]) -> None:
     class SendsOn(PassThrough):
-        def _list(self, event: interface.EndpointUpdate) -> None:
-            super()._list(replace(event, entries=tuple(replace(e, phase=interface.Phase.READY) for e in event.entries)))
+        def _update_endpoints(self, event: interface.EndpointUpdate) -> list[interface.Action]:
+            ready = tuple(replace(e, phase=interface.Phase.READY) for e in event.entries)
+            return super()._update_endpoints(replace(event, entries=ready))
 
     run = Run(rigs(SendsOn, nodes=1))
     run.rig.head._withdrawn = lambda node: False  # type: ignore[method-assign]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -235,7 +235,7 @@
 def test_an_error_in_the_decisions_is_reported() -> None:
     host = Host()
     host.batch(1.0, [(3, wire.Start(1, CONF))])
-    host.heads[3].handle = lambda now, event: 1 / 0  # type: ignore
+    host.schedulers[3].handle = lambda now, event: 1 / 0  # type: ignore
     ((_, action),) = host.batch(1.1, [(3, interface.Timer(0))])
     assert action == wire.Crash("ZeroDivisionError: division by zero")
 
@@ -250,9 +250,9 @@
     request = interface.Request(8, 0, 0, 0, 2.0, 9, 2.0, 2, 1, False, False)
     host.batch(1.0, [*up, (4, wire.Start(2, CONF))])
     host.batch(1.1, [(3, request)])
-    assert 8 in host.heads[3].requests and not host.heads[4].requests
+    assert 8 in host.schedulers[3].requests and not host.schedulers[4].requests
     host.batch(1.2, [(3, wire.Stop()), *up])
-    assert not host.heads[3].requests
+    assert not host.schedulers[3].requests
     assert host.batch(1.3, [(5, interface.Timer(0))]) == []
 
 
