--- a/fawnspool/adapter/__main__.py
+++ b/fawnspool/adapter/__main__.py
@@ -13,7 +13,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"fawnspool.adapter: {error}", file=sys.stderr)  # noqa: T201 the command's own message
+        sys.stderr.write(f"fawnspool.adapter: {error}\n")
         return 2
     return 0
 
--- a/fawnspool/adapter/wire.py
+++ b/fawnspool/adapter/wire.py
@@ -190,19 +190,8 @@
     return interface.Probed(node, _RESULTS[result], elapsed_s, report if has_report else None)
 
 
-def _request(  # noqa: PLR0913, PLR0917 one parameter a field of the record
-    record: _EventRecord,
-    request_id: int,
-    class_index: int,
-    plan_index: int,
-    extent: int,
-    timeout_s: float,
-    volume: int,
-    units: float,
-    shard: float,
-    gateway_count: float,
-    flags: int,
-) -> interface.Request:
+def _request(record: _EventRecord, *fields: Any) -> interface.Request:
+    request_id, class_index, plan_index, extent, timeout_s, volume, units, shard, gateway_count, flags = fields
     return interface.Request(
         id=request_id,
         class_index=class_index,
@@ -251,19 +240,8 @@
     return interface.StreamStarted(request_id, attempt, node, elapsed_s)
 
 
-def _outcome(  # noqa: PLR0913, PLR0917 one parameter a field of the record
-    record: _EventRecord,
-    request_id: int,
-    node: int,
-    attempt: int,
-    elapsed_s: float,
-    is_final: int,
-    units_by_others: int,
-    usage_code: int,
-    result: int,
-    has_report: int,
-    *report: float,
-) -> interface.Outcome:
+def _outcome(record: _EventRecord, *fields: Any) -> interface.Outcome:
+    request_id, node, attempt, elapsed_s, is_final, units_by_others, usage_code, result, has_report, *report = fields
     return interface.Outcome(
         id=request_id,
         attempt=attempt,
@@ -273,7 +251,7 @@
         final=bool(is_final),
         units_by_others=units_by_others,
         volume_usage=(usage_code - 1) / 100 if usage_code else None,  # 0: not told; else percent plus one
-        load_report=report if has_report else None,
+        load_report=tuple(report) if has_report else None,
     )
 
 
