--- a/fawnspool/cli/check.py
+++ b/fawnspool/cli/check.py
@@ -5,7 +5,8 @@
 import click
 
 from fawnspool.cli.common import EXIT_CODES, config_error, print_json, table
-from fawnspool.config.head import HeadConfig, check
+from fawnspool.config.checks import check_gateway
+from fawnspool.config.head import HeadConfig
 from fawnspool.config.schema import ConfigError, load
 
 
@@ -62,7 +63,7 @@
 def command(config_file: str, as_json: bool) -> None:
     """Check CONFIG and say what it means: reserve, limit and share of each plan through all heads."""
     try:
-        config = load(config_file, HeadConfig, check)
+        config = load(config_file, HeadConfig, check_gateway)
     except ConfigError as bad:
         config_error(bad, as_json)
     said = meaning(config)
--- a/fawnspool/cli/common.py
+++ b/fawnspool/cli/common.py
@@ -12,7 +12,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from fawnspool.config.head import HeadConfig, check
+from fawnspool.config.checks import check_gateway
+from fawnspool.config.head import HeadConfig
 from fawnspool.config.schema import ConfigError, load
 
 OK, BROKEN, USAGE, UNREACHED = 0, 1, 2, 3
@@ -38,7 +39,7 @@
 def load_gateway_config(config_file: str | Path) -> HeadConfig:
     """The settings of a gateway; ends the command with every problem where they do not read."""
     try:
-        return load(config_file, HeadConfig, check)
+        return load(config_file, HeadConfig, check_gateway)
     except ConfigError as error:
         config_error(error, False)
 
--- a/fawnspool/config/head.py
+++ b/fawnspool/config/head.py
@@ -1,10 +1,10 @@
-"""The settings of one head: what an operator writes, and the module's own `Settings` made from it."""
+"""The settings of one gateway as an operator writes them: the names of blocks and fields are those of the files."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from fawnspool.config.schema import Reader, block, spec
+from fawnspool.config.schema import block, spec
 from fawnspool.scheduling import interface
 
 EFFECTS = tuple(e.value for e in interface.Idempotence)
@@ -27,7 +27,8 @@
 
     def __post_init__(self) -> None:
         if self.deadline < self.aim:
-            raise ValueError("deadline lies before aim; write a deadline of at least the aim")
+            text = "deadline lies before aim; write a deadline of at least the aim"
+            raise ValueError(text)
 
 
 @dataclass(frozen=True)
@@ -73,6 +74,8 @@
 
 @dataclass(frozen=True)
 class CatalogueBlock:
+    """The map service: where it is, and how it may be called."""
+
     address: str = spec("", kind="address")
     call_timeout: float = spec(0.5, kind="time", low=0.01)
     watch: bool = spec(True)  # False: the map grows by questions alone, for comparison
@@ -109,6 +112,8 @@
 
 @dataclass(frozen=True)
 class AttemptsBlock:
+    """Bounds on the attempts of a request, and the budget of retries."""
+
     most: int = spec(4, low=1)
     second_copies: bool = spec(False)
     cancel: bool = spec(True)
@@ -201,6 +206,8 @@
 
 @dataclass(frozen=True)
 class HeadBlock:
+    """The gateway itself: its place in the fleet, its files and its logs."""
+
     listen: str = spec("127.0.0.1:8480", kind="address")
     data: str = spec("data")
     number: int = spec(0, low=0)
@@ -235,149 +242,3 @@
     embedded: EmbeddedBlock | None = block(EmbeddedBlock, optional=True)
     duties: DutiesBlock | None = block(DutiesBlock, optional=True)
     shared: SharedBlock | None = block(SharedBlock, optional=True)
-
-
-KINDS_OF_DUTY = ("drain", "compare")
-VOTERS = (3, 5, 7)  # an even number bears no more losses than the odd one below it
-
-
-def check_duties(d: DutiesBlock, heads: int, reader: Reader) -> None:
-    """What a `duties` block must be among so many heads."""
-    if len(set(d.voters)) not in VOTERS or len(set(d.voters)) != len(d.voters):
-        reader.wrong(d, "duties.voters", f"expected 3, 5 or 7 different heads, found {list(d.voters)}")
-    elif bad := [v for v in d.voters if not 0 <= v < heads]:
-        reader.wrong(d, "duties.voters", f"there is no head {bad[0]}: numbers lie from 0 to heads - 1 = {heads - 1}")
-    if not d.duty:
-        reader.wrong(d, "duties.duty", f'at least one is needed: duty "{KINDS_OF_DUTY[0]}" {{ ... }}')
-    for row in d.duty:
-        if row.name not in KINDS_OF_DUTY:
-            reader.wrong(row, f"duties.duty.{row.name}", f"the label is one of {', '.join(KINDS_OF_DUTY)}")
-    shards = sum(row.shards for row in d.duty)
-    if shards > d.most * heads:
-        reader.wrong(d, "duties.most", f"{heads} heads hold {d.most * heads} duties at most, there are {shards}")
-
-
-def check_shared(s: SharedBlock, reader: Reader) -> None:
-    if s.fades < 4 * s.every:
-        reader.wrong(
-            s,
-            "shared.fades",
-            f"{s.fades:g} s is under four looks of {s.every:g} s: evidence would fade on its way to the others",
-        )
-
-
-def check(config: HeadConfig, reader: Reader) -> None:
-    """What only the document as a whole shows: names that must be known, figures that must fit."""
-    plans = {p.name: p for p in config.plan}
-    if not config.class_:
-        reader.wrong(0, "class", 'at least one is needed: class "name" { ... }')
-    for volume in config.volume:
-        if volume.plan not in plans:
-            reader.wrong(
-                volume,
-                f"volume.{volume.name}.plan",
-                f"expected one of {', '.join(plans) or '(no plan is given)'}, found {volume.plan!r}",
-            )
-        elif (plan := plans[volume.plan]).limit and plan.limit_depth < config.units.largest * volume.heads:
-            reader.wrong(
-                volume,
-                f"volume.{volume.name}.heads",
-                f"plan {plan.name!r} has limit_depth {plan.limit_depth:g}; through {volume.heads} heads "
-                f"it needs {config.units.largest * volume.heads} or the largest request never fits",
-            )
-        if volume.heads > config.head.heads:
-            reader.wrong(
-                volume, f"volume.{volume.name}.heads", f"there are only {config.head.heads} heads (head.heads)"
-            )
-    for p in config.plan:
-        if p.limit and p.limit_depth <= 0:
-            reader.wrong(p, f"plan.{p.name}.limit_depth", "a limit needs a depth above 0")
-        if p.limit and p.reserve > p.limit:
-            reader.wrong(p, f"plan.{p.name}.reserve", f"lies above the limit of {p.limit:g}")
-    if config.head.zone not in config.nodes.zones:
-        reader.wrong(
-            config.head,
-            "head.zone",
-            f"expected one of nodes.zones ({', '.join(config.nodes.zones)}), found {config.head.zone!r}",
-        )
-    if config.head.number >= config.head.heads:
-        reader.wrong(config.head, "head.number", f"lies from 0 to heads - 1 = {config.head.heads - 1}")
-    for peer in config.peer:
-        if not peer.name.isdigit() or int(peer.name) >= config.head.heads:
-            reader.wrong(peer, f"peer.{peer.name}", "the label is the peer's number, under head.heads")
-    if config.duties is not None:
-        check_duties(config.duties, config.head.heads, reader)
-        if config.embedded is not None:
-            reader.wrong(config.duties, "duties", "a head with embedded nodes shares them with nobody: nothing to hold")
-        known = {int(p.name) for p in config.peer if p.name.isdigit()} | {config.head.number}
-        if missing := sorted(set(config.duties.voters) - known):
-            reader.wrong(config.duties, "duties.voters", f"head {missing[0]} votes and has no peer block here")
-        if not config.head.peer_listen:
-            reader.wrong(config.head, "head.peer_listen", "is missing: heads speak about duties by datagrams")
-    if config.shared is not None:
-        check_shared(config.shared, reader)
-        if not config.head.peer_listen or not config.peer:
-            reader.wrong(config.shared, "shared", "heads lend by datagrams: set head.peer_listen and peer blocks")
-    if config.embedded is None:
-        for name, value in (("list.address", config.list.address), ("catalogue.address", config.catalogue.address)):
-            if not value:
-                reader.wrong(0, name, "is missing (only a head with an embedded block runs without)")
-
-
-def module_settings(c: HeadConfig) -> interface.Settings:
-    """The decision module's settings. Numbers are passed on as written; nothing is chosen here."""
-    return interface.Settings(
-        classes=tuple(
-            interface.RequestClass(
-                name=k.name,
-                latency_objective_s=k.aim,
-                deadline_s=k.deadline,
-                priority_weight=k.worth,
-                late_priority_weight=k.late_worth,
-                idempotence=interface.Idempotence(k.effect),
-                deduplication_scope=interface.DeduplicationScope(k.group),
-                deduplication_window_s=k.window,
-                writes=False,
-                stream=False,
-                ordered=k.ordered,
-            )
-            for k in c.class_
-        ),
-        plans=tuple(
-            interface.Plan(p.name, p.rate, p.reserve, p.weight, p.worth_factor, p.limit, p.limit_depth, p.limit_slack)
-            for p in c.plan
-        ),
-        gateway_count=c.head.heads,
-        gateway_id=c.head.number,
-        zone=c.nodes.zones.index(c.head.zone),
-        polls_endpoints=c.list.mode == "ask",
-        poll_interval_s=c.list.must_ask_in,
-        drain_grace_s=c.nodes.drain_grace,
-        answer_slack_s=c.clients.answer_margin,
-        overload_window_s=c.nodes.cold_fall,
-        overload_multiple=c.nodes.cold_multiple,
-        initial_capacity_fraction=c.nodes.cold_capacity,
-        warm_up_s=c.nodes.cold_warm_after,
-        slow_start_units=c.nodes.cold_units,
-        mean_units=c.units.mean,
-        largest_units=float(c.units.largest),
-        shard_count=c.nodes.cells,
-        within_share_priority_weight=c.service.share_worth,
-        spare_priority_weight=c.service.spare_worth,
-        meter_period_s=c.service.meter,
-        reports_use_by_others=c.service.tells_others,
-        max_attempts=c.attempts.most,
-        hedging=c.attempts.second_copies,
-        can_cancel=c.attempts.cancel,
-        can_probe=True,
-        has_peer_messages=bool(c.peer),
-        sends_retry_after=True,
-        max_retry_after_s=c.clients.max_retry_after,
-        connect_timeout_s=c.nodes.connect_timeout,
-        clock_tick_s=c.head.tick,
-        retry_budget_minimum=None if c.attempts.extra_free < 0 else c.attempts.extra_free,
-        retry_budget_ratio=c.attempts.extra_ratio,
-        retry_budget_window_s=c.attempts.extra_span,
-        settle_after_ambiguity_s=c.attempts.settle_after_doubt,
-        load_report_fields=c.nodes.load_fields,
-    )
--- a/fawnspool/config/schema.py
+++ b/fawnspool/config/schema.py
@@ -24,7 +24,7 @@
 T = TypeVar("T")
 
 
-def spec(  # noqa: PLR0913 - all but the default are keywords that a field is declared by
+def spec(  # noqa: PLR0913 - a field is declared by keywords, all but the default
     default: Any = dataclasses.MISSING,
     *,
     kind: str = "",
--- a/fawnspool/days/day.py
+++ b/fawnspool/days/day.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 
+from fawnspool.config.checks import check_gossip, check_leases
 from fawnspool.config.head import (
     AttemptsBlock,
     ClassBlock,
@@ -14,8 +15,6 @@
     ServiceBlock,
     SharedBlock,
     UnitsBlock,
-    check_duties,
-    check_shared,
 )
 from fawnspool.config.schema import Reader, block, spec
 
@@ -208,11 +207,11 @@
                 "request never fits",
             )
     if day.duties is not None:
-        check_duties(day.duties, day.day.heads, reader)
+        check_leases(day.duties, day.day.heads, reader)
         if not day.day.peers:
             reader.wrong(day.duties, "duties", "heads speak about them by datagrams: set day.peers")
     if day.shared is not None:
-        check_shared(day.shared, reader)
+        check_gossip(day.shared, reader)
         if not day.day.peers:
             reader.wrong(day.shared, "shared", "heads speak by datagrams: set day.peers")
     for x in day.trouble:
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -15,7 +15,8 @@
 import xxhash
 
 from fawnspool.baselines.passthrough import PassThrough
-from fawnspool.config.head import HeadConfig, module_settings
+from fawnspool.config.head import HeadConfig
+from fawnspool.config.scheduler_settings import scheduler_settings
 from fawnspool.extents.staleness import StalenessSettings
 from fawnspool.gateway.attempts import AttemptOutcome
 from fawnspool.gateway.core import Core
@@ -69,7 +70,7 @@
 
     def __init__(self, config: HeadConfig, *, source: Source | None = None, rows: list[Row] | None = None) -> None:
         h, c = config.head, config
-        self.config, settings = config, module_settings(config)
+        self.config, settings = config, scheduler_settings(config)
         self.classes = {k.name: n for n, k in enumerate(c.class_)}
         self.plans = {p.name: n for n, p in enumerate(c.plan)}
         self.volumes = {v.name: v for v in c.volume}
--- a/fawnspool/model/world.py
+++ b/fawnspool/model/world.py
@@ -23,8 +23,8 @@
     ListBlock,
     PeerBlock,
     VolumeBlock,
-    module_settings,
 )
+from fawnspool.config.scheduler_settings import scheduler_settings
 from fawnspool.days.day import LINK_FAULTS, Day, TroubleBlock
 from fawnspool.days.retry import pause_before_next
 from fawnspool.days.traffic import Op, held_objects, make
@@ -180,7 +180,7 @@
         self.stalled = self.busy = 0.0
         self.later: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.config = world.head_config(number)
-        self.settings = module_settings(self.config)
+        self.settings = scheduler_settings(self.config)
         self.phases: dict[int, interface.Phase] = {}
         self.volumes = {v.name: (v, xxhash.xxh3_64_intdigest(v.name.encode())) for v in self.config.volume}
         self.plans = {p.name: k for k, p in enumerate(self.config.plan)}
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -13,7 +13,8 @@
 from gevent import socket
 
 from fawnspool.api.objects import ObjectApi
-from fawnspool.config.head import HeadConfig, check
+from fawnspool.config.checks import check_gateway
+from fawnspool.config.head import HeadConfig
 from fawnspool.config.schema import parse
 from fawnspool.gateway.gateway import Head
 from fawnspool.model.node import NodeTraits
@@ -137,7 +138,7 @@
         text = CONFIG.format(
             data=tmp / "head", list=self.list.where[1], where=self.catalogue.address[1], cells=nodes, **parts
         )
-        config = parse(text, "rig.hcl", HeadConfig, check)
+        config = parse(text, "rig.hcl", HeadConfig, check_gateway)
         self.config = replace(config, head=replace(config.head, policy=policy))
         self.head = Head(self.config)
         self.api = ObjectApi(self.head)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -100,12 +100,13 @@
     from dataclasses import replace
 
     from fawnspool.cli import serve
-    from fawnspool.config.head import HeadConfig, check
+    from fawnspool.config.checks import check_gateway
+    from fawnspool.config.head import HeadConfig
     from fawnspool.config.schema import load
 
     monkeypatch.chdir(tmp_path)
     (tmp_path / "file").write_text("in the way")
-    config = load(serve.DEFAULT, HeadConfig, check)
+    config = load(serve.DEFAULT, HeadConfig, check_gateway)
     config = replace(config, head=replace(config.head, listen="127.0.0.1:0", record=str(tmp_path / "file/h.mrec")))
     with pytest.raises(SystemExit) as ended:
         serve.run(config)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,8 +8,10 @@
 import pytest
 
 from fawnspool.cli.check import meaning
-from fawnspool.config.head import HeadConfig, check, module_settings
+from fawnspool.config.checks import check_gateway
+from fawnspool.config.head import HeadConfig
 from fawnspool.config.render import render
+from fawnspool.config.scheduler_settings import scheduler_settings
 from fawnspool.config.schema import ConfigError, load, parse, spec
 from fawnspool.days.day import Day
 from fawnspool.days.day import check as check_day
@@ -22,13 +24,13 @@
 
 def problems(text: str) -> list[str]:
     with pytest.raises(ConfigError) as caught:
-        parse(text, "f.hcl", HeadConfig, check)
+        parse(text, "f.hcl", HeadConfig, check_gateway)
     return [str(p) for p in caught.value.problems]
 
 
 def test_the_embedded_default_reads_and_says_what_it_means() -> None:
-    config = load(EMBEDDED, HeadConfig, check)
-    settings = module_settings(config)
+    config = load(EMBEDDED, HeadConfig, check_gateway)
+    settings = scheduler_settings(config)
     assert (
         settings.gateway_count == 1
         and settings.classes[1].idempotence is Idempotence.WITH_KEY
@@ -115,9 +117,9 @@
 
 
 def test_rendered_settings_read_back_the_same() -> None:
-    config = load(EMBEDDED, HeadConfig, check)
+    config = load(EMBEDDED, HeadConfig, check_gateway)
     config = replace(config, head=replace(config.head, data='a "b" \\c', tick=0.0123, seed=9))
-    assert parse(render(config), "r.hcl", HeadConfig, check) == config
+    assert parse(render(config), "r.hcl", HeadConfig, check_gateway) == config
 
 
 @dataclass(frozen=True)
