--- a/tests/e2e/test_leases.py
+++ b/tests/e2e/test_leases.py
@@ -67,7 +67,7 @@
         """How fast what is left of the drain moves is the machine's matter; that it comes to its end is not."""
         super()._await_clients()
         wait_for(
-            lambda: not [f for f in self._facts() if f.cell in self.drained and (f.volume, f.extent) in self.to_leave],
+            lambda: not [f for f in self._facts() if f.shard in self.drained and (f.volume, f.extent) in self.to_leave],
             60.0,
         )
 
