--- a/fawnspool/scheduling/admission.py
+++ b/fawnspool/scheduling/admission.py
@@ -34,25 +34,25 @@
     )
 
 
-def assign_rank(request: PendingRequest, limiter: RateLimiter, now: float, check_interval_s: float) -> None:
+def assign_rank(pending: PendingRequest, limiter: RateLimiter, now: float, check_interval_s: float) -> None:
     """Find out whether a request is late already, or within its volume's reserve, from which it then draws."""
-    if request.due_at <= now + check_interval_s:
-        request.rank = Rank.LATE
-        request.due_at = request.expires_at
-    elif request.plan.reserved_rate and limiter.reserve_units > 0:
-        limiter.reserve_units -= request.request.units
-        request.rank = Rank.WITHIN_RESERVE
+    if pending.due_at <= now + check_interval_s:
+        pending.rank = Rank.LATE
+        pending.due_at = pending.expires_at
+    elif pending.plan.reserved_rate and limiter.reserve_units > 0:
+        limiter.reserve_units -= pending.request.units
+        pending.rank = Rank.WITHIN_RESERVE
 
 
-def exceeds_rate_limit(request: PendingRequest, limiter: RateLimiter, settings: Settings, now: float) -> bool:
+def exceeds_rate_limit(pending: PendingRequest, limiter: RateLimiter, settings: Settings, now: float) -> bool:
     """Return whether the volume's rate limit holds the request back until it earns nothing."""
-    if not request.plan.rate_limit:
+    if not pending.plan.rate_limit:
         return False
     supply_units_per_s = 0.0
-    if request.rank is not Rank.LATE:
-        supply_units_per_s = request.plan.rate_limit / (1 if settings.has_peer_messages else limiter.gateway_count)
-    lacking_units = limiter.queued_units - limiter.tokens + request.request.units
-    return lacking_units > supply_units_per_s * (request.due_at - now)
+    if pending.rank is not Rank.LATE:
+        supply_units_per_s = pending.plan.rate_limit / (1 if settings.has_peer_messages else limiter.gateway_count)
+    lacking_units = limiter.queued_units - limiter.tokens + pending.request.units
+    return lacking_units > supply_units_per_s * (pending.due_at - now)
 
 
 class QueueingDelayLimit:
@@ -68,7 +68,7 @@
 
     def rejects(
         self,
-        request: PendingRequest,
+        pending: PendingRequest,
         node_queue: NodeQueue,
         volume_usage: float,
         fleet: FleetResponseTimes,
@@ -79,15 +79,15 @@
         `volume_usage` is the volume's whole use, as a share of its plan's rate.
         """
         excess_use = math.sqrt(min(MAX_EXCESS_USE, max(1.0, volume_usage)))
-        if request.rank is Rank.WITHIN_RESERVE:
+        if pending.rank is Rank.WITHIN_RESERVE:
             factor = RESERVE_WAIT_FACTOR
-        elif request.rank is Rank.BEYOND_RESERVE:
+        elif pending.rank is Rank.BEYOND_RESERVE:
             factor = 1 / excess_use
         else:
             factor = LATE_WAIT_FACTOR
         jitter = self._random.uniform(MIN_WAIT_JITTER, MAX_WAIT_JITTER)
         max_wait_s = self._least_objective_s * MAX_WAIT_FRACTION * factor * jitter
-        work_s = fleet.work_s_per_unit * request.request.units
-        known_waits = None if request.rank is Rank.WITHIN_RESERVE else fleet
+        work_s = fleet.work_s_per_unit * pending.request.units
+        known_waits = None if pending.rank is Rank.WITHIN_RESERVE else fleet
         delay_s = node_queue.queueing_delay_s(now, known_waits)
-        return delay_s > min(max_wait_s, request.due_at - now - work_s)
+        return delay_s > min(max_wait_s, pending.due_at - now - work_s)
--- a/fawnspool/scheduling/fair_queue.py
+++ b/fawnspool/scheduling/fair_queue.py
@@ -72,21 +72,21 @@
     last_extent: tuple[int, int] | None = None
     run_length: int = 0
 
-    def enqueue(self, request: PendingRequest, now: float, at_front: bool) -> None:
+    def enqueue(self, pending: PendingRequest, now: float, at_front: bool) -> None:
         """Queue a request; a volume that becomes active starts at the later of its tag and now."""
-        volume_id = request.request.volume
-        volume = self.volumes.setdefault(volume_id, VolumeQueue(request.plan.weight))
+        volume_id = pending.request.volume
+        volume = self.volumes.setdefault(volume_id, VolumeQueue(pending.plan.weight))
         if not volume.requests and not volume.in_flight:
             volume.start_tag = max(volume.start_tag, now)
         volume.last_used_at = now
         if at_front:
-            volume.requests.appendleft(request)
+            volume.requests.appendleft(pending)
         else:
-            volume.requests.append(request)
-        request.is_queued = True
-        self.earliest_due_at = min(self.earliest_due_at, request.due_at) if self.queued else request.due_at
+            volume.requests.append(pending)
+        pending.is_queued = True
+        self.earliest_due_at = min(self.earliest_due_at, pending.due_at) if self.queued else pending.due_at
         self.queued += 1
-        self.queued_units += request.request.units
+        self.queued_units += pending.request.units
         self.active[volume_id] = volume
         self.volumes.move_to_end(volume_id)
         self._forget_idle_volumes(now)
@@ -95,12 +95,12 @@
         while (oldest := next(iter(self.volumes.values()))).last_used_at < now - IDLE_VOLUME_S and not oldest.in_flight:
             self.volumes.popitem(last=False)
 
-    def remove(self, request: PendingRequest) -> None:
+    def remove(self, pending: PendingRequest) -> None:
         """Take a request out of its volume's queue."""
-        self.volumes[request.request.volume].requests.remove(request)
+        self.volumes[pending.request.volume].requests.remove(pending)
         self.queued -= 1
-        self.queued_units -= request.request.units
-        request.is_queued = False
+        self.queued_units -= pending.request.units
+        pending.is_queued = False
 
     def next(self, may_send: Callable[[PendingRequest], bool], default_response_s: float) -> PendingRequest | None:
         """Return the request to send next, or None: one that goes on with the run, else one of the smallest tag.
@@ -111,35 +111,35 @@
         if 0 < self.run_length < MAX_RUN_REQUESTS and self.last_extent is not None:
             volume_id, extent = self.last_extent
             run = self.active.get(volume_id)
-            for request in run.requests if run else ():
-                if request.request.extent == extent and may_send(request):
-                    return request
+            for pending in run.requests if run else ():
+                if pending.request.extent == extent and may_send(pending):
+                    return pending
         tags = sorted(
             (volume.start_tag + volume.in_flight * volume.tag_step_s(default_response_s), volume_id)
             for volume_id, volume in self.active.items()
             if volume.requests
         )
         for _, volume_id in tags:
-            for request in self.volumes[volume_id].requests:
-                if may_send(request):
-                    return request
+            for pending in self.volumes[volume_id].requests:
+                if may_send(pending):
+                    return pending
         return None
 
-    def continues_run(self, request: PendingRequest) -> bool:
+    def continues_run(self, pending: PendingRequest) -> bool:
         """Return whether a request is of the extent sent last, within the longest run."""
-        return request.extent_of_volume() == self.last_extent and 0 < self.run_length < MAX_RUN_REQUESTS
+        return pending.extent_of_volume() == self.last_extent and 0 < self.run_length < MAX_RUN_REQUESTS
 
-    def record_send(self, request: PendingRequest) -> None:
+    def record_send(self, pending: PendingRequest) -> None:
         """Count a request, removed before, as in flight."""
-        extent = request.extent_of_volume()
-        if not request.request.extent:
+        extent = pending.extent_of_volume()
+        if not pending.request.extent:
             self.run_length = 0
         elif extent == self.last_extent:
             self.run_length += 1
         else:
             self.run_length = 1
         self.last_extent = extent
-        self.volumes[request.request.volume].in_flight += 1
+        self.volumes[pending.request.volume].in_flight += 1
 
     def record_end(self, volume_id: int) -> None:
         """Count a request of the volume as no longer in flight."""
@@ -162,22 +162,22 @@
 
     def requests(self) -> list[PendingRequest]:
         """Return all that is queued, volume by volume."""
-        return [request for volume in self.active.values() for request in volume.requests]
+        return [pending for volume in self.active.values() for pending in volume.requests]
 
     def requests_by_tag(self, default_response_s: float) -> list[PendingRequest]:
         """Return all that is queued in the order of the tags that it would have when its turn comes."""
         order = list[tuple[float, int, int, PendingRequest]]()
         for volume_id, volume in self.active.items():
             step_s = volume.tag_step_s(default_response_s) if volume.requests else 0.0
-            for place, request in enumerate(volume.requests):
+            for place, pending in enumerate(volume.requests):
                 tag = volume.start_tag + (volume.in_flight + place) * step_s
-                order.append((tag, volume_id, place, request))
+                order.append((tag, volume_id, place, pending))
         order.sort(key=lambda row: row[:3])
-        return [request for _, _, _, request in order]
+        return [pending for _, _, _, pending in order]
 
     def refresh_earliest_due(self) -> None:
         """Look up the earliest due time again, as the request that had it may have left since."""
-        self.earliest_due_at = min(request.due_at for volume in self.active.values() for request in volume.requests)
+        self.earliest_due_at = min(pending.due_at for volume in self.active.values() for pending in volume.requests)
 
     def forget_service(self) -> None:
         """Another node serves the queue from now on: nothing that was measured of the former one holds."""
--- a/fawnspool/scheduling/load_shedding.py
+++ b/fawnspool/scheduling/load_shedding.py
@@ -62,16 +62,16 @@
     ahead = float(len(node_queue.in_flight) - slots + 1)
     tokens_left = dict[int, float]()
     plan: Forecast = []
-    for request in node_queue.queue.requests_by_tag(node_queue.mean_response_s()):
-        volume_id = request.request.volume
-        if request.plan.rate_limit and not request.attempts:
+    for pending in node_queue.queue.requests_by_tag(node_queue.mean_response_s()):
+        volume_id = pending.request.volume
+        if pending.plan.rate_limit and not pending.attempts:
             # The default is looked up even where the volume is known: that refills its bucket.
-            tokens_left[volume_id] = tokens_left.get(volume_id, tokens(request)) - request.request.units
+            tokens_left[volume_id] = tokens_left.get(volume_id, tokens(pending)) - pending.request.units
             if tokens_left[volume_id] < 0:  # waits for its limit, in nobody's way
-                plan.append((request, now + done_in_s))
+                plan.append((pending, now + done_in_s))
                 continue
-        plan.append((request, now + max(0.0, ahead) * seconds_between_sends + done_in_s))
-        ahead += request.request.units / mean_units
+        plan.append((pending, now + max(0.0, ahead) * seconds_between_sends + done_in_s))
+        ahead += pending.request.units / mean_units
     return plan
 
 
@@ -81,17 +81,17 @@
     Of those that leave before the first late one: what is late anyway goes first, then what is beyond its volume's
     reserve, most excess per weight first, then by priority; of equals the latest.
     """
-    first_late = next((place for place, (request, done_at) in enumerate(plan) if done_at > request.due_at), None)
+    first_late = next((place for place, (pending, done_at) in enumerate(plan) if done_at > pending.due_at), None)
     if first_late is None:
         return None
-    excess_units = dict.fromkeys((request.request.volume for request, _ in plan), 0.0)
-    for request, _ in plan:
-        if request.rank is not Rank.WITHIN_RESERVE:
-            excess_units[request.request.volume] += request.request.units / request.plan.weight
+    excess_units = dict.fromkeys((pending.request.volume for pending, _ in plan), 0.0)
+    for pending, _ in plan:
+        if pending.rank is not Rank.WITHIN_RESERVE:
+            excess_units[pending.request.volume] += pending.request.units / pending.plan.weight
 
-    def loss(request: PendingRequest) -> tuple[int, float, float, int]:
-        excess = 0.0 if request.rank is Rank.WITHIN_RESERVE else excess_units[request.request.volume]
-        priority = request.request_class.priority_weight * request.plan.priority_factor
-        return request.rank, excess, -priority, request.request.id
+    def loss(pending: PendingRequest) -> tuple[int, float, float, int]:
+        excess = 0.0 if pending.rank is Rank.WITHIN_RESERVE else excess_units[pending.request.volume]
+        priority = pending.request_class.priority_weight * pending.plan.priority_factor
+        return pending.rank, excess, -priority, pending.request.id
 
-    return max((request for request, _ in plan[: first_late + 1]), key=loss)
+    return max((pending for pending, _ in plan[: first_late + 1]), key=loss)
--- a/fawnspool/scheduling/node_queue.py
+++ b/fawnspool/scheduling/node_queue.py
@@ -54,15 +54,15 @@
         """Return the node's mean response, or the default where it has answered nothing."""
         return self.response_times.mean_s or self.default_response_s
 
-    def max_in_flight(self, request: PendingRequest, now: float) -> int:
-        """Return below how many in flight this request may go: the limit, or one trial of an ejected node.
+    def max_in_flight(self, pending: PendingRequest, now: float) -> int:
+        """Return how many may be in flight, this request among them: the limit, or one trial of an ejected node.
 
         A request that goes on with a run costs its node less, so it gets one place more.
         """
         if not self.is_available():
             is_trial_due = self.node is not None and now >= self.health.next_trial_at
             return 1 if is_trial_due else 0
-        return int(self.concurrency.limit) + (1 if self.queue.continues_run(request) else 0)
+        return int(self.concurrency.limit) + (1 if self.queue.continues_run(pending) else 0)
 
     def queueing_delay_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
         """Return the wait at the node: what its answers told, or the silence since, whichever is longer.
--- a/fawnspool/scheduling/ordering.py
+++ b/fawnspool/scheduling/ordering.py
@@ -14,32 +14,32 @@
         self._turns = dict[int, deque[PendingRequest]]()
         self._paused_until = dict[int, float]()
 
-    def add(self, request: PendingRequest) -> None:
+    def add(self, pending: PendingRequest) -> None:
         """Give a request its turn, if it has a key."""
-        if request.order_key is not None:
-            self._turns.setdefault(request.order_key, deque()).append(request)
+        if pending.order_key is not None:
+            self._turns.setdefault(pending.order_key, deque()).append(pending)
 
-    def remove(self, request: PendingRequest) -> None:
+    def remove(self, pending: PendingRequest) -> None:
         """Take a request out: nothing of it is in flight any more."""
-        if request.order_key is None:
+        if pending.order_key is None:
             return
-        turns = self._turns[request.order_key]
-        turns.remove(request)
+        turns = self._turns[pending.order_key]
+        turns.remove(pending)
         if not turns:
-            del self._turns[request.order_key]
+            del self._turns[pending.order_key]
 
-    def pause(self, request: PendingRequest, until: float) -> None:
+    def pause(self, pending: PendingRequest, until: float) -> None:
         """Start no other request of its key before a time."""
-        if request.order_key is not None:
-            self._paused_until[request.order_key] = until
+        if pending.order_key is not None:
+            self._paused_until[pending.order_key] = until
 
-    def is_its_turn(self, request: PendingRequest, now: float) -> bool:
+    def is_its_turn(self, pending: PendingRequest, now: float) -> bool:
         """Return whether the request may go as far as its order is concerned; a retry doesn't wait for a pause."""
-        if request.order_key is None:
+        if pending.order_key is None:
             return True
-        if self._turns[request.order_key][0] is not request:
+        if self._turns[pending.order_key][0] is not pending:
             return False
-        return bool(request.attempts) or self._paused_until.get(request.order_key, 0.0) <= now
+        return bool(pending.attempts) or self._paused_until.get(pending.order_key, 0.0) <= now
 
     def forget_pauses(self, now: float) -> None:
         """Drop the pauses that are over."""
--- a/fawnspool/scheduling/rate_limits.py
+++ b/fawnspool/scheduling/rate_limits.py
@@ -162,16 +162,16 @@
         self.limiters: OrderedDict[int, RateLimiter] = OrderedDict()
         self.recorded_since = 0.0
 
-    def limiter(self, request: PendingRequest, now: float) -> RateLimiter:
+    def limiter(self, pending: PendingRequest, now: float) -> RateLimiter:
         """Return the volume's limiter, refilled; it is made at the volume's first request.
 
         Its part fills from the gateway's start on: an earlier life may have drawn it till then.
         """
-        volume_id, gateway_count = request.request.volume, request.request.gateway_count
+        volume_id, gateway_count = pending.request.volume, pending.request.gateway_count
         limiter = self.limiters.get(volume_id)
         if limiter is None:
-            limiter = RateLimiter(request.plan, max(1, gateway_count), refilled_at=self.recorded_since, served_at=now)
-            burst_units = self._settings.largest_units + request.plan.reserved_rate
+            limiter = RateLimiter(pending.plan, max(1, gateway_count), refilled_at=self.recorded_since, served_at=now)
+            burst_units = self._settings.largest_units + pending.plan.reserved_rate
             limiter.reserve_units = burst_units / limiter.gateway_count
             self.limiters[volume_id] = limiter
         self.limiters.move_to_end(volume_id)
@@ -249,17 +249,17 @@
             limiter.participants_known = True
             limiter.lenders = limiter.lenders | set(event.gateways) - {self._settings.gateway_id}
 
-    def record_outcome(self, request: PendingRequest, outcome: Outcome, now: float) -> None:
+    def record_outcome(self, pending: PendingRequest, outcome: Outcome, now: float) -> None:
         """Take in the volume's use through this gateway, which its part of the reserve follows, and the meter's."""
-        limiter = self.limiter(request, now)
+        limiter = self.limiter(pending, now)
         if outcome.result is Result.SERVED:
             span_s = max(self._settings.meter_period_s, self._transfer_window_s)
             kept_fraction = max(0.0, 1 - (now - limiter.served_at) / span_s)
-            limiter.served_units_per_s = limiter.served_units_per_s * kept_fraction + request.request.units / span_s
+            limiter.served_units_per_s = limiter.served_units_per_s * kept_fraction + pending.request.units / span_s
             limiter.served_at = now
         if outcome.volume_usage is not None:
             limiter.usage = outcome.volume_usage
-            metered_units_per_s = max(outcome.volume_usage * request.plan.rate, MIN_METERED_UNITS_PER_S)
+            metered_units_per_s = max(outcome.volume_usage * pending.plan.rate, MIN_METERED_UNITS_PER_S)
             limiter.usage_share = min(1.0, limiter.served_units_per_s / metered_units_per_s)
 
     def forget_idle_volumes(self, now: float) -> None:
--- a/fawnspool/scheduling/retries.py
+++ b/fawnspool/scheduling/retries.py
@@ -48,19 +48,19 @@
         self._settings = settings
         self.budget = RetryBudget(settings)
 
-    def may_reject(self, request: PendingRequest) -> bool:
+    def may_reject(self, pending: PendingRequest) -> bool:
         """Return whether the request may be rejected, which tells its client that it may repeat it.
 
         That holds where no attempt may have run, or where a repeat does no harm whichever node it comes to.
         """
-        if not request.ambiguous_attempts():
+        if not pending.ambiguous_attempts():
             return True
-        request_class = request.request_class
+        request_class = pending.request_class
         if request_class.idempotence is Idempotence.WITH_KEY:
             return request_class.deduplication_scope is DeduplicationScope.ALL
         return request_class.idempotence is Idempotence.IDEMPOTENT
 
-    def may_send(self, request: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
+    def may_send(self, pending: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
         """Return whether a request may go to this node now.
 
         Not while an earlier attempt is open, unless hedging is allowed; not beyond the attempts and the budget. What
@@ -68,12 +68,12 @@
         to nodes that drop each other's repeats.
         """
         settings = self._settings
-        if request.has_open_attempt() and not settings.hedging:
+        if pending.has_open_attempt() and not settings.hedging:
             return False
-        if len(request.attempts) >= settings.max_attempts or not self.budget.allows_retry(now):
+        if len(pending.attempts) >= settings.max_attempts or not self.budget.allows_retry(now):
             return False
-        ambiguous = request.ambiguous_attempts()
-        request_class = request.request_class
+        ambiguous = pending.ambiguous_attempts()
+        request_class = pending.request_class
         if not ambiguous or request_class.idempotence is Idempotence.IDEMPOTENT:
             return True
         if request_class.idempotence is Idempotence.NON_IDEMPOTENT:
@@ -82,14 +82,14 @@
             return False
         return _drops_repeats(request_class.deduplication_scope, ambiguous, node, endpoints)
 
-    def write_within_s(self, request: PendingRequest, now: float) -> float:
+    def write_within_s(self, pending: PendingRequest, now: float) -> float:
         """Return how soon a further attempt must be wholly written, lest it outlive the window; 0: no such bound."""
-        if request.request_class.idempotence is not Idempotence.WITH_KEY:
+        if pending.request_class.idempotence is not Idempotence.WITH_KEY:
             return 0.0
-        ambiguous = request.ambiguous_attempts()
+        ambiguous = pending.ambiguous_attempts()
         if not ambiguous:
             return 0.0
-        window_s = request.request_class.deduplication_window_s
+        window_s = pending.request_class.deduplication_window_s
         return ambiguous[0].sent_at + window_s - self._clock_margin_s() - now
 
     def _clock_margin_s(self) -> float:
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -182,115 +182,115 @@
     # ------------------------------------------------------------ arrival
 
     def _on_request(self, event: Request) -> None:
-        request = admission.make_pending(event, self.settings, self.now)
-        self.requests[event.id] = request
+        pending = admission.make_pending(event, self.settings, self.now)
+        self.requests[event.id] = pending
         self.retries.budget.record_request(self.now)
-        self.order.add(request)
-        limiter = self._limiter(request)
-        admission.assign_rank(request, limiter, self.now, self.check_interval_s)
-        if admission.exceeds_rate_limit(request, limiter, self.settings, self.now):
-            self._give_up(request)
+        self.order.add(pending)
+        limiter = self._limiter(pending)
+        admission.assign_rank(pending, limiter, self.now, self.check_interval_s)
+        if admission.exceeds_rate_limit(pending, limiter, self.settings, self.now):
+            self._give_up(pending)
             return
         node_queue = self._choose_node() if event.is_new_object else self.node_queues.get(event.shard)
-        if node_queue is None or self._is_rejected_on_arrival(request, node_queue):
-            self._give_up(request)
+        if node_queue is None or self._is_rejected_on_arrival(pending, node_queue):
+            self._give_up(pending)
         else:
-            self._admit(request, node_queue, at_front=False)
+            self._admit(pending, node_queue, at_front=False)
 
-    def _is_rejected_on_arrival(self, request: PendingRequest, node_queue: NodeQueue) -> bool:
-        if request.rank is Rank.LATE and node_queue.queue.queued:  # others, that can be in time, wait there
+    def _is_rejected_on_arrival(self, pending: PendingRequest, node_queue: NodeQueue) -> bool:
+        if pending.rank is Rank.LATE and node_queue.queue.queued:  # others, that can be in time, wait there
             return True
         if not self.is_large_fleet:
             return False
-        usage = self.rate_limits.limiters[request.request.volume].usage
-        return self.delay_limit.rejects(request, node_queue, usage, self.fleet_times, self.now)
+        usage = self.rate_limits.limiters[pending.request.volume].usage
+        return self.delay_limit.rejects(pending, node_queue, usage, self.fleet_times, self.now)
 
-    def _admit(self, request: PendingRequest, node_queue: NodeQueue, at_front: bool) -> None:
+    def _admit(self, pending: PendingRequest, node_queue: NodeQueue, at_front: bool) -> None:
         """Queue a request, and send what may go. What stays queued ends just before its client gives up."""
-        self._enqueue(request, node_queue, at_front)
+        self._enqueue(pending, node_queue, at_front)
         self._serve_queue(node_queue)
         self._schedule_check()
-        left_s = request.expires_at - self.now - EXPIRY_LEAD_TICKS * self.settings.clock_tick_s
-        if not request.is_queued:
+        left_s = pending.expires_at - self.now - EXPIRY_LEAD_TICKS * self.settings.clock_tick_s
+        if not pending.is_queued:
             return
         if left_s <= 0:
-            self._give_up(request)
+            self._give_up(pending)
         else:
-            self.actions.append(SetTimer(left_s, _expiry_token(request.request.id)))
-            self._request_units(request)
+            self.actions.append(SetTimer(left_s, _expiry_token(pending.request.id)))
+            self._request_units(pending)
 
-    def _limiter(self, request: PendingRequest) -> RateLimiter:
-        return self.rate_limits.limiter(request, self.now)
+    def _limiter(self, pending: PendingRequest) -> RateLimiter:
+        return self.rate_limits.limiter(pending, self.now)
 
-    def _request_units(self, request: PendingRequest) -> None:
-        self.actions += self.rate_limits.request_units(request.request.volume, self._limiter(request), self.now)
+    def _request_units(self, pending: PendingRequest) -> None:
+        self.actions += self.rate_limits.request_units(pending.request.volume, self._limiter(pending), self.now)
 
     # ------------------------------------------------------------ queues
 
-    def _enqueue(self, request: PendingRequest, node_queue: NodeQueue, at_front: bool) -> None:
-        request.shard = node_queue.shard
+    def _enqueue(self, pending: PendingRequest, node_queue: NodeQueue, at_front: bool) -> None:
+        pending.shard = node_queue.shard
         self.busy[node_queue.shard] = node_queue
-        node_queue.queue.enqueue(request, self.now, at_front)
-        limiter = self._limiter(request)
-        if not request.attempts:
-            limiter.queued_units += request.request.units
+        node_queue.queue.enqueue(pending, self.now, at_front)
+        limiter = self._limiter(pending)
+        if not pending.attempts:
+            limiter.queued_units += pending.request.units
 
-    def _dequeue(self, request: PendingRequest, node_queue: NodeQueue) -> None:
-        node_queue.queue.remove(request)
-        limiter = self._limiter(request)
-        if not request.attempts:
-            limiter.queued_units -= request.request.units
+    def _dequeue(self, pending: PendingRequest, node_queue: NodeQueue) -> None:
+        node_queue.queue.remove(pending)
+        limiter = self._limiter(pending)
+        if not pending.attempts:
+            limiter.queued_units -= pending.request.units
 
-    def _queue_of(self, request: PendingRequest) -> NodeQueue | None:
-        return None if request.shard is None else self.node_queues[request.shard]
+    def _queue_of(self, pending: PendingRequest) -> NodeQueue | None:
+        return None if pending.shard is None else self.node_queues[pending.shard]
 
     def _serve_queue(self, node_queue: NodeQueue) -> None:
         """Send while the node's limit has room, as only answers show how it fares; then shed what comes too late."""
         queue = node_queue.queue
         while queue.queued:
-            request = queue.next(partial(self._may_send, node_queue), node_queue.mean_response_s())
-            if request is None or len(node_queue.in_flight) >= node_queue.max_in_flight(request, self.now):
+            pending = queue.next(partial(self._may_send, node_queue), node_queue.mean_response_s())
+            if pending is None or len(node_queue.in_flight) >= node_queue.max_in_flight(pending, self.now):
                 break
-            self._send(request, node_queue)
+            self._send(pending, node_queue)
         if node_queue.is_available():
             self._shed_load(node_queue)
 
-    def _may_send(self, node_queue: NodeQueue, request: PendingRequest) -> bool:
-        is_its_turn = self.order.is_its_turn(request, self.now)
+    def _may_send(self, node_queue: NodeQueue, pending: PendingRequest) -> bool:
+        is_its_turn = self.order.is_its_turn(pending, self.now)
         is_rate_limited = (
-            not request.attempts
-            and bool(request.plan.rate_limit)
-            and self._limiter(request).tokens < request.request.units
+            not pending.attempts
+            and bool(pending.plan.rate_limit)
+            and self._limiter(pending).tokens < pending.request.units
         )
         if not is_its_turn or is_rate_limited or not self._may_be_fed(node_queue):
             return False
-        if not request.attempts:
+        if not pending.attempts:
             return True
         if node_queue.node is None:  # it waits for the next node, unless it must not be repeated at all
-            return self.retries.may_reject(request)
-        return self.retries.may_send(request, node_queue.node, self.now, self.endpoints.nodes)
+            return self.retries.may_reject(pending)
+        return self.retries.may_send(pending, node_queue.node, self.now, self.endpoints.nodes)
 
     def _may_be_fed(self, node_queue: NodeQueue) -> bool:
         return node_queue.slow_start.may_send(self.now, self.rate_limits.recorded_since, self.settings, self.random)
 
-    def _send(self, request: PendingRequest, node_queue: NodeQueue) -> None:
+    def _send(self, pending: PendingRequest, node_queue: NodeQueue) -> None:
         assert node_queue.node is not None
-        request_id, units = request.request.id, request.request.units
-        self._dequeue(request, node_queue)
-        limiter = self._limiter(request)
-        if request.attempts:
+        request_id, units = pending.request.id, pending.request.units
+        self._dequeue(pending, node_queue)
+        limiter = self._limiter(pending)
+        if pending.attempts:
             self.retries.budget.record_retry(self.now)
         else:
             limiter.tokens -= units
         node_queue.slow_start.record_send(units)
         if not node_queue.in_flight:
             node_queue.health.last_answer_at = self.now
-        node_queue.in_flight[request_id, len(request.attempts)] = self.now
-        node_queue.queue.record_send(request)
-        write_within_s = self.retries.write_within_s(request, self.now)
-        request.attempts.append(Attempt(node_queue.node, self.now))
+        node_queue.in_flight[request_id, len(pending.attempts)] = self.now
+        node_queue.queue.record_send(pending)
+        write_within_s = self.retries.write_within_s(pending, self.now)
+        pending.attempts.append(Attempt(node_queue.node, self.now))
         # Past its due time it would only keep others waiting: nodes drop what is out of time, or stop it.
-        timeout_s = max(request.due_at - self.now, self.check_interval_s)
+        timeout_s = max(pending.due_at - self.now, self.check_interval_s)
         self.actions.append(Send(request_id, node_queue.node, timeout_s, write_within_s))
 
     def _shed_load(self, node_queue: NodeQueue) -> None:
@@ -306,8 +306,8 @@
                 break
             self._give_up(victim)
 
-    def _tokens(self, request: PendingRequest) -> float:
-        return self._limiter(request).tokens
+    def _tokens(self, pending: PendingRequest) -> float:
+        return self._limiter(pending).tokens
 
     def _done_in_s(self, node_queue: NodeQueue) -> float:
         """Return how long a usual request takes from its send to its answer."""
@@ -329,39 +329,39 @@
 
     def _move_new_objects(self, node_queue: NodeQueue) -> None:
         """Queue new objects that wait for a node which takes nothing at another."""
-        for request in node_queue.queue.requests():
-            if not request.request.is_new_object or request.ambiguous_attempts():
+        for pending in node_queue.queue.requests():
+            if not pending.request.is_new_object or pending.ambiguous_attempts():
                 continue
             other = self._choose_node()
             if other is not None and other is not node_queue:
-                self._dequeue(request, node_queue)
-                self._enqueue(request, other, at_front=False)
+                self._dequeue(pending, node_queue)
+                self._enqueue(pending, other, at_front=False)
 
     # ------------------------------------------------------------ attempts' ends
 
     def _on_outcome(self, event: Outcome) -> None:
-        request = self.requests.get(event.id)
-        if request is None or event.attempt >= len(request.attempts) or not request.attempts[event.attempt].is_open:
+        pending = self.requests.get(event.id)
+        if pending is None or event.attempt >= len(pending.attempts) or not pending.attempts[event.attempt].is_open:
             return
-        attempt = request.attempts[event.attempt]
+        attempt = pending.attempts[event.attempt]
         attempt.is_open = False
         attempt.may_have_run = event.result not in NEVER_RAN
         if event.result in MAY_STILL_RUN:
-            self.order.pause(request, self.now + self.settings.settle_after_ambiguity_s)
-        node_queue = self._queue_of(request)
+            self.order.pause(pending, self.now + self.settings.settle_after_ambiguity_s)
+        node_queue = self._queue_of(pending)
         assert node_queue is not None
         if node_queue.in_flight.pop((event.id, event.attempt), None) is not None:
-            self._learn(node_queue, request, event, attempt)
-        self.rate_limits.record_outcome(request, event, self.now)
-        if event.final or request.is_answered:
-            self._finish(request)
-        elif not request.has_open_attempt():
-            self._retry_or_give_up(request, node_queue, event.result)
+            self._learn(node_queue, pending, event, attempt)
+        self.rate_limits.record_outcome(pending, event, self.now)
+        if event.final or pending.is_answered:
+            self._finish(pending)
+        elif not pending.has_open_attempt():
+            self._retry_or_give_up(pending, node_queue, event.result)
         self._serve_queue(node_queue)
 
-    def _learn(self, node_queue: NodeQueue, request: PendingRequest, event: Outcome, attempt: Attempt) -> None:
+    def _learn(self, node_queue: NodeQueue, pending: PendingRequest, event: Outcome, attempt: Attempt) -> None:
         """Take in what an attempt's end shows of its node."""
-        volume_id, units = request.request.volume, request.request.units
+        volume_id, units = pending.request.volume, pending.request.units
         node_queue.queue.record_end(volume_id)
         # Otherwise the node was heard of since: the attempt was lost on its way.
         is_silent = event.result is Result.TIMED_OUT and node_queue.health.last_answer_at <= attempt.sent_at
@@ -387,59 +387,59 @@
             )
         node_queue.queue.shift_tags(self.now)
 
-    def _retry_or_give_up(self, request: PendingRequest, node_queue: NodeQueue, result: Result) -> None:
+    def _retry_or_give_up(self, pending: PendingRequest, node_queue: NodeQueue, result: Result) -> None:
         """Nothing of the request is in flight, and it is still owed an answer."""
-        is_movable = request.request.is_new_object and not request.ambiguous_attempts()
+        is_movable = pending.request.is_new_object and not pending.ambiguous_attempts()
         if is_movable and not node_queue.is_available():
             node_queue = self._choose_node() or node_queue
-        is_in_time = self.now + node_queue.mean_response_s() <= request.expires_at
+        is_in_time = self.now + node_queue.mean_response_s() <= pending.expires_at
         if (
             is_in_time
             and result is not Result.TIMED_OUT
             and node_queue.node is not None
-            and self.retries.may_send(request, node_queue.node, self.now, self.endpoints.nodes)
+            and self.retries.may_send(pending, node_queue.node, self.now, self.endpoints.nodes)
         ):
-            self._admit(request, node_queue, at_front=True)
+            self._admit(pending, node_queue, at_front=True)
         else:
-            self._give_up(request)
+            self._give_up(pending)
 
-    def _give_up(self, request: PendingRequest) -> None:
+    def _give_up(self, pending: PendingRequest) -> None:
         """Send the final answer at once: a rejection wherever one is allowed, with advice when to come again."""
-        if request.rank is Rank.WITHIN_RESERVE and not request.attempts:
-            self._limiter(request).reserve_units += request.request.units
-        if self.retries.may_reject(request):
-            self.actions.append(RejectRequest(request.request.id, self._retry_after_s(request)))
+        if pending.rank is Rank.WITHIN_RESERVE and not pending.attempts:
+            self._limiter(pending).reserve_units += pending.request.units
+        if self.retries.may_reject(pending):
+            self.actions.append(RejectRequest(pending.request.id, self._retry_after_s(pending)))
         else:
-            self.actions.append(FailRequest(request.request.id))
-        self._finish(request)
+            self.actions.append(FailRequest(pending.request.id))
+        self._finish(pending)
 
-    def _retry_after_s(self, request: PendingRequest) -> float:
+    def _retry_after_s(self, pending: PendingRequest) -> float:
         """Return when what is queued at its node will have left; 0: no advice."""
         if not self.settings.sends_retry_after:
             return 0.0
-        node_queue = self._queue_of(request)
+        node_queue = self._queue_of(pending)
         if node_queue is None:
             return self.settings.max_retry_after_s
         return min(self._expected_wait_s(node_queue), self.settings.max_retry_after_s)
 
-    def _finish(self, request: PendingRequest) -> None:
+    def _finish(self, pending: PendingRequest) -> None:
         """Send nothing more for a request, cancel what is in flight, and forget it once nothing is."""
-        node_queue = self._queue_of(request)
-        if request.is_queued and node_queue is not None:
-            self._dequeue(request, node_queue)
-        request_id = request.request.id
-        open_attempts = [number for number, attempt in enumerate(request.attempts) if attempt.is_open]
-        if self.settings.can_cancel and not request.is_answered:
+        node_queue = self._queue_of(pending)
+        if pending.is_queued and node_queue is not None:
+            self._dequeue(pending, node_queue)
+        request_id = pending.request.id
+        open_attempts = [number for number, attempt in enumerate(pending.attempts) if attempt.is_open]
+        if self.settings.can_cancel and not pending.is_answered:
             self.actions += [Cancel(request_id, number) for number in open_attempts]
-        request.is_answered = True
+        pending.is_answered = True
         if not open_attempts:
             self.requests.pop(request_id, None)
-            self.order.remove(request)
+            self.order.remove(pending)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        request = self.requests.get(event.id)
-        if request is not None:
-            self._finish(request)
+        pending = self.requests.get(event.id)
+        if pending is not None:
+            self._finish(pending)
 
     # ------------------------------------------------------------ nodes' health
 
@@ -504,11 +504,11 @@
 
     def _expire(self, request_id: int) -> None:
         """Give a queued request up just before its client does."""
-        request = self.requests.get(request_id)
-        if request is None or not request.is_queued:
+        pending = self.requests.get(request_id)
+        if pending is None or not pending.is_queued:
             return
-        if request.expires_at <= self.now + EXPIRY_MARGIN_TICKS * self.settings.clock_tick_s:
-            self._give_up(request)
+        if pending.expires_at <= self.now + EXPIRY_MARGIN_TICKS * self.settings.clock_tick_s:
+            self._give_up(pending)
 
     def _check_queues(self) -> None:
         """Do what only the passing of time brings about."""
@@ -537,8 +537,8 @@
             self._record_failures(node_queue, min(FAILURES_TO_EJECT, len(node_queue.in_flight)))
 
     def _check_waiting(self, node_queue: NodeQueue) -> None:
-        for request in node_queue.queue.requests():
-            if self.now + self.check_interval_s > request.due_at and not node_queue.is_available():
-                self._give_up(request)
+        for pending in node_queue.queue.requests():
+            if self.now + self.check_interval_s > pending.due_at and not node_queue.is_available():
+                self._give_up(pending)
             else:
-                self._request_units(request)
+                self._request_units(pending)
--- a/tests/test_model_compare.py
+++ b/tests/test_model_compare.py
@@ -169,7 +169,7 @@
 
 
 def test_a_broken_rule_comes_first_with_the_run_that_shows_it(tmp_path: Path) -> None:
-    limited = "self._limiter(request).tokens < request.request.units"
+    limited = "self._limiter(pending).tokens < pending.request.units"
     (tmp_path / "scheduler.py").write_text(patched("scheduler.py", limited, "False"))
     day = short("plan-burst")
     day = replace(
