--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -28,9 +28,9 @@
 from fawnspool.net.http import MessageLimits, RequestHead
 from fawnspool.net.listener import parse_address
 from fawnspool.net.node_headers import MOVED_HEADER, object_target, parse_moved
-from fawnspool.net.server import Server
+from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_connection import Exchange
-from fawnspool.net.server_options import ServerCallbacks, ServerOptions
+from fawnspool.net.server_options import ServerOptions
 
 KEY_MOST = 300
 _JSON = (b"Content-Type", b"application/json")
--- a/fawnspool/connections/states.py
+++ b/fawnspool/connections/states.py
@@ -12,6 +12,8 @@
 
 "Closed" leaves unread bytes unread. A shutdown waits for what is being handled; only a process that is ended under it
 (`CloseCause.KILLED`) cuts it short, and then it is answered with 500 first.
+
+`next_state` holds the transitions, `owed_status` what an end owes.
 """
 
 from __future__ import annotations
@@ -31,6 +33,43 @@
     CLOSING = "closing"  # the last response is given, or none is owed
 
 
+class ConnectionEvent(Enum):
+    """What changes a connection's state."""
+
+    REQUEST_AWAITED = "request awaited"  # its last exchange is over and it goes on
+    REQUEST_BEGAN = "request began"  # bytes of a request were read
+    REQUEST_COMPLETE = "request complete"  # a request was read to its end
+    RESPONSE_BEGAN = "response began"
+    ENDED = "ended"
+
+
+_TRANSITIONS: dict[ConnectionState, dict[ConnectionEvent, ConnectionState]] = {
+    ConnectionState.NEW: {
+        ConnectionEvent.REQUEST_BEGAN: ConnectionState.READING,
+    },
+    ConnectionState.IDLE: {
+        ConnectionEvent.REQUEST_BEGAN: ConnectionState.READING,
+    },
+    ConnectionState.READING: {
+        ConnectionEvent.REQUEST_BEGAN: ConnectionState.READING,
+        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,
+        ConnectionEvent.RESPONSE_BEGAN: ConnectionState.ANSWERING,
+    },
+    ConnectionState.HANDLING: {
+        ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,  # a handler sent its response by its own means
+        ConnectionEvent.RESPONSE_BEGAN: ConnectionState.ANSWERING,
+    },
+    ConnectionState.ANSWERING: {
+        ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,
+        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,  # read on behind an early response
+    },
+    ConnectionState.CLOSING: {  # another greenlet may still work on its exchange
+        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.CLOSING,
+        ConnectionEvent.RESPONSE_BEGAN: ConnectionState.CLOSING,
+    },
+}
+
+
 class CloseCause(Enum):
     """Why a connection ended. The values are labels of figures and fields of log lines."""
 
@@ -57,6 +96,23 @@
 }
 
 
+class IllegalTransitionError(Exception):
+    """A mistake in the program: an event that cannot come in a state."""
+
+    def __init__(self, state: ConnectionState, event: ConnectionEvent) -> None:
+        super().__init__(f"{event.value} in state {state.value}")
+
+
+def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
+    """Return the state that follows. Raises IllegalTransitionError where `event` cannot come in `state`."""
+    if event is ConnectionEvent.ENDED:
+        return ConnectionState.CLOSING
+    following = _TRANSITIONS[state].get(event)
+    if following is None:
+        raise IllegalTransitionError(state, event)
+    return following
+
+
 def owed_status(state: ConnectionState, cause: CloseCause) -> HTTPStatus | None:
     """Return the status owed where a connection ends and its request has no response yet; None: nothing is owed."""
     by_cause = _STATUS_BY_CAUSE.get(state)
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -12,6 +12,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from itertools import islice
 from typing import Any
 
@@ -28,7 +29,7 @@
 from fawnspool.net.lingering_close import LINGER_S
 from fawnspool.net.listener import bind, has_queued, listen, refuse_connections
 from fawnspool.net.server_connection import Exchange, ServerConnection
-from fawnspool.net.server_options import ServerCallbacks, ServerOptions
+from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
 _EVICTION_CANDIDATES = 64  # waiting connections looked at, of either kind
@@ -39,6 +40,28 @@
 _POLL_S = 0.002
 
 
+@dataclass(slots=True)
+class ServerCallbacks:
+    """Whom a server tells what; all may be left out.
+
+    Attributes
+    ----------
+    on_error
+        An exception of a handler, or an accept that failed.
+    on_rejected
+        A request was rejected before its handler saw it, or by an HttpError of its handler.
+    on_unanswered
+        A connection ended that owed a response.
+    start_deadline
+        Until when a request may wait for its turn, by its head and its arrival (monotonic seconds).
+    """
+
+    on_error: Callable[[Exception], None] | None = None
+    on_rejected: Callable[[HttpError], None] | None = None
+    on_unanswered: Callable[[ServerConnection], None] | None = None
+    start_deadline: Callable[[RequestHead, float], float] | None = None
+
+
 class Server:
     """Listens, accepts, and runs a greenlet for each connection.
 
@@ -63,13 +86,13 @@
         address: tuple[str, int],
         handler: Callable[[Exchange], None],
         options: ServerOptions | None = None,
-        callbacks: ServerCallbacks[ServerConnection] | None = None,
+        callbacks: ServerCallbacks | None = None,
         listener: Any = None,
     ) -> None:
         """Bind to `address`, or take over `listener`, a socket that is bound already."""
         self.handler = handler
         self.options = options or ServerOptions()
-        self.callbacks = callbacks or ServerCallbacks[ServerConnection]()
+        self.callbacks = callbacks or ServerCallbacks()
         self.connections: dict[ServerConnection, Any] = {}
         self.idle: dict[ServerConnection, None] = {}
         self.new: dict[ServerConnection, None] = {}
--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -16,7 +16,7 @@
 
 import gevent
 
-from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
+from fawnspool.connections.states import CloseCause, ConnectionEvent, ConnectionState, next_state, owed_status
 from fawnspool.net.admission_throttle import AdmissionThrottle
 from fawnspool.net.exceptions import AnsweredTwiceError, ClientDisconnectedError, HttpError
 from fawnspool.net.http import (
@@ -136,7 +136,7 @@
             event = connection.next_event(_BODY_READ_BYTES)
             if event is END_OF_MESSAGE:
                 self.request_read = True
-                connection.state = ConnectionState.HANDLING
+                connection.note_event(ConnectionEvent.REQUEST_COMPLETE)
                 return
             assert isinstance(event, bytes)
             self.body_bytes += len(event)
@@ -213,7 +213,7 @@
             raise AnsweredTwiceError
         self.answered = True
         complete = self.request_read or self._rest_has_come()
-        self.connection.state = ConnectionState.ANSWERING
+        self.connection.note_event(ConnectionEvent.RESPONSE_BEGAN)
         self.connection.request_cut = not complete
         return not complete or not self.head.keep_alive or self.connection.must_end()
 
@@ -367,9 +367,13 @@
             self._send_owed()
         finally:
             self.server.note_end(self)
-            self.state = ConnectionState.CLOSING
+            self.note_event(ConnectionEvent.ENDED)
             self._close()
 
+    def note_event(self, event: ConnectionEvent) -> None:
+        """Go on to the state that follows."""
+        self.state = next_state(self.state, event)
+
     def note_cause(self, cause: CloseCause) -> None:
         """Note why it ends; the first cause counts."""
         if self.cause is None:
@@ -378,10 +382,12 @@
     def _next_request(self) -> Exchange | None:
         """Read up to the end of a request's head. None: there is none, and the connection ends."""
         self.exchange = None
-        self.state = self._waiting_state()
         events = self.parser.events
         began: float | None = None  # when the request's first bytes came
-        if self.state is ConnectionState.READING:
+        if self.has_carried_request:
+            self.note_event(ConnectionEvent.REQUEST_AWAITED)
+        if self.parser.in_head or events:  # some of it came with the request before
+            self.note_event(ConnectionEvent.REQUEST_BEGAN)
             began = time.monotonic()
         try:
             while not events:
@@ -392,7 +398,7 @@
                     return None
                 if began is None:
                     began = arrived_at
-                self.state = ConnectionState.READING
+                self.note_event(ConnectionEvent.REQUEST_BEGAN)
                 self.parser.feed(data)
         except TimeoutError:
             self.note_cause(CloseCause.SHUTDOWN if self.server.draining else CloseCause.DEADLINE)
@@ -407,14 +413,6 @@
             return None
         return self._begin_exchange(head, time.monotonic() if began is None else began)
 
-    def _waiting_state(self) -> ConnectionState:
-        """Return the state before a request's head: some of it may have come with the request before."""
-        if self.parser.in_head or self.parser.events:
-            return ConnectionState.READING
-        if self.has_carried_request:
-            return ConnectionState.IDLE
-        return ConnectionState.NEW
-
     def _read_head_piece(self, began: float | None) -> tuple[bytes, float]:
         """Return some bytes of a request that began at `began`, None: not yet, and when they arrived."""
         if began is None:
@@ -452,7 +450,8 @@
         if server.throttle is not None:
             server.throttle.enter(server.start_deadline(head, arrived_at))
         exchange.request_read = complete
-        self.state = ConnectionState.HANDLING if complete else ConnectionState.READING
+        if complete:
+            self.note_event(ConnectionEvent.REQUEST_COMPLETE)
         return exchange
 
     def _bounded(self, *deadlines: float) -> float:
@@ -504,7 +503,7 @@
             if exchange.answered:
                 return
             exchange.answered = True
-        self.state = ConnectionState.ANSWERING
+        self.note_event(ConnectionEvent.RESPONSE_BEGAN)
         self.request_cut = exchange is None or not exchange.request_read
         body = format_error_body(word, reason)
         with contextlib.suppress(OSError):
--- a/fawnspool/net/server_options.py
+++ b/fawnspool/net/server_options.py
@@ -1,20 +1,15 @@
-"""What a server is told when it is made: its bounds and timeouts, and whom it calls."""
+"""Bounds and timeouts of a server."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Generic, TypeVar
 
-from fawnspool.net.exceptions import HttpError
-from fawnspool.net.http import MessageLimits, RequestHead
-
-_Connection = TypeVar("_Connection")
+from fawnspool.net.http import MessageLimits
 
 
 @dataclass(slots=True)
 class ServerOptions:
-    """Bounds and timeouts of a server; the timeouts may be changed while it runs.
+    """What a server holds its clients to; it may be changed while the server runs, but for `max_starts_per_turn`.
 
     Attributes
     ----------
@@ -46,25 +41,3 @@
     max_starts_per_turn: int | None = None
     untrusted_clients: bool = False
     crowded_from: int | None = None
-
-
-@dataclass(slots=True)
-class ServerCallbacks(Generic[_Connection]):
-    """Whom a server tells what; all may be left out.
-
-    Attributes
-    ----------
-    on_error
-        An exception of a handler, or an accept that failed.
-    on_rejected
-        A request was rejected before its handler saw it, or by an HttpError of its handler.
-    on_unanswered
-        A connection ended that owed a response.
-    start_deadline
-        Until when a request may wait for its turn, by its head and its arrival (monotonic seconds).
-    """
-
-    on_error: Callable[[Exception], None] | None = None
-    on_rejected: Callable[[HttpError], None] | None = None
-    on_unanswered: Callable[[_Connection], None] | None = None
-    start_deadline: Callable[[RequestHead, float], float] | None = None
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -18,9 +18,9 @@
 from fawnspool.gateway.request_state import Body, Kind, Pending
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.http import MessageLimits, RequestHead
-from fawnspool.net.server import Server
+from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_connection import Exchange, ServerConnection
-from fawnspool.net.server_options import ServerCallbacks, ServerOptions
+from fawnspool.net.server_options import ServerOptions
 from fawnspool.relay.node_client import BODY_MOST, BODY_USUAL
 from fawnspool.scheduling.interface import Idempotence, Request, Settings
 
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -41,9 +41,9 @@
     parse_object_target,
 )
 from fawnspool.net.ranges import etag_matches, parse_range
-from fawnspool.net.server import Server
+from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_connection import Exchange
-from fawnspool.net.server_options import ServerCallbacks, ServerOptions
+from fawnspool.net.server_options import ServerOptions
 from fawnspool.records.frames import Writer
 from fawnspool.standins.clients import lag_meter
 from fawnspool.standins.moving import Gate, Sides
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -12,7 +12,14 @@
 from fawnspool.connections.eviction import WaitingKind, kind_to_evict
 from fawnspool.connections.incarnations import MAX_INCARNATIONS, IncarnationFilter
 from fawnspool.connections.shutdown import shutdown_schedule
-from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
+from fawnspool.connections.states import (
+    CloseCause,
+    ConnectionEvent,
+    ConnectionState,
+    IllegalTransitionError,
+    next_state,
+    owed_status,
+)
 from fawnspool.connections.watch_timeouts import accepts_older_snapshot, reopens_at_once, watch_timeouts
 
 
@@ -110,3 +117,53 @@
     state: ConnectionState, cause: CloseCause, status: int | None
 ) -> None:
     assert owed_status(state, cause) == status
+
+
+KEPT_ALIVE = [
+    (ConnectionEvent.REQUEST_BEGAN, ConnectionState.READING),
+    (ConnectionEvent.REQUEST_COMPLETE, ConnectionState.HANDLING),
+    (ConnectionEvent.RESPONSE_BEGAN, ConnectionState.ANSWERING),
+    (ConnectionEvent.REQUEST_AWAITED, ConnectionState.IDLE),
+    (ConnectionEvent.REQUEST_BEGAN, ConnectionState.READING),
+    (ConnectionEvent.REQUEST_BEGAN, ConnectionState.READING),
+    (ConnectionEvent.RESPONSE_BEGAN, ConnectionState.ANSWERING),  # before the request was complete
+    (ConnectionEvent.ENDED, ConnectionState.CLOSING),
+]
+
+
+def test_a_connection_goes_through_its_states() -> None:
+    state = ConnectionState.NEW
+    for event, following in KEPT_ALIVE:
+        state = next_state(state, event)
+        assert state is following
+
+
+@pytest.mark.parametrize("state", ConnectionState)
+def test_a_connection_may_end_in_any_state(state: ConnectionState) -> None:
+    assert next_state(state, ConnectionEvent.ENDED) is ConnectionState.CLOSING
+
+
+@pytest.mark.parametrize("state", ConnectionState)
+@pytest.mark.parametrize("event", ConnectionEvent)
+def test_nothing_leads_back_to_new_or_out_of_closing(state: ConnectionState, event: ConnectionEvent) -> None:
+    try:
+        following = next_state(state, event)
+    except IllegalTransitionError:
+        return
+    assert following is not ConnectionState.NEW
+    assert state is not ConnectionState.CLOSING or following is ConnectionState.CLOSING
+
+
+@pytest.mark.parametrize(
+    ("state", "event"),
+    [
+        (ConnectionState.NEW, ConnectionEvent.RESPONSE_BEGAN),
+        (ConnectionState.IDLE, ConnectionEvent.RESPONSE_BEGAN),
+        (ConnectionState.IDLE, ConnectionEvent.REQUEST_COMPLETE),
+        (ConnectionState.READING, ConnectionEvent.REQUEST_AWAITED),
+        (ConnectionState.ANSWERING, ConnectionEvent.RESPONSE_BEGAN),
+    ],
+)
+def test_an_event_that_cannot_come_is_a_mistake(state: ConnectionState, event: ConnectionEvent) -> None:
+    with pytest.raises(IllegalTransitionError, match="in state"):
+        next_state(state, event)
