--- a/fawnspool/api/__init__.py
+++ b/fawnspool/api/__init__.py
@@ -1,1 +1,1 @@
-"""The object API over HTTP: the clients' side of a head."""
+"""The object API over HTTP: the clients' side of a gateway."""
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -11,7 +11,7 @@
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.extents.migration import MigrationStep
 from fawnspool.extents.records import ExtentRecord
-from fawnspool.gateway.endpoint_client import Told
+from fawnspool.gateway.endpoint_client import EndpointMessage
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.migrator import Mover
 from fawnspool.gateway.role_context import DRAIN
@@ -43,7 +43,7 @@
             )
             if status.code != 200:
                 fail(f"the node list at {where} answered {status.code}", UNREACHED)
-            rows = msgspec.json.decode(data, type=Told).entries
+            rows = msgspec.json.decode(data, type=EndpointMessage).entries
         except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
         return {r.cell: parse_address(r.address) for r in rows if r.phase != "gone"}
--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -15,8 +15,8 @@
 from fawnspool.api.objects import ObjectApi
 from fawnspool.cli.common import fail, load_gateway_config
 from fawnspool.config.head import HeadConfig
-from fawnspool.gateway.endpoint_client import Row
-from fawnspool.gateway.gateway import Head
+from fawnspool.gateway.endpoint_client import EndpointRecord
+from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
 from fawnspool.standins.catalogue import Catalogue
 from fawnspool.standins.node import NodeServer
@@ -25,7 +25,7 @@
 DEFAULT = Path(__file__).parent / "embedded.hcl"
 
 
-def embed(config: HeadConfig) -> tuple[list[NodeServer], list[Row], Catalogue]:
+def embed(config: HeadConfig) -> tuple[list[NodeServer], list[EndpointRecord], Catalogue]:
     """Stand-in nodes in this process, a list of them, and a catalogue made from what they hold."""
     assert config.embedded is not None
     e, data = config.embedded, Path(config.head.data)
@@ -38,7 +38,7 @@
         )
         node.start()
         nodes.append(node)
-        rows.append(Row(k + 1, f"127.0.0.1:{node.address[1]}", zone, config.nodes.kinds[0], k))
+        rows.append(EndpointRecord(k + 1, f"127.0.0.1:{node.address[1]}", zone, config.nodes.kinds[0], k))
         for _, meta in node.store.index.values():
             catalogue.put(meta.volume, meta.key, k, meta.size)
     return nodes, rows, catalogue
@@ -48,7 +48,7 @@
     """Serve until SIGTERM or SIGINT. `ready(api)` is called once it listens."""
     nodes, rows, catalogue = embed(config) if config.embedded else ([], None, None)
     try:
-        head = Head(config, source=catalogue, rows=rows)
+        head = Gateway(config, source=catalogue, records=rows)
     except OSError as bad:
         fail(
             f"{bad.filename or 'head.record or head.trace'}: {bad.strerror}; give head.record and head.trace a place "
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from fawnspool.gateway.attempt_results import AttemptEnding
-from fawnspool.gateway.request_state import Answer, Attempt, Pending, State
+from fawnspool.gateway.request_state import ClientRequest, NodeAnswer, NodeAttempt, RequestState
 from fawnspool.net.client_connection import ClientConnection
 from fawnspool.net.connection_pool import ConnectionPool
 from fawnspool.net.exceptions import (
@@ -61,10 +61,10 @@
     max_buffered_bytes: int
     streams_large: bool
 
-    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
+    def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
         """Return the head of the request to the node."""
 
-    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+    def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
         """Return what the response's headers tell. Raises ValueError where that spoils the response."""
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
@@ -87,7 +87,7 @@
 
     protocol: NodeProtocol
     is_withdrawn: Callable[[int], bool]
-    on_stream_started: Callable[[Pending, Attempt], None]
+    on_stream_started: Callable[[ClientRequest, NodeAttempt], None]
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
 
     ending: AttemptEnding
     duration_s: float
-    answer: Answer | None = None
+    answer: NodeAnswer | None = None
     feedback: NodeFeedback | None = None
     reused_connection: bool = False
 
@@ -121,7 +121,9 @@
         self.ending = ending
 
 
-def run_attempt(pending: Pending, attempt: Attempt, pool: ConnectionPool, hooks: AttemptHooks) -> AttemptOutcome:
+def run_attempt(
+    pending: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks
+) -> AttemptOutcome:
     """Run an attempt to its end, on a connection of its node's pool."""
     return _AttemptRun(pending, attempt, pool, hooks).run()
 
@@ -129,13 +131,13 @@
 class _AttemptRun:
     """One attempt while it runs."""
 
-    def __init__(self, pending: Pending, attempt: Attempt, pool: ConnectionPool, hooks: AttemptHooks) -> None:
+    def __init__(self, pending: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks) -> None:
         self.pending = pending
         self.attempt = attempt
         self.pool = pool
         self.hooks = hooks
         self.feedback: NodeFeedback | None = None
-        self.answer: Answer | None = None
+        self.answer: NodeAnswer | None = None
 
     def run(self) -> AttemptOutcome:
         """Connect, send, read the response, and give the connection back."""
@@ -144,7 +146,7 @@
         try:
             connection = self._connect()
             self._check_before_send()
-            self.attempt.link = connection
+            self.attempt.connection = connection
             self._send_request(connection)
             head = self._read_head(connection)
             self.feedback = self._read_feedback(head)
@@ -157,19 +159,19 @@
                 if not connection.is_new and ending in _DISTRUST_OLDER:
                     self.pool.discard_older_than(connection)
         finally:
-            self.attempt.link = None
+            self.attempt.connection = None
             if connection is not None:
                 self._give_back(connection, reusable)
         return AttemptOutcome(
             ending,
-            time.monotonic() - self.attempt.began,
+            time.monotonic() - self.attempt.started_at,
             self.answer,
             self.feedback,
             reused_connection=connection is not None and not connection.is_new,
         )
 
     def _give_back(self, connection: ClientConnection, reusable: bool) -> None:
-        if reusable and not self.attempt.called_off:
+        if reusable and not self.attempt.cancelled:
             self.pool.release(connection)
         else:
             self.pool.discard(connection)
@@ -179,11 +181,11 @@
     def _connect(self) -> ClientConnection:
         attempt = self.attempt
         try:
-            return self.pool.acquire(attempt.write_until)
+            return self.pool.acquire(attempt.write_deadline)
         except ConnectError as error:
-            if attempt.called_off:
+            if attempt.cancelled:
                 raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT) from None
-            if time.monotonic() >= attempt.written_by:  # its window was too short to tell: no sign against the node
+            if time.monotonic() >= attempt.write_by:  # its window was too short to tell: no sign against the node
                 raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME) from None
             raise _AttemptEndedError(_connect_ending(error)) from None
 
@@ -191,9 +193,9 @@
         """What was true before the wait for a connection is a guess by now: nothing is sent without a new look."""
         if self.hooks.is_withdrawn(self.attempt.node):
             raise _AttemptEndedError(AttemptEnding.NODE_DRAINING)
-        if self.attempt.called_off or self.pending.state is State.SETTLED:
+        if self.attempt.cancelled or self.pending.state is RequestState.SETTLED:
             raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
-        if time.monotonic() >= self.attempt.write_until:
+        if time.monotonic() >= self.attempt.write_deadline:
             raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME)
         if self.pending.exchange is not None and self.pending.exchange.client_left():
             raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_UNSENT)
@@ -205,7 +207,7 @@
         if body.spent:
             raise _AttemptEndedError(AttemptEnding.BODY_CONSUMED)
         head = self.hooks.protocol.request_head(self.pending, self.attempt)
-        deadline = self.attempt.write_until
+        deadline = self.attempt.write_deadline
         self.attempt.sent = True
         try:
             if body.rest is None:
@@ -277,7 +279,7 @@
         ending = protocol.ending(head)
         if ending is not AttemptEnding.ANSWERED:
             return ending
-        self.answer = Answer(head.code, head.headers, body)
+        self.answer = NodeAnswer(head.code, head.headers, body)
         if connection.ends_at_close:
             return AttemptEnding.ANSWERED_UNTIL_CLOSE
         return ending
@@ -297,7 +299,7 @@
     def _stream_response(self, connection: ClientConnection, head: ResponseHead) -> None:
         """Pass a large response on as it comes, as fast as the client takes it."""
         pending = self.pending
-        if not pending.begin():
+        if not pending.start_streaming():
             raise _AttemptEndedError(AttemptEnding.CANCELLED)
         self.hooks.on_stream_started(pending, self.attempt)
         exchange = pending.exchange
@@ -314,7 +316,7 @@
             exchange.finish(False)
             raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_STREAMING) from None
         exchange.finish(True)
-        self.answer = Answer(head.code, head.headers, streamed=sent)
+        self.answer = NodeAnswer(head.code, head.headers, streamed_bytes=sent)
 
     def _read_streamed_piece(self, connection: ClientConnection) -> bytes | None:
         try:
@@ -325,7 +327,7 @@
 
     def _lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
         """Return the end of an attempt whose connection ended: where it was cancelled, that was why."""
-        if not self.attempt.called_off:
+        if not self.attempt.cancelled:
             return _AttemptEndedError(ending)
         if unsent:
             return _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
@@ -346,10 +348,15 @@
     return AttemptEnding.MALFORMED_RESPONSE
 
 
-def _streamed_headers(pending: Pending, head: ResponseHead) -> list[tuple[bytes, bytes]]:
+def _streamed_headers(pending: ClientRequest, head: ResponseHead) -> list[tuple[bytes, bytes]]:
     headers = []
     if b"etag" in head.headers:
         headers.append((b"ETag", head.headers[b"etag"]))
     if b"content-range" in head.headers:
         headers.append((b"Content-Range", head.headers[b"content-range"]))
-    return [*headers, (b"Accept-Ranges", b"bytes"), (b"Fawn-Request-Id", pending.op.encode()), *pending.said]
+    return [
+        *headers,
+        (b"Accept-Ranges", b"bytes"),
+        (b"Fawn-Request-Id", pending.operation_id.encode()),
+        *pending.answer_headers,
+    ]
--- /dev/null
+++ b/fawnspool/gateway/connection_pools.py
@@ -0,0 +1,74 @@
+"""Connections from one gateway to its nodes: a pool for each address, and their upkeep."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions
+
+Address = tuple[str, int]
+
+_POOLS_PER_PRUNING = 2
+
+
+class ConnectionPools:
+    """The pools of one gateway, by address.
+
+    Parameters
+    ----------
+    ready_addresses
+        Gives the addresses of the nodes that take requests now.
+    """
+
+    def __init__(self, options: PoolOptions, ready_addresses: Callable[[], set[Address]]) -> None:
+        self.options = options
+        self.ready_addresses = ready_addresses
+        self.by_address: dict[Address, ConnectionPool] = {}
+        self._to_prune: list[Address] = []
+        self._ready: set[Address] = set()
+
+    def get(self, address: Address) -> ConnectionPool:
+        """Return the pool of an address, made where there is none."""
+        pool = self.by_address.get(address)
+        if pool is None:
+            pool = self.by_address[address] = ConnectionPool(address, self.options)
+        return pool
+
+    def open_connections(self) -> int:
+        """Count the connections to all nodes, in use or idle."""
+        return sum(pool.open_count for pool in self.by_address.values())
+
+    def close_idle(self, address: Address) -> None:
+        """Close the idle connections to an address."""
+        if address in self.by_address:
+            self.by_address[address].close_idle()
+
+    def close_one_idle(self) -> bool:
+        """Close one idle connection; False: there is none."""
+        for pool in self.by_address.values():
+            if pool.idle:
+                pool.discard(pool.idle.popleft())
+                return True
+        return False
+
+    def prune(self) -> None:
+        """Close what will not be used again, at a few addresses a call, in turn.
+
+        Without this the idle connections to nodes that left would hold their descriptors for ever.
+        """
+        if not self._to_prune:
+            self._to_prune = list(self.by_address)
+            self._ready = self.ready_addresses()
+        for address in [self._to_prune.pop() for _ in range(min(_POOLS_PER_PRUNING, len(self._to_prune)))]:
+            self._prune_address(address)
+
+    def _prune_address(self, address: Address) -> None:
+        pool = self.by_address.get(address)
+        if pool is None:
+            return
+        if address in self._ready:
+            pool.prune()
+            return
+        pool.close_idle()
+        if not pool.open_count:
+            del self.by_address[address]
--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -151,4 +151,4 @@
 
 
 def _ready_shards(nodes: dict[int, Any]) -> set[int]:
-    return {known.cell for known in nodes.values() if known.phase is interface.Phase.READY}
+    return {known.shard for known in nodes.values() if known.phase is interface.Phase.READY}
--- a/fawnspool/gateway/endpoint_client.py
+++ b/fawnspool/gateway/endpoint_client.py
@@ -1,26 +1,27 @@
-"""The head's side of the node list: a watch that stands, single calls, and the last list kept on disk."""
+"""The gateway's client of the node list service: a standing watch, polls, and the last list kept on disk."""
 
 from __future__ import annotations
 
 import functools
 import json
-import os
 import time
-from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
-from fawnspool.gateway.watch_client import ListLink
+from fawnspool.connections.watch_timeouts import WatchTimeouts
+from fawnspool.gateway.watch_client import MalformedUpdateError, PostUpdate, WatchClient
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.scheduling import interface
+from fawnspool.telemetry.logs import EventLogger
 
-_BEATS = 2.0  # beats of a watch that may be missing, in units of the call time-out
+_SILENCE_CALL_TIMEOUTS = 2.0  # a watch is silent after so many call time-outs
+_DELTA = "changes"
+_SNAPSHOT = "whole"
 
 
-class Row(msgspec.Struct, frozen=True):
+class EndpointRecord(msgspec.Struct, frozen=True):
     """An entry as the list service writes it; ages in seconds, -1: long ago."""
 
     node: int
@@ -33,163 +34,201 @@
     age_s: float = -1.0
 
 
-class Told(msgspec.Struct, frozen=True):
-    """A line of a watch, or the answer to a call."""
+class EndpointMessage(msgspec.Struct, frozen=True):
+    """An object of a watch, or the answer to a poll."""
 
     version: int
-    entries: list[Row]
-    kind: str = "whole"
+    entries: list[EndpointRecord]
+    kind: str = _SNAPSHOT
 
 
 @dataclass(frozen=True)
-class Known:
-    """What the head needs of a node beside what the module is told."""
+class ListedEndpoint:
+    """What the gateway needs of a node beside what the module is told."""
 
     address: tuple[str, int]
     phase: interface.Phase
     zone: str
-    cell: int
+    shard: int
 
 
-class ListClient(ListLink):
+@dataclass(frozen=True)
+class EndpointClientConfig:
+    """How the list is asked for and read.
+
+    Attributes
+    ----------
+    zones, kinds
+        Names in the order of the module's numbers; any other name counts as the first.
+    pushes
+        The service tells changes by itself, so that the watch stands from the start.
+    cache
+        File for the last list.
+    """
+
+    address: tuple[str, int]
+    gateway_id: int
+    zones: tuple[str, ...]
+    kinds: tuple[str, ...]
+    pushes: bool
+    call_timeout_s: float
+    cache: Path
+
+
+class EndpointClient(WatchClient):
     """Turns what the list service says into `EndpointUpdate` events."""
 
     def __init__(
-        self,
-        address: tuple[str, int],
-        head: int,
-        zones: tuple[str, ...],
-        kinds: tuple[str, ...],
-        pushes: bool,
-        timeout: float,
-        saved: Path,
-        tell: Callable[[Any], None],
-        log: Any,
-        behind: BackgroundWriter,
+        self, config: EndpointClientConfig, post: PostUpdate, log: EventLogger, writer: BackgroundWriter
     ) -> None:
-        super().__init__(address, timeout, _BEATS * timeout, tell, log)
-        self.head, self.zones, self.kinds, self.pushes = head, zones, kinds, pushes
-        self.saved, self.behind = saved, behind
-        self.nodes: dict[int, Known] = {}
-        self.rows: dict[int, Row] = {}
+        timeouts = WatchTimeouts(silence_s=_SILENCE_CALL_TIMEOUTS * config.call_timeout_s, call_s=config.call_timeout_s)
+        super().__init__(config.address, timeouts, post, log)
+        self.config = config
+        self.writer = writer
+        self.nodes: dict[int, ListedEndpoint] = {}
+        self.records: dict[int, EndpointRecord] = {}
 
     def start(self) -> None:
-        """Give the saved list, and where the service pushes, open its stream."""
-        rows: list[Row] = []
-        try:
-            old = msgspec.json.decode(self.saved.read_bytes(), type=Told)
-            rows = old.entries
-        except FileNotFoundError:
-            pass
-        except (OSError, msgspec.DecodeError) as bad:
-            self.log.warning("saved list does not read", file=str(self.saved), error=str(bad))
-        self._apply(interface.UpdateKind.CACHED, 0, rows)
-        if self.pushes:
+        """Post the cached list and, where the service pushes, open the watch."""
+        self._apply(interface.UpdateKind.CACHED, 0, self._read_cache())
+        if self.config.pushes:
             self.watch(True)
 
-    # ------------------------------------------------------------ the service's form
-
-    def call_target(self) -> bytes:
-        return b"/list?head=%d" % self.head
+    def poll_target(self) -> bytes:
+        """Where the whole list is asked for."""
+        return b"/list?head=%d" % self.config.gateway_id
 
     def watch_target(self) -> bytes:
-        return b"/watch?head=%d&from=%d" % (self.head, self.version)
+        """Where a watch of what follows `version` is asked for."""
+        return b"/watch?head=%d&from=%d" % (self.config.gateway_id, self.version)
 
     def fetch(self) -> None:
-        """One call for the whole list; a push stream that broke is opened again with it, and its first line is the
-        whole list."""
-        if self.pushes and (self.watching is None or self.watching.dead):
-            self.version = 0
-            return self.watch(True)
-        super().fetch()
-
-    def take(self, data: bytes) -> None:
+        """Ask for the whole list; where the service pushes, by a new watch in the place of one that broke."""
+        watch_broke = self.watch_greenlet is None or self.watch_greenlet.dead
+        if self.config.pushes and watch_broke:
+            self.version = 0  # so the first object of the watch is the whole list
+            self.watch(True)
+        else:
+            super().fetch()
+
+    def apply(self, data: bytes) -> None:
+        """Take a message of the service, post it and save the list."""
         try:
-            told = msgspec.json.decode(data, type=Told)
-        except msgspec.DecodeError as bad:
-            raise ValueError(str(bad)) from None
-        if told.kind == "changes" and told.version <= self.version:
-            if told.entries:
-                return  # heard before
-        elif told.kind == "whole" and told.version < self.version:
-            self.log.warning("the list went back", had=self.version, got=told.version)
-        self._apply(
-            interface.UpdateKind.DELTA if told.kind == "changes" else interface.UpdateKind.SNAPSHOT,
-            told.version,
-            told.entries,
-        )
+            message = msgspec.json.decode(data, type=EndpointMessage)
+        except msgspec.DecodeError as error:
+            raise MalformedUpdateError(str(error)) from None
+        if message.kind == _DELTA and message.version <= self.version and message.entries:
+            return  # heard before
+        if message.kind == _SNAPSHOT and message.version < self.version:
+            self.log.warning("endpoint_list_version_decreased", previous=self.version, received=message.version)
+        kind = interface.UpdateKind.DELTA if message.kind == _DELTA else interface.UpdateKind.SNAPSHOT
+        self._apply(kind, message.version, message.entries)
         self._save()
 
-    def _apply(self, kind: interface.UpdateKind, version: int, rows: list[Row]) -> None:
-        now = time.monotonic()
+    def _apply(self, kind: interface.UpdateKind, version: int, records: list[EndpointRecord]) -> None:
         self.version = version
         if kind is not interface.UpdateKind.DELTA:
-            self.rows, self.nodes = {}, {}
-        entries = []
-        for row in rows:
+            self.records = {}
+            self.nodes = {}
+        now = time.monotonic()
+        endpoints: list[interface.Endpoint] = []
+        for record in records:
             try:
-                phase = interface.Phase(row.phase)
-                host, _, port = row.address.rpartition(":")
-                known = Known((host, int(port)), phase, row.zone, row.cell)
-            except ValueError as bad:
-                self.log.error("a list entry does not read", entry=str(row), error=str(bad))
+                listed = _listed(record)
+            except ValueError as error:
+                self._log_malformed(record, error)
                 continue
-            entries.append(
-                interface.Endpoint(
-                    row.node,
-                    self.zones.index(row.zone) if row.zone in self.zones else 0,
-                    self.kinds.index(row.kind) if row.kind in self.kinds else 0,
-                    row.cell,
-                    phase,
-                    row.size,
-                    now - row.age_s if row.age_s >= 0 else 0.0,
-                )
-            )
-            if phase is interface.Phase.GONE:
-                self.nodes.pop(row.node, None)
-                self.rows.pop(row.node, None)
-            else:
-                self.nodes[row.node], self.rows[row.node] = known, row
-        self.tell(interface.EndpointUpdate(kind, version, tuple(entries)))
+            endpoints.append(self._endpoint(record, listed, now))
+            self._keep(record, listed)
+        self.post(interface.EndpointUpdate(kind, version, tuple(endpoints)))
+
+    def _log_malformed(self, record: EndpointRecord, error: ValueError) -> None:
+        self.log.error("endpoint_entry_malformed", entry=str(record), error=str(error))
+
+    def _endpoint(self, record: EndpointRecord, listed: ListedEndpoint, now: float) -> interface.Endpoint:
+        zones = self.config.zones
+        kinds = self.config.kinds
+        return interface.Endpoint(
+            node=record.node,
+            zone=zones.index(record.zone) if record.zone in zones else 0,
+            kind=kinds.index(record.kind) if record.kind in kinds else 0,
+            shard=record.cell,
+            phase=listed.phase,
+            size=record.size,
+            started_at=now - record.age_s if record.age_s >= 0 else 0.0,
+        )
+
+    def _keep(self, record: EndpointRecord, listed: ListedEndpoint) -> None:
+        if listed.phase is interface.Phase.GONE:
+            self.nodes.pop(record.node, None)
+            self.records.pop(record.node, None)
+        else:
+            self.nodes[record.node] = listed
+            self.records[record.node] = record
+
+    # ------------------------------------------------------------ the list on disk
+
+    def _read_cache(self) -> list[EndpointRecord]:
+        try:
+            return msgspec.json.decode(self.config.cache.read_bytes(), type=EndpointMessage).entries
+        except FileNotFoundError:
+            return []
+        except (OSError, msgspec.DecodeError) as error:
+            self.log.warning("endpoint_cache_unreadable", file=str(self.config.cache), error=str(error))
+            return []
 
     def _save(self) -> None:
-        data = json.dumps({"version": self.version, "entries": [msgspec.to_builtins(r) for r in self.rows.values()]})
-        if not self.behind.put(functools.partial(self._write, data.encode()), len(data)):
-            self.log.error("the list can't be saved", error="the disk is too slow")
+        entries = [msgspec.to_builtins(record) for record in self.records.values()]
+        data = json.dumps({"version": self.version, "entries": entries}).encode()
+        if not self.writer.put(functools.partial(self._write, data), len(data)):
+            self._log_not_saved("the disk is too slow")
+
+    def _log_not_saved(self, error: str) -> None:
+        self.log.error("endpoint_cache_not_saved", error=error)
 
     def _write(self, data: bytes) -> None:
-        """Beside, then renamed: a kill leaves the old list or the new one."""
-        draft = self.saved.with_suffix(".draft")
+        """Write beside, then rename: a kill leaves the old list or the new one."""
+        cache = self.config.cache
+        draft = cache.with_suffix(".draft")
         try:
-            self.saved.parent.mkdir(parents=True, exist_ok=True)
+            cache.parent.mkdir(parents=True, exist_ok=True)
             draft.write_bytes(data)
-            os.replace(draft, self.saved)
-        except OSError as bad:
-            self.log.error("the list can't be saved", error=str(bad))
+            draft.replace(cache)
+        except OSError as error:
+            self._log_not_saved(str(error))
 
 
-class FixedList(ListClient):
-    """A list that is given once, for a head with embedded nodes."""
+class StaticEndpointClient(EndpointClient):
+    """A list that is given once, for a gateway with embedded nodes."""
 
     def __init__(
         self,
-        rows: list[Row],
-        zones: tuple[str, ...],
-        kinds: tuple[str, ...],
-        tell: Callable[[Any], None],
-        log: Any,
-        behind: BackgroundWriter,
+        config: EndpointClientConfig,
+        records: list[EndpointRecord],
+        post: PostUpdate,
+        log: EventLogger,
+        writer: BackgroundWriter,
     ) -> None:
-        super().__init__(("127.0.0.1", 0), 0, zones, kinds, False, 1.0, Path(os.devnull), tell, log, behind)
-        self.given = rows
+        super().__init__(config, post, log, writer)
+        self.given = records
 
     def start(self) -> None:
-        self.reachable, self.heard = True, time.monotonic()
-        self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
+        """Post the list."""
+        self.reachable = True
+        self.fetch()
 
     def watch(self, on: bool) -> None:
+        """Post the list again: it never changes."""
         self.fetch()
 
     def fetch(self) -> None:
-        self.heard = time.monotonic()
+        """Post the list again."""
+        self.last_heard_at = time.monotonic()
         self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
+
+
+def _listed(record: EndpointRecord) -> ListedEndpoint:
+    """Raise ValueError where the entry does not read."""
+    phase = interface.Phase(record.phase)
+    host, _, port = record.address.rpartition(":")
+    return ListedEndpoint((host, int(port)), phase, record.zone, record.cell)
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -1,9 +1,9 @@
 """The one greenlet that owns the decision module.
 
-Others hand it events through one queue (`tell`); it stamps them with the monotonic clock, passes them on in
-order and carries out the actions through one table, in order. Nothing else touches the module. Timers are a heap
-beside the queue. If the module raises, what it had asked for until then is carried out, the request at hand is
-failed, the error is logged and counted, and the loop goes on.
+Others post events to one queue. The loop stamps them with the monotonic clock, passes them to the module in order,
+and carries out the actions in order by one table of handlers; nothing else touches the module. Timers are a heap
+beside the queue. Where the module raises, the actions that it had asked for are still carried out, its owner is told
+of the event, and the loop goes on.
 """
 
 from __future__ import annotations
@@ -11,133 +11,182 @@
 import heapq
 import time
 from collections import deque
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable, Mapping
+from typing import Any, Protocol
 
 import gevent
 
+from fawnspool.gateway.observability import Observability
 from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
-from fawnspool.telemetry.sums import Sums
 
-if TYPE_CHECKING:  # only a head that records needs the recorder and its libraries
-    from fawnspool.records.decision_recording import Recorder
+_MAX_EVENTS_PER_TURN = 64  # then due timers get their turn, however full the queue is
+_STOP_TIMEOUT_S = 1.0
+_MAX_LOGGED_ACTION_CHARS = 200
 
-Stamp = Callable[[], float]
+EventFactory = Callable[[], interface.Event | None]
+"""Makes an event when its turn comes; None: there is nothing to tell any more."""
 
+ActionHandlers = Mapping[type[Any], Callable[[Any], None]]
 
-class Loop:
-    """Drives `module` (anything with `handle(now, event) -> actions`)."""
+
+class DecisionModule(Protocol):
+    """What chooses: the scheduler, or a baseline beside it."""
+
+    def handle(self, now: float, event: Any, /) -> list[interface.Action]:
+        """Take one event at the monotonic time `now`, in seconds; return what is to be done."""
+
+
+class EventLoop:
+    """Drives `module`.
+
+    Parameters
+    ----------
+    action_handlers
+        By type of action, what carries it out.
+    on_module_error
+        Called with the event on which the module raised, after the actions are carried out.
+    observability
+        Its recorder is the loop's to close.
+    """
 
     def __init__(
         self,
-        module: Any,
-        table: dict[type, Callable[[Any], None]],
-        metrics: Sums,
-        log: Any,
-        on_error: Callable[[Any], None],
-        recorder: Recorder | None = None,
+        module: DecisionModule,
+        action_handlers: ActionHandlers,
+        on_module_error: Callable[[interface.Event], None],
+        observability: Observability,
     ) -> None:
-        self.module, self.table, self.metrics, self.log = module, table, metrics, log
-        self.on_error, self.recorder = on_error, recorder
-        self.inbox: deque[Any] = deque()
-        self.timers: list[tuple[float, int, int]] = []
-        self.set = 0
-        self.flag = WakeupEvent()
+        self.module = module
+        self.action_handlers = action_handlers
+        self.on_module_error = on_module_error
+        self.metrics = observability.metrics
+        self.log = observability.log
+        self.recorder = observability.recorder
+        self.inbox: deque[interface.Event | EventFactory] = deque()
+        self.timers: list[tuple[float, int, int]] = []  # due time, order of setting, token
+        self.timers_set = 0
+        self.wake = WakeupEvent()
         self.asleep = False
         self.stopping = False
-        self.greenlet: Any = None
+        self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
+        """Start the greenlet that owns the module."""
         self.greenlet = gevent.spawn(self.run)
 
     def stop(self) -> None:
+        """End the greenlet and the recording."""
         self.stopping = True
-        self.flag.set()
+        self.wake.set()
         if self.greenlet is not None:
-            self.greenlet.join(timeout=1.0)
+            self.greenlet.join(timeout=_STOP_TIMEOUT_S)
         if self.recorder is not None:
             self.recorder.close()
 
-    def tell(self, event: Any) -> None:
-        """Hand over an event, or a callable that makes one (or None) when its turn comes."""
+    def post(self, event: interface.Event | EventFactory) -> None:
+        """Queue an event, or a factory that makes it when its turn comes."""
         self.inbox.append(event)
         if self.asleep:
             self.asleep = False
-            self.flag.set()
+            self.wake.set()
 
-    def set_timer(self, delay: float, token: int) -> None:
-        self.set += 1
-        heapq.heappush(self.timers, (time.monotonic() + max(0.0, delay), self.set, token))
+    def set_timer(self, delay_s: float, token: int) -> None:
+        """Give the module `Timer(token)` after `delay_s` seconds."""
+        self.timers_set += 1
+        heapq.heappush(self.timers, (time.monotonic() + max(0.0, delay_s), self.timers_set, token))
 
     def run(self) -> None:
+        """Handle events and timers until `stop`."""
         while not self.stopping:
-            handled = 0
-            while self.inbox and handled < 64:  # then look at the timers, however full the queue is
-                event = self.inbox.popleft()
-                handled += 1
-                if callable(event):
-                    event = self._made(event)
-                if event is not None:
-                    self._handle(event)
-            now = time.monotonic()
-            while self.timers and self.timers[0][0] <= now:
-                due, _, token = heapq.heappop(self.timers)
-                self.metrics.lag_last = now - due
-                self.metrics.lag.add(now - due)
-                self._handle(interface.Timer(token))
+            self._handle_queued()
+            self._handle_due_timers()
             if self.inbox:
-                gevent.sleep(0)  # let sockets move between two rounds
+                gevent.sleep(0)  # let sockets move between two turns
                 continue
             if self.recorder is not None:
-                self._record()
+                self._flush_recording()
             if self.stopping:
                 return
-            self.flag.clear()
-            self.asleep = True
-            self.flag.wait(self.timers[0][0] if self.timers else None)
-            self.asleep = False
+            self._sleep()
+
+    def _handle_queued(self) -> None:
+        handled = 0
+        while self.inbox and handled < _MAX_EVENTS_PER_TURN:
+            queued = self.inbox.popleft()
+            handled += 1
+            event = self._made(queued) if callable(queued) else queued
+            if event is not None:
+                self._handle(event)
+
+    def _handle_due_timers(self) -> None:
+        now = time.monotonic()
+        while self.timers and self.timers[0][0] <= now:
+            due, _, token = heapq.heappop(self.timers)
+            self.metrics.lag.add(now - due)
+            self._handle(interface.Timer(token))
+
+    def _sleep(self) -> None:
+        """Until an event is posted or the earliest timer is due."""
+        self.wake.clear()
+        self.asleep = True
+        self.wake.wait(self.timers[0][0] if self.timers else None)
+        self.asleep = False
 
-    def _made(self, make: Callable[[], Any]) -> Any:
-        """The event that is made in its turn, or None. The loop must outlive whatever making it meets."""
+    def _made(self, make: EventFactory) -> interface.Event | None:
         try:
             return make()
-        except Exception:
-            self.log.error("an event could not be made", exc_info=True)
+        except Exception:  # the loop must outlive whatever making an event meets
+            self.log.error("event_factory_failed", exc_info=True)
             return None
 
-    def _record(self) -> None:
-        """Write on; a recording that can't be written costs the recording, never a request."""
+    def _flush_recording(self) -> None:
+        """Write the recording on; where that fails the recording ends, and no request suffers."""
         assert self.recorder is not None
         self.recorder.flush()
         if self.recorder.stopped:
             self.log.error(
-                "recording stopped: make room or set a faster place under `record`, then restart",
-                why=self.recorder.stopped,
+                "recording_stopped",
+                reason=self.recorder.stopped,
+                remedy="make room or set a faster place under `record`, then restart",
             )
             self.metrics.recordings_stopped += 1
             self.recorder.close()
             self.recorder = None
 
-    def _handle(self, event: Any) -> None:
-        now, began, error = time.monotonic(), time.perf_counter(), ""
-        before = getattr(self.module, "actions", None)
+    def _handle(self, event: interface.Event) -> None:
+        now = time.monotonic()
+        started = time.perf_counter()
+        error = ""
+        asked_before = getattr(self.module, "actions", None)
+        actions: list[interface.Action]
         try:
             actions = self.module.handle(now, event)
-        except Exception as bad:
-            asked = getattr(self.module, "actions", None)  # of this event, if it came so far as to begin a new list
-            actions = list(asked) if asked is not None and asked is not before else []
-            error = f"{type(bad).__name__}: {bad}"
+        except Exception as raised:
+            actions = self._asked_so_far(asked_before)
+            error = f"{type(raised).__name__}: {raised}"
             self.metrics.module_errors += 1
-            self.log.error("module raised", told=type(event).__name__, id=getattr(event, "id", None), exc_info=True)
-        self.metrics.module_seconds += time.perf_counter() - began
+            self.log.error(
+                "module_raised", event_type=type(event).__name__, id=getattr(event, "id", None), exc_info=True
+            )
+        self.metrics.module_seconds += time.perf_counter() - started
         self.metrics.module_events += 1
         if self.recorder is not None:
             self.recorder.note(now, event, actions, error)
         for action in actions:
-            try:
-                self.table[type(action)](action)
-            except Exception:  # the loop must outlive whatever one action meets
-                self.log.error("an action failed", action=repr(action)[:200], exc_info=True)
+            self._carry_out(action)
         if error:
-            self.on_error(event)
+            self.on_module_error(event)
+
+    def _asked_so_far(self, asked_before: Any) -> list[interface.Action]:
+        """What the module asked for on the event on which it raised, if it came so far as to begin a new list."""
+        asked = getattr(self.module, "actions", None)
+        if asked is None or asked is asked_before:
+            return []
+        return list(asked)
+
+    def _carry_out(self, action: interface.Action) -> None:
+        try:
+            self.action_handlers[type(action)](action)
+        except Exception:  # the loop must outlive whatever one action meets
+            self.log.error("action_failed", action=repr(action)[:_MAX_LOGGED_ACTION_CHARS], exc_info=True)
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -14,11 +14,12 @@
 import gevent
 import msgspec
 
+from fawnspool.connections.watch_timeouts import WatchTimeouts
 from fawnspool.extents.map import ExtentMap, partition_of
 from fawnspool.extents.records import DeltaError, ExtentRecord, ExtentState, MapDelta, Stamp
 from fawnspool.extents.staleness import LookupChoice, MigrationObservation, Staleness, StalenessSettings
 from fawnspool.gateway.map_store import MapFile, read
-from fawnspool.gateway.watch_client import ListLink
+from fawnspool.gateway.watch_client import WatchClient
 from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
@@ -154,13 +155,14 @@
     shards: int
 
 
-class _MapLink(ListLink):
+class _MapLink(WatchClient):
     """The watch; what it says goes to `Places`."""
 
-    line_most = 64 << 20  # a snapshot of one shard is one line
+    max_object_bytes = 64 << 20  # a snapshot of one shard is one line
 
     def __init__(self, address: tuple[str, int], timeout: float, beat: float, places: Places, log: Any) -> None:
-        super().__init__(address, timeout, SILENT_BEATS * beat, lambda event: None, log)
+        timeouts = WatchTimeouts(silence_s=SILENT_BEATS * beat, call_s=timeout)
+        super().__init__(address, timeouts, lambda event: None, log)
         self.places = places
         self.first = True
 
@@ -169,10 +171,10 @@
         told = ",".join(f"{e}.{v}" for e, v in (s.complete_to for s in self.places.map.partitions))
         return b"/watch?told=" + told.encode()
 
-    def beat(self) -> None:
+    def on_heartbeat(self) -> None:
         self.places.beaten()
 
-    def take(self, data: bytes) -> None:
+    def apply(self, data: bytes) -> None:
         try:
             if self.first:
                 self.first = False
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -1,17 +1,14 @@
-"""The object API's head, put together: the core, its settings in HCL, the list, the extent map, peers and traces.
-
-`submit` takes a request for the client's side and returns its `Pending`; its `done` is set with the one final
-answer.
-"""
+"""The gateway behind the object API: the core with its settings in HCL, node list, extent map, peers and traces."""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-import gevent
+import gevent.pool
 import xxhash
 
 from fawnspool.baselines.passthrough import PassThrough
@@ -19,16 +16,24 @@
 from fawnspool.config.scheduler_settings import scheduler_settings
 from fawnspool.extents.staleness import StalenessSettings
 from fawnspool.gateway.attempts import AttemptOutcome
-from fawnspool.gateway.core import Core
-from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
+from fawnspool.gateway.core import GatewayCore
+from fawnspool.gateway.endpoint_client import (
+    EndpointClient,
+    EndpointClientConfig,
+    EndpointRecord,
+    StaticEndpointClient,
+)
+from fawnspool.gateway.event_loop import DecisionModule
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
 from fawnspool.gateway.gossip_runner import Sharing
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
-from fawnspool.gateway.node_protocol import NodeSpeech
+from fawnspool.gateway.node_protocol import FawnspoolNodeProtocol
+from fawnspool.gateway.observability import Observability
 from fawnspool.gateway.peer_channel import FleetPlace
-from fawnspool.gateway.peers import Peers
-from fawnspool.gateway.request_state import Attempt, Body, Pending
+from fawnspool.gateway.peers import PeerSocket
+from fawnspool.gateway.periodic_checks import Check
+from fawnspool.gateway.request_state import ClientRequest, NodeAttempt, RequestBody
 from fawnspool.gateway.role_context import GatewayView, RoleContext
 from fawnspool.gossip.health_evidence import doubts
 from fawnspool.net.connection_pool import PoolOptions, call
@@ -41,267 +46,330 @@
 from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
-from fawnspool.telemetry.metrics import HeadMetrics
+from fawnspool.telemetry.counters import GatewayCounters
+from fawnspool.telemetry.metrics import PrometheusExporter, StateSources
 from fawnspool.telemetry.traces import Traces
 
-AGE_MOST_MS = 10**9  # also where the map was never whole
+MAX_MAP_AGE_MS = 10**9  # also sent where the map was never whole
+_WRITING_METHODS = (b"PUT", b"DELETE")
+_OK = 200
+_NO_LIST_SERVICE = ("127.0.0.1", 0)
 POLICIES: dict[str, Callable[[interface.Settings, int], Any]] = {"module": Scheduler, "pass": PassThrough}
 
 
-def _node_state(node_queue: NodeQueue) -> str:
-    """Return what the scheduler makes of a node, in the words of the status page."""
-    if not node_queue.is_available():
-        return "trials only"
-    return "sound" if node_queue.slow_start.started_at is None else "may be cold"
-
-
 def make_policy(name: str, settings: interface.Settings, seed: int) -> Any:
-    """The decision module, or a baseline, by its name in the settings."""
+    """Return the decision module, or a baseline, by its name in the settings."""
     return POLICIES[name](settings, seed)
 
 
 def volume_number(name: str) -> int:
-    """A volume's number, the same at every head."""
+    """Return a volume's number, the same at every gateway."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-class Head(Core):
-    """One head of a host. `start` before `submit`; `stop` ends all."""
-
-    def __init__(self, config: HeadConfig, *, source: Source | None = None, rows: list[Row] | None = None) -> None:
-        h, c = config.head, config
-        self.config, settings = config, scheduler_settings(config)
-        self.classes = {k.name: n for n, k in enumerate(c.class_)}
-        self.plans = {p.name: n for n, p in enumerate(c.plan)}
-        self.volumes = {v.name: v for v in c.volume}
-        self.numbers = {v.name: volume_number(v.name) for v in c.volume}
-        self.rates = {v.name: c.plan[self.plans[v.plan]].rate for v in c.volume}
-        self.behind = BackgroundWriter()
-        self.started = time.monotonic()
-        module = make_policy(h.policy, settings, h.seed)
-        recorder = (
-            Recorder(h.record, h.policy, settings, h.seed, module_hash(module), self.behind) if h.record else None
-        )
-        traces = Traces(h.trace, h.trace_share, f"head-{h.number}", self.behind) if h.trace else None
-        self.figures = HeadMetrics(self.gauges, lambda: self.places.status(), self.duty_status, self.shared_status)
+@dataclass(frozen=True, kw_only=True)
+class ObjectRequest:
+    """A checked request of the object API.
+
+    Attributes
+    ----------
+    forwarded_headers
+        Headers of the client that go to the node.
+    exchange
+        The client's side, on which the answer is written.
+    arrived_at
+        Seconds of the monotonic clock.
+    timeout_s
+        From `arrived_at` until the answer must have left.
+    shard
+        -1: a new object, for any node.
+    """
+
+    volume: str
+    class_index: int
+    method: bytes
+    target: bytes
+    forwarded_headers: list[tuple[bytes, bytes]]
+    body: RequestBody
+    exchange: Any
+    arrived_at: float
+    timeout_s: float
+    units: float
+    shard: int
+    extent: int
+    is_client_retry: bool
+    operation_id: str
+    idempotency_key: str
+
+
+class Gateway(GatewayCore):
+    """One gateway of the fleet: `start` it before the first `submit`.
+
+    Parameters
+    ----------
+    source
+        The extent map, where it is in this process.
+    records
+        The node list, where it is given and not asked for.
+    """
+
+    endpoints: EndpointClient
+
+    def __init__(
+        self, config: HeadConfig, *, source: Source | None = None, records: list[EndpointRecord] | None = None
+    ) -> None:
+        settings = scheduler_settings(config)
+        self.config = config
+        self.plan_indexes = {plan.name: index for index, plan in enumerate(config.plan)}
+        self.volumes = {volume.name: volume for volume in config.volume}
+        self.volume_numbers = {volume.name: volume_number(volume.name) for volume in config.volume}
+        self.file_writer = BackgroundWriter()
+        self.started_at = time.monotonic()
+        counters = GatewayCounters()
+        state = StateSources(self.gauges, lambda: self.places.status(), self.duty_status, self.shared_status)
+        self.exporter = PrometheusExporter(counters, state)
+        module = make_policy(config.head.policy, settings, config.head.seed)
         super().__init__(
             settings,
             module,
-            NodeSpeech(h.number, settings, c.clients.replay_bytes),
-            PoolOptions(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
-            self.figures,
-            logs.get(head=h.number),
-            recorder=recorder,
-            traces=traces,
+            FawnspoolNodeProtocol(config.head.number, settings, config.clients.replay_bytes),
+            PoolOptions(config.nodes.connections, config.nodes.connect_timeout, config.nodes.idle_close),
+            Observability(
+                counters,
+                logs.get(head=config.head.number),
+                self._make_recorder(settings, module),
+                self._make_traces(),
+            ),
         )
-        self.list: ListClient
-        if rows is not None:
-            self.list = FixedList(rows, config.nodes.zones, config.nodes.kinds, self.loop.tell, self.log, self.behind)
-        else:
-            self.list = ListClient(
-                parse_address(config.list.address),
-                h.number,
-                config.nodes.zones,
-                config.nodes.kinds,
-                config.list.mode == "push",
-                config.list.call_timeout,
-                Path(h.data) / "list.json",
-                self.loop.tell,
-                self.log,
-                self.behind,
-            )
-        self.places = (
-            Places(source, StalenessSettings(gateway_count=h.heads), h.seed, self.log)
-            if source is not None
-            else self._places(config)
-        )
-        self.peers: Peers | None = None
+        self.endpoints = self._make_endpoints(records)
+        self.places = self._make_places(source)
+        self.probes = gevent.pool.Group()
+        self.peers: PeerSocket | None = None
         self.leases: LeaseRunner | None = None
         self.sharing: Sharing | None = None
 
-    def _places(self, config: HeadConfig) -> Places:
-        k = config.catalogue
-        where = parse_address(k.address)
+    def _make_recorder(self, settings: interface.Settings, module: DecisionModule) -> Recorder | None:
+        head = self.config.head
+        if not head.record:
+            return None
+        return Recorder(head.record, head.policy, settings, head.seed, module_hash(module), self.file_writer)
+
+    def _make_traces(self) -> Traces | None:
+        head = self.config.head
+        if not head.trace:
+            return None
+        return Traces(head.trace, head.trace_share, f"head-{head.number}", self.file_writer)
+
+    def _make_endpoints(self, records: list[EndpointRecord] | None) -> EndpointClient:
+        config = EndpointClientConfig(
+            address=parse_address(self.config.list.address) if records is None else _NO_LIST_SERVICE,
+            gateway_id=self.config.head.number,
+            zones=self.config.nodes.zones,
+            kinds=self.config.nodes.kinds,
+            pushes=self.config.list.mode == "push",
+            call_timeout_s=self.config.list.call_timeout,
+            cache=Path(self.config.head.data) / "list.json",
+        )
+        if records is not None:
+            return StaticEndpointClient(config, records, self.loop.post, self.log, self.file_writer)
+        return EndpointClient(config, self.loop.post, self.log, self.file_writer)
+
+    def _make_places(self, source: Source | None) -> Places:
+        head = self.config.head
+        if source is not None:
+            return Places(source, StalenessSettings(gateway_count=head.heads), head.seed, self.log)
+        catalogue = self.config.catalogue
+        where = parse_address(catalogue.address)
         return Places(
-            MapClient(where, k.call_timeout),
-            StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=k.peak),
-            config.head.seed,
+            MapClient(where, catalogue.call_timeout),
+            StalenessSettings(gateway_count=head.heads, service_calls_per_s=catalogue.peak),
+            head.seed,
             self.log,
             address=where,
-            timeout=k.call_timeout,
-            folder=Path(config.head.data),
-            behind=self.behind,
-            follow=k.watch,
+            timeout=catalogue.call_timeout,
+            folder=Path(head.data),
+            behind=self.file_writer,
+            follow=catalogue.watch,
         )
 
+    # ------------------------------------------------------------ start and end
+
     def start(self) -> None:
-        h = self.config.head
-        if self.config.peer and h.peer_listen:
-            self.peers = Peers(
-                parse_address(h.peer_listen),
-                h.number,
-                {int(p.name): parse_address(p.address) for p in self.config.peer},
-                self.loop.tell,
-            )
+        """Start the gateway and what it shares with the others."""
+        head = self.config.head
+        if self.config.peer and head.peer_listen:
+            peer_addresses = {int(peer.name): parse_address(peer.address) for peer in self.config.peer}
+            self.peers = PeerSocket(parse_address(head.peer_listen), head.number, peer_addresses, self.loop.post)
         super().start()
-        self.list.start()
+        self.endpoints.start()
         self.places.start()
         if self.config.duties is not None and self.peers is not None:
             self._start_leases(self.peers)
         if self.config.shared is not None and self.peers is not None:
-            self.sharing = Sharing(
-                self.config.shared,
-                h.number,
-                h.heads,
-                h.seed,
-                self.peers,
-                {n: name for name, n in self.numbers.items()},
-                lambda: len(self.list.nodes),
-                lambda: doubts(self.loop.module),
-                self.loop.tell,
-                self.log,
-            )
-            self.sharing.start()
-
-    def _start_leases(self, peers: Peers) -> None:
-        c, k = self.config, self.config.catalogue
-        assert c.duties is not None
-        place = FleetPlace(c.head.number, c.head.heads, c.head.seed)
-        view = GatewayView(nodes=lambda: self.list.nodes, requests_in_flight=lambda: len(self.pending))
-        map_client = MapClient(parse_address(k.address), k.call_timeout)
-        self.leases = LeaseRunner(c.duties, place, Path(c.head.data), peers, self.log)
+            self._start_sharing(self.peers)
+
+    def _start_leases(self, peers: PeerSocket) -> None:
+        config = self.config
+        assert config.duties is not None
+        place = FleetPlace(config.head.number, config.head.heads, config.head.seed)
+        view = GatewayView(nodes=lambda: self.endpoints.nodes, requests_in_flight=lambda: len(self.pending))
+        map_client = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
+        self.leases = LeaseRunner(config.duties, place, Path(config.head.data), peers, self.log)
         self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
 
+    def _start_sharing(self, peers: PeerSocket) -> None:
+        head = self.config.head
+        assert self.config.shared is not None
+        self.sharing = Sharing(
+            self.config.shared,
+            head.number,
+            head.heads,
+            head.seed,
+            peers,
+            {number: name for name, number in self.volume_numbers.items()},
+            lambda: len(self.endpoints.nodes),
+            lambda: doubts(self.loop.module),
+            self.loop.post,
+            self.log,
+        )
+        self.sharing.start()
+
     def hand_over(self) -> None:
-        """What this head holds goes to others at once: the first thing of an end."""
+        """Give the leases of this gateway to others at once: the first step of a shutdown."""
         if self.leases is not None:
             self.leases.hand_over()
 
-    def duty_status(self) -> dict[str, Any] | None:
-        """None: this head takes no part in duties."""
-        return None if self.leases is None else self.leases.status()
-
-    def shared_status(self) -> dict[str, Any] | None:
-        """None: this head shares nothing."""
-        return None if self.sharing is None else self.sharing.status()
-
     def stop(self) -> None:
+        """End everything that `start` began, and write what is still to be written."""
         if self.leases is not None:
             self.leases.stop()
         if self.sharing is not None:
             self.sharing.stop()
-        self.list.stop()
+        self.probes.kill(block=False)
+        self.endpoints.stop()
         self.places.stop()
         if self.peers is not None:
             self.peers.stop()
         super().stop()
         if self.traces is not None:
             self.traces.close()
-        if not self.behind.close():
-            self.log.error("not all records are written: the disk is too slow", bytes=self.behind.waits)
-
-    def _now_and_then(self) -> None:
-        if error := self.behind.failed():
-            self.log.error("file work failed: see `head.trace` and `head.data`", error=error)
-
-    # ------------------------------------------------------------ the client's side
-
-    def submit(
-        self,
-        *,
-        volume: str,
-        cls: int,
-        method: bytes,
-        target: bytes,
-        forward: list[tuple[bytes, bytes]],
-        body: Body,
-        exchange: Any,
-        patience: float,
-        came: float,
-        units: float,
-        cell: int,
-        extent: int,
-        repeat: bool,
-        op: str,
-        idem: str,
-    ) -> Pending:
-        """Take a request. `patience`: seconds from `came` until its answer must have left at the latest."""
-        block = self.volumes[volume]
-        req = interface.Request(
-            self.next_id(),
-            cls,
-            self.plans[block.plan],
-            extent,
-            patience,
-            self.numbers[volume],
-            units,
-            cell,
-            block.heads,
-            repeat,
-            method in (b"PUT", b"DELETE"),
+        if not self.file_writer.close():
+            self.log.error("records_not_written", reason="the disk is too slow", unwritten_bytes=self.file_writer.waits)
+
+    def _periodic_checks(self) -> Iterable[Check]:
+        return (*super()._periodic_checks(), self._check_file_writer)
+
+    def _check_file_writer(self) -> None:
+        if error := self.file_writer.failed():
+            self.log.error("file_write_failed", error=error, remedy="see `head.trace` and `head.data`")
+
+    # ------------------------------------------------------------ requests
+
+    def submit(self, request: ObjectRequest) -> ClientRequest:
+        """Take a request; `ClientRequest.done` opens with its one final answer."""
+        volume = self.volumes[request.volume]
+        pending = ClientRequest(
+            request=self._module_request(request),
+            method=request.method,
+            target=request.target,
+            forwarded_headers=request.forwarded_headers,
+            body=request.body,
+            exchange=request.exchange,
+            operation_id=request.operation_id,
+            idempotency_key=request.idempotency_key,
+            arrived_at=request.arrived_at,
+            deadline=request.arrived_at + request.timeout_s,
+            class_name=self.config.class_[request.class_index].name,
+            plan_name=volume.plan,
         )
-        pending = Pending(
-            req,
-            method,
-            target,
-            forward,
-            body,
-            exchange,
-            op,
-            idem,
-            came,
-            came + patience,
-            self.config.class_[cls].name,
-            block.plan,
-        )
-        if age := self.places.behind_by():  # the place may be old: the client is told
-            pending.said = [(b"Fawn-Map-Age-Ms", b"%d" % min(age * 1000, AGE_MOST_MS))]
+        if age_s := self.places.behind_by():  # the client is told that its object's place may be old
+            pending.answer_headers = [(b"Fawn-Map-Age-Ms", b"%d" % min(age_s * 1000, MAX_MAP_AGE_MS))]
         if self.traces is not None:
             pending.span = self.traces.begin(
-                came, volume=volume, cls=pending.cls, plan=block.plan, units=units, method=method.decode(), op=op
+                request.arrived_at,
+                volume=request.volume,
+                cls=pending.class_name,
+                plan=volume.plan,
+                units=request.units,
+                method=request.method.decode(),
+                op=request.operation_id,
             )
-        self.take(pending)
+        self.accept(pending)
         if self.sharing is not None:
-            self.sharing.request(req.volume, block.heads, self.config.plan[req.plan_index], units)
+            plan = self.config.plan[pending.request.plan_index]
+            self.sharing.request(pending.request.volume, volume.heads, plan, request.units)
         return pending
 
+    def _module_request(self, request: ObjectRequest) -> interface.Request:
+        volume = self.volumes[request.volume]
+        return interface.Request(
+            id=self.next_request_id(),
+            class_index=request.class_index,
+            plan_index=self.plan_indexes[volume.plan],
+            extent=request.extent,
+            timeout_s=request.timeout_s,
+            volume=self.volume_numbers[request.volume],
+            units=request.units,
+            shard=request.shard,
+            gateway_count=volume.heads,
+            is_client_retry=request.is_client_retry,
+            writes=request.method in _WRITING_METHODS,
+        )
+
+    def _attempt_ended(
+        self, pending: ClientRequest, attempt: NodeAttempt, outcome: AttemptOutcome
+    ) -> interface.Outcome:
+        event = super()._attempt_ended(pending, attempt, outcome)
+        if self.sharing is not None:
+            self.sharing.outcome(event, pending.request.volume, pending.request.units)
+        return event
+
     # ------------------------------------------------------------ actions
 
     def _probe(self, action: interface.Probe) -> None:
-        gevent.spawn(self._run_probe, action.node)
+        self.probes.spawn(self._run_probe, action.node)
 
     def _run_probe(self, node: int) -> None:
-        began, known, load = time.monotonic(), self.list.nodes.get(node), None
+        started_at = time.monotonic()
+        load: tuple[float, ...] | None = None
         result = interface.Result.CONNECT_FAILED
-        if known is not None:
+        listed = self.endpoints.nodes.get(node)
+        if listed is not None:
             try:
-                status, _ = call(
-                    self.pool(known.address), b"GET", b"/-/probe", began + self.config.nodes.connect_timeout
-                )
-                load = parse_node_report(status.headers.get(REPORT_HEADER)).load or None
-                result = interface.Result.SERVED if status.code == 200 else interface.Result.ERROR
+                result, load = self._probe_address(listed.address, started_at)
             except ConnectError:
                 result = interface.Result.CONNECT_FAILED
             except TimeoutError:
                 result = interface.Result.TIMED_OUT
             except (ConnectionLostError, HttpError, ValueError):
                 result = interface.Result.RESET
-        self.loop.tell(interface.Probed(node, result, time.monotonic() - began, load))
-
-    def _ended(self, pending: Pending, attempt: Attempt, outcome: AttemptOutcome) -> interface.Outcome:
-        event = super()._ended(pending, attempt, outcome)
-        if self.sharing is not None:
-            self.sharing.outcome(event, pending.req.volume, pending.req.units)
-        return event
-
-    def _tell_peer(self, action: interface.SendPeerMessage) -> None:
+        self.loop.post(interface.Probed(node, result, time.monotonic() - started_at, load))
+
+    def _probe_address(
+        self, node_address: tuple[str, int], started_at: float
+    ) -> tuple[interface.Result, tuple[float, ...] | None]:
+        deadline = started_at + self.config.nodes.connect_timeout
+        head, _ = call(self.pools.get(node_address), b"GET", b"/-/probe", deadline)
+        load = parse_node_report(head.headers.get(REPORT_HEADER)).load or None
+        result = interface.Result.SERVED if head.code == _OK else interface.Result.ERROR
+        return result, load
+
+    def _send_peer_message(self, action: interface.SendPeerMessage) -> None:
         if self.peers is not None:
             self.peers.send(action.gateway_id, action.body)
 
-    # ------------------------------------------------------------ seeing into it
+    # ------------------------------------------------------------ state for operators
+
+    def duty_status(self) -> dict[str, Any] | None:
+        """Return the state of leases; None: this gateway takes no part in them."""
+        return None if self.leases is None else self.leases.status()
+
+    def shared_status(self) -> dict[str, Any] | None:
+        """Return the state of gossip; None: this gateway takes no part in it."""
+        return None if self.sharing is None else self.sharing.status()
 
     def status(self) -> dict[str, Any]:
-        """What the head thinks of each node, and how it fares itself."""
+        """Return what the gateway thinks of each node, and how it fares itself."""
         now = time.monotonic()
         node_queues = {
             node_queue.node: node_queue
@@ -309,12 +377,12 @@
             if node_queue.node is not None
         }
         nodes = []
-        for ident, known in sorted(self.list.nodes.items()):
+        for ident, known in sorted(self.endpoints.nodes.items()):
             row: dict[str, Any] = {
                 "node": ident,
                 "address": f"{known.address[0]}:{known.address[1]}",
                 "zone": known.zone,
-                "cell": known.cell,
+                "cell": known.shard,
                 "listed": known.phase.value,
             }
             if (node_queue := node_queues.get(ident)) is not None:
@@ -333,11 +401,13 @@
         return {
             "head": self.config.head.number,
             "policy": self.config.head.policy,
-            "up_s": round(now - self.started, 1),
+            "up_s": round(now - self.started_at, 1),
             "list": {
-                "version": self.list.version,
-                "reachable": self.list.reachable,
-                "heard_s": round(now - self.list.heard, 2) if self.list.heard else None,
+                "version": self.endpoints.version,
+                "reachable": self.endpoints.reachable,
+                "heard_s": None
+                if self.endpoints.last_heard_at is None
+                else round(now - self.endpoints.last_heard_at, 2),
             },
             "in_hand": len(self.pending),
             "module": {
@@ -350,3 +420,10 @@
             "shared": self.shared_status(),
             "nodes": nodes,
         }
+
+
+def _node_state(node_queue: NodeQueue) -> str:
+    """Return what the scheduler makes of a node, in the words of the status page."""
+    if not node_queue.is_available():
+        return "trials only"
+    return "sound" if node_queue.slow_start.started_at is None else "may be cold"
--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -13,7 +13,7 @@
 import gevent
 
 from fawnspool.config.head import PlanBlock, SharedBlock
-from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.peers import PeerSocket
 from fawnspool.gossip.agent import Out, Sharer
 from fawnspool.gossip.messages import LEADING, Unread, pack, unpack
 from fawnspool.gossip.terms import Terms
@@ -38,7 +38,7 @@
         me: int,
         heads: int,
         seed: int,
-        peers: Peers,
+        peers: PeerSocket,
         names: dict[int, str],
         listed: Callable[[], int],
         doubts: Callable[[], list[tuple[int, int]]],
@@ -55,7 +55,7 @@
         self.greenlet: Any = None
 
     def start(self) -> None:
-        self.peers.claim(LEADING, self.hear)
+        self.peers.subscribe(LEADING, self.hear)
         self.greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
--- a/fawnspool/gateway/greenlet_pool.py
+++ b/fawnspool/gateway/greenlet_pool.py
@@ -1,4 +1,4 @@
-"""Greenlets that carry out attempts, kept for the next one: making a greenlet costs a tenth of a request's time."""
+"""Greenlets that run attempts and are reused for the next: starting one costs a tenth of a request's time."""
 
 from __future__ import annotations
 
@@ -10,39 +10,67 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 
 
-class Workers:
-    """Runs calls, each in a greenlet of its own, at once; at most `idle_most` idle ones are kept."""
+class GreenletPool:
+    """Runs calls, each at once and in a greenlet of its own.
 
-    def __init__(self, idle_most: int) -> None:
-        self.idle_most, self.idle = idle_most, list[_Worker]()
+    Parameters
+    ----------
+    max_idle
+        How many greenlets without a call wait for the next one.
+    """
 
-    def run(self, call: Callable[..., None], *args: Any) -> None:
-        """`call` must not raise."""
+    def __init__(self, max_idle: int) -> None:
+        self.max_idle = max_idle
+        self.idle: list[_PooledGreenlet] = []
+        self.stopped = False
+
+    def submit(self, call: Callable[..., None], *args: Any) -> None:
+        """Run `call`, which must not raise."""
         if self.idle:
-            worker = self.idle.pop()
-            worker.job = (call, args)
-            worker.wakeup.set()
-        else:
-            worker = _Worker()
-            worker.job = (call, args)
-            gevent.spawn(self._work, worker)
-
-    def _work(self, worker: _Worker) -> None:
-        while worker.job is not None:
-            call, args = worker.job
-            worker.job = None
+            greenlet = self.idle.pop()
+            greenlet.assign(call, args)
+            return
+        greenlet = _PooledGreenlet()
+        greenlet.assign(call, args)
+        gevent.spawn(self._run, greenlet)
+
+    def stop(self) -> None:
+        """End the idle greenlets now, and those at work with their calls."""
+        self.stopped = True
+        while self.idle:
+            self.idle.pop().wake.set()
+
+    def _run(self, greenlet: _PooledGreenlet) -> None:
+        while greenlet.call is not None:
+            call, args = greenlet.take()
             call(*args)
             del call, args
-            if len(self.idle) >= self.idle_most:
+            if self.stopped or len(self.idle) >= self.max_idle:
                 return
-            worker.wakeup.clear()
-            self.idle.append(worker)
-            worker.wakeup.wait(None)
+            greenlet.wake.clear()
+            self.idle.append(greenlet)
+            greenlet.wake.wait(None)
 
 
-class _Worker:
-    __slots__ = ("job", "wakeup")
+class _PooledGreenlet:
+    """The call that a greenlet runs next, and what wakes it for that."""
+
+    __slots__ = ("args", "call", "wake")
 
     def __init__(self) -> None:
-        self.wakeup = WakeupEvent()
-        self.job: tuple[Callable[..., None], tuple[Any, ...]] | None = None
+        self.wake = WakeupEvent()
+        self.call: Callable[..., None] | None = None
+        self.args: tuple[Any, ...] = ()
+
+    def assign(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        self.call = call
+        self.args = args
+        self.wake.set()
+
+    def take(self) -> tuple[Callable[..., None], tuple[Any, ...]]:
+        """The assigned call, which is then forgotten so that its arguments can be freed."""
+        assert self.call is not None
+        taken = self.call, self.args
+        self.call = None
+        self.args = ()
+        return taken
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -21,7 +21,7 @@
 from fawnspool.gateway.held_lease import HeldLease, LeaseExpiredError
 from fawnspool.gateway.lease_record import LeaseChange, LeaseRecord
 from fawnspool.gateway.peer_channel import FleetPlace, PeerChannel, PeerCodec
-from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.peers import PeerSocket
 from fawnspool.leases.acceptor import Acceptor
 from fawnspool.leases.actions import LeaseAction, LeaseMember, SendLeaseMessage
 from fawnspool.leases.fencing import StaleTokenError
@@ -75,7 +75,7 @@
         Where the acceptor keeps its votes.
     """
 
-    def __init__(self, config: DutiesBlock, place: FleetPlace, folder: Path, peers: Peers, log: Any) -> None:
+    def __init__(self, config: DutiesBlock, place: FleetPlace, folder: Path, peers: PeerSocket, log: Any) -> None:
         self.config = config
         self.log = log
         self.settings = lease_settings(config, place.gateway_count)
--- a/fawnspool/gateway/node_protocol.py
+++ b/fawnspool/gateway/node_protocol.py
@@ -1,4 +1,4 @@
-"""The project's own wire to its nodes (docs/node-wire.md), as the attempts speak it. No I/O, no choices."""
+"""The project's own protocol to its nodes (docs/node-wire.md), without I/O."""
 
 from __future__ import annotations
 
@@ -6,56 +6,73 @@
 
 from fawnspool.gateway.attempt_results import AttemptEnding
 from fawnspool.gateway.attempts import NodeFeedback
-from fawnspool.gateway.request_state import Attempt, Pending
+from fawnspool.gateway.request_state import ClientRequest, NodeAttempt
 from fawnspool.net.http import ResponseHead, format_request_head
 from fawnspool.net.node_headers import ATTEMPT_HEADER, REPORT_HEADER, AttemptHeader, parse_node_report
 from fawnspool.scheduling.interface import Settings
 
-_FINAL = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))  # of a request that the node understood
+_UNDERSTOOD = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))
+_UNAVAILABLE = 503
 
 
-class NodeSpeech:
-    """Speaks for head `number`; answers of over `max_buffered_bytes` bytes are passed on as they come."""
+class FawnspoolNodeProtocol:
+    """How this gateway speaks to its nodes.
+
+    Parameters
+    ----------
+    max_buffered_bytes
+        Bytes; a larger answer is passed on as it comes.
+    """
 
     streams_large = True
 
-    def __init__(self, number: int, settings: Settings, max_buffered_bytes: int) -> None:
-        self.number, self.settings, self.max_buffered_bytes = number, settings, max_buffered_bytes
+    def __init__(self, gateway_id: int, settings: Settings, max_buffered_bytes: int) -> None:
+        self.gateway_id = gateway_id
+        self.settings = settings
+        self.max_buffered_bytes = max_buffered_bytes
 
-    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
-        req = pending.req
-        cls = self.settings.classes[req.class_index]
-        call = AttemptHeader(
-            self.number,
-            req.id,
+    def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
+        """Return the head of the request to the node."""
+        request = pending.request
+        request_class = self.settings.classes[request.class_index]
+        attempt_header = AttemptHeader(
+            self.gateway_id,
+            request.id,
             attempt.number,
-            req.class_index,
-            req.units,
-            req.extent,
-            cls.idempotence.value,
-            cls.deduplication_scope.value,
-            cls.deduplication_window_s,
+            request.class_index,
+            request.units,
+            request.extent,
+            request_class.idempotence.value,
+            request_class.deduplication_scope.value,
+            request_class.deduplication_window_s,
             max(0.0, attempt.deadline - time.monotonic()),
-            pending.op,
-            pending.idem,
-        )
-        return format_request_head(
-            pending.method,
-            pending.target,
-            b"node",
-            [(ATTEMPT_HEADER, call.encode()), *pending.forward],
-            pending.body.length,
+            pending.operation_id,
+            pending.idempotency_key,
         )
+        headers = [(ATTEMPT_HEADER, attempt_header.encode()), *pending.forwarded_headers]
+        return format_request_head(pending.method, pending.target, b"node", headers, pending.body.length)
 
-    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+    def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
+        """Return what the answer's headers tell of the node.
+
+        Raises
+        ------
+        ValueError
+            They do not read, which spoils the answer.
+        """
         report = parse_node_report(head.headers.get(REPORT_HEADER))
-        used = None
-        if report.volume_units_per_s is not None:
-            rate = self.settings.plans[pending.req.plan_index].rate
-            used = report.volume_units_per_s / rate if rate > 0 else None
-        return NodeFeedback(report.served_elsewhere, used, report.load)
+        volume_use = self._volume_use(pending, report.volume_units_per_s)
+        return NodeFeedback(report.served_elsewhere, volume_use, report.load)
+
+    def _volume_use(self, pending: ClientRequest, units_per_s: float | None) -> float | None:
+        """The volume's use as a fraction of its rate; None: not known."""
+        rate = self.settings.plans[pending.request.plan_index].rate
+        if units_per_s is None or rate <= 0:
+            return None
+        return units_per_s / rate
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        if head.code == 503 and parse_node_report(head.headers.get(REPORT_HEADER)).overloaded:
+        """Return how an attempt ended whose answer came complete."""
+        if head.code == _UNAVAILABLE and parse_node_report(head.headers.get(REPORT_HEADER)).overloaded:
             return AttemptEnding.REJECTED
-        return AttemptEnding.ANSWERED if head.code in _FINAL else AttemptEnding.NODE_ERROR
+        return AttemptEnding.ANSWERED if head.code in _UNDERSTOOD else AttemptEnding.NODE_ERROR
--- /dev/null
+++ b/fawnspool/gateway/observability.py
@@ -0,0 +1,23 @@
+"""Where a gateway's core reports what it does: counters, log, decision recording and traces."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from fawnspool.telemetry.counters import GatewayCounters
+from fawnspool.telemetry.logs import EventLogger
+
+if TYPE_CHECKING:  # only a gateway that records or traces needs these and their libraries
+    from fawnspool.records.decision_recording import Recorder
+    from fawnspool.telemetry.traces import Traces
+
+
+@dataclass(frozen=True)
+class Observability:
+    """The sinks of one gateway. None: it does not record, or does not trace."""
+
+    metrics: GatewayCounters
+    log: EventLogger
+    recorder: Recorder | None = None
+    traces: Traces | None = None
--- a/fawnspool/gateway/peer_channel.py
+++ b/fawnspool/gateway/peer_channel.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Generic, TypeVar
 
-from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.peers import PeerSocket
 
 MessageT = TypeVar("MessageT")
 
@@ -37,7 +37,7 @@
 class PeerChannel(Generic[MessageT]):
     """One subsystem's messages to and from the other gateways."""
 
-    def __init__(self, peers: Peers, codec: PeerCodec[MessageT], log: Any) -> None:
+    def __init__(self, peers: PeerSocket, codec: PeerCodec[MessageT], log: Any) -> None:
         self.peers = peers
         self.codec = codec
         self.log = log
@@ -57,7 +57,7 @@
                 return
             handler(sender, message)
 
-        self.peers.claim(self.codec.leading_byte, receive)
+        self.peers.subscribe(self.codec.leading_byte, receive)
 
     def send(self, recipient: int, message: MessageT) -> None:
         """Send a message to one gateway, by its number."""
--- a/fawnspool/gateway/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -1,17 +1,18 @@
-"""Datagrams between heads. Lost ones are lost; one that comes twice is dropped, as what they carry must count once.
+"""Datagrams between gateways.
 
-    datagram = b"FP1", u32 sender, u64 life, u64 number, body (256 bytes at most)
+A lost datagram stays lost, and one that comes twice is dropped, as what it carries must count once.
 
-A body is the module's, or that of whoever has claimed its leading byte (`claim`).
+    datagram = b"FP1", u32 sender, u64 incarnation, u64 number, body (256 bytes at most)
+
+A body goes to the decision module, or to whoever has subscribed to its leading byte.
 """
 
 from __future__ import annotations
 
-import socket as std
+import socket as std_socket
 import struct
 import time
 from collections.abc import Callable
-from typing import Any
 
 import gevent
 from gevent import socket
@@ -19,59 +20,85 @@
 from fawnspool.connections.incarnations import IncarnationFilter
 from fawnspool.scheduling import interface
 
-_HEAD = struct.Struct(">3sIQQ")
-BODY_MOST = 256
+MAX_BODY_BYTES = 256
+_MAGIC = b"FP1"
+_HEADER = struct.Struct(">3sIQQ")
+_RECEIVE_BYTES = 2048  # more than any datagram of ours has, so that a longer one shows
+
+MessageHandler = Callable[[int, bytes], None]
+"""Takes the sender's number and the body."""
+
 
+class PeerSocket:
+    """This gateway's end of the datagrams, bound to `address` from the start.
 
-class Peers:
-    """This head's end of the datagrams."""
+    Parameters
+    ----------
+    addresses
+        Of all gateways, by number.
+    post
+        Takes the messages for the decision module.
+    """
 
     def __init__(
-        self, listen: tuple[str, int], me: int, addresses: dict[int, tuple[str, int]], tell: Callable[[Any], None]
+        self,
+        listen: tuple[str, int],
+        gateway_id: int,
+        addresses: dict[int, tuple[str, int]],
+        post: Callable[[interface.PeerMessage], None],
     ) -> None:
-        self.me, self.addresses, self.tell = me, addresses, tell
-        self.life, self.number = time.time_ns(), 0
+        self.gateway_id = gateway_id
+        self.addresses = addresses
+        self.post = post
+        self.incarnation = time.time_ns()
+        self.last_number = 0
         self.seen: dict[int, IncarnationFilter] = {}
-        self.claimed: dict[int, Callable[[int, bytes], None]] = {}
-        self.sock = socket.socket(std.AF_INET, std.SOCK_DGRAM)
+        self.subscribers: dict[int, MessageHandler] = {}
+        self.sock = socket.socket(std_socket.AF_INET, std_socket.SOCK_DGRAM)
         self.sock.bind(listen)
         self.address: tuple[str, int] = self.sock.getsockname()
-        self.greenlet = gevent.spawn(self._hear)
-
-    def claim(self, leading: int, hear: Callable[[int, bytes], None]) -> None:
-        """Bodies that begin with this byte go to `hear(sender, body)`; the module never sees them."""
-        self.claimed[leading] = hear
-
-    def send(self, head: int | None, body: bytes) -> None:
-        """To one head, or to every other (None)."""
-        self.number += 1
-        data = _HEAD.pack(b"FP1", self.me, self.life, self.number) + body[:BODY_MOST]
-        for number, address in self.addresses.items():
-            if number != self.me and head in (None, number):
+        self.greenlet = gevent.spawn(self._receive_all)
+
+    def subscribe(self, leading_byte: int, handler: MessageHandler) -> None:
+        """Pass bodies that begin with this byte to `handler`, and not to the module."""
+        self.subscribers[leading_byte] = handler
+
+    def send(self, gateway_id: int | None, body: bytes) -> None:
+        """Send to one gateway, or to every other (None)."""
+        self.last_number += 1
+        header = _HEADER.pack(_MAGIC, self.gateway_id, self.incarnation, self.last_number)
+        datagram = header + body[:MAX_BODY_BYTES]
+        for receiver, address in self.addresses.items():
+            if receiver != self.gateway_id and gateway_id in (None, receiver):
                 try:
-                    self.sock.sendto(data, address)
+                    self.sock.sendto(datagram, address)
                 except OSError:
                     continue  # a peer that is down: the datagram is lost
 
-    def _hear(self) -> None:
+    def stop(self) -> None:
+        """End the receiver and close the socket."""
+        self.greenlet.kill()
+        self.sock.close()
+
+    def _receive_all(self) -> None:
         while True:
             try:
-                data, _ = self.sock.recvfrom(2048)
+                datagram, _ = self.sock.recvfrom(_RECEIVE_BYTES)
             except ConnectionError:
                 continue  # an earlier datagram found nobody listening
-            if len(data) < _HEAD.size or len(data) > _HEAD.size + BODY_MOST:
-                continue
-            magic, sender, life, number = _HEAD.unpack_from(data)
-            if magic != b"FP1" or sender not in self.addresses or sender == self.me:
-                continue
-            if self.seen.setdefault(sender, IncarnationFilter()).accept(life, number, time.monotonic()):
-                body = data[_HEAD.size :]
-                hear = self.claimed.get(body[0]) if body else None
-                if hear is not None:
-                    hear(sender, body)
-                else:
-                    self.tell(interface.PeerMessage(sender, body))
+            self._receive(datagram)
 
-    def stop(self) -> None:
-        self.greenlet.kill()
-        self.sock.close()
+    def _receive(self, datagram: bytes) -> None:
+        if not _HEADER.size <= len(datagram) <= _HEADER.size + MAX_BODY_BYTES:
+            return
+        magic, sender, incarnation, number = _HEADER.unpack_from(datagram)
+        if magic != _MAGIC or sender not in self.addresses or sender == self.gateway_id:
+            return
+        if not self.seen.setdefault(sender, IncarnationFilter()).accept(incarnation, number, time.monotonic()):
+            return
+        body = datagram[_HEADER.size :]
+        handler = self.subscribers.get(body[0]) if body else None
+        if handler is not None:
+            handler(sender, body)
+        else:
+            self.post(interface.PeerMessage(sender, body))
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -135,7 +135,9 @@
     def shard_addresses(self) -> dict[int, tuple[str, int]]:
         """Return the addresses, by shard, of the nodes that take work."""
         return {
-            known.cell: known.address for known in self.view.nodes().values() if known.phase is not interface.Phase.GONE
+            known.shard: known.address
+            for known in self.view.nodes().values()
+            if known.phase is not interface.Phase.GONE
         }
 
     def extents_of(self, lease: HeldLease) -> list[ExtentRecord]:
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -1,86 +1,89 @@
-"""The head's side of a list service: a watch that stands and single calls, for any form of the list.
+"""A client of a list service: one standing watch and single polls, for any form of the list.
 
-One failure, one event: when to ask again is not settled here.
+Each failure is one `EndpointUpdate` event: when to ask again is not decided here.
 """
 
 from __future__ import annotations
 
-import re
 import time
-from collections.abc import Callable, Iterator
-from typing import Any, TypeVar
+from collections.abc import Callable
+from typing import TypeVar
 
 import gevent
 
-from fawnspool.connections.watch_timeouts import reopens_at_once
+from fawnspool.connections.watch_timeouts import WatchTimeouts, reopens_at_once
+from fawnspool.gateway.json_splitter import ObjectSplitter
 from fawnspool.net.client_connection import ClientConnection
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectionClosedError, PoolExhaustedError
 from fawnspool.net.http import format_request_head
 from fawnspool.scheduling import interface
+from fawnspool.telemetry.logs import EventLogger
 
-LINE_MOST = 4 << 20  # bytes of one object on a watch
-_EVICTIONS = 4  # connections closed for one of ours, at most
-_T = TypeVar("_T")
-_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-
-
-class ObjectSplitter:
-    """Bytes in, whole JSON objects out (b"" for an empty line between them). An object ends with the line that closes
-    its last brace: it may stand on one line or, indented, on several. Raises ValueError past `most` bytes."""
-
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.rest, self.parts = list[bytes](), list[bytes]()  # of a line, of an object that is not whole
-        self.tail = self.size = self.depth = 0
-
-    def feed(self, data: bytes) -> Iterator[bytes]:
-        *lines, last = data.split(b"\n")
-        for line in lines:
-            line, self.rest, self.tail = b"".join((*self.rest, line)), [], 0
-            if self.depth == 0 and not line.strip():
-                yield b""
-                continue
-            bare = _STRING.sub(b"", line)
-            self.depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
-            self.parts.append(line)
-            self.size += len(line)
-            if self.depth <= 0:
-                whole, self.parts, self.size, self.depth = b"\n".join(self.parts), [], 0, 0
-                yield whole
-        self.rest.append(last)
-        self.tail += len(last)
-        if self.size + self.tail > self.most:
-            raise ValueError(f"an object of over {self.most} bytes")
-
-
-class ListLink:
-    """Calls and watches of one service. `timeout`: seconds in which a call must have its answer and a watch its head,
-    connection included; `silence`: seconds without a whole line after which a watch counts as broken."""
+DEFAULT_MAX_OBJECT_BYTES = 4 << 20
+_MAX_CONNECTIONS = 4
+_IDLE_TIMEOUT_S = 60.0
+_MAX_EVICTIONS = 4  # connections closed for one of ours
+_OK = 200
+_Result = TypeVar("_Result")
+
+PostUpdate = Callable[[interface.EndpointUpdate], None]
+
+
+class MalformedUpdateError(ValueError):
+    """What the service sent does not read, or contradicts what it sent before."""
+
+
+class UnexpectedStatusError(Exception):
+    """The service answered with an error."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"answered {status}")
+        self.status = status
+
+
+class WatchEndedError(ConnectionClosedError):
+    """The service ended a watch."""
+
+    def __init__(self) -> None:
+        super().__init__("the watch ended")
+
+
+class WatchClient:
+    """Polls and watches one service; subclasses know the form of its list.
+
+    Parameters
+    ----------
+    post
+        Takes the events for the decision module.
+    free_descriptor
+        Closes a connection that can be spared; False: there is none.
+    """
 
     version = 0
-    line_most = LINE_MOST
+    max_object_bytes = DEFAULT_MAX_OBJECT_BYTES
 
     def __init__(
         self,
         address: tuple[str, int],
-        timeout: float,
-        silence: float,
-        tell: Callable[[Any], None],
-        log: Any,
+        timeouts: WatchTimeouts,
+        post: PostUpdate,
+        log: EventLogger,
         free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.timeout, self.silence, self.tell, self.log = timeout, silence, tell, log
-        self.free_descriptor = free_descriptor  # closes a connection that can be spared
-        self.pool = ConnectionPool(address, PoolOptions(4, timeout, 60.0))
-        self.heard = 0.0  # when the service last said anything
+        self.timeouts = timeouts
+        self.post = post
+        self.log = log
+        self.free_descriptor = free_descriptor
+        self.pool = ConnectionPool(address, PoolOptions(_MAX_CONNECTIONS, timeouts.call_s, _IDLE_TIMEOUT_S))
+        self.last_heard_at: float | None = None  # monotonic
         self.reachable = False
-        self.watching: Any = None
-        self.calls: set[Any] = set()
+        self.watch_greenlet: gevent.Greenlet | None = None
+        self.poll_greenlets: set[gevent.Greenlet] = set()
 
-    # ------------------------------------------------------------ what a form of the list gives
+    # ------------------------------------------------------------ the form of the list
 
-    def call_target(self) -> bytes:
+    def poll_target(self) -> bytes:
         """Where the whole list is asked for."""
         raise NotImplementedError
 
@@ -88,107 +91,128 @@
         """Where a watch of what follows `version` is asked for."""
         raise NotImplementedError
 
-    def take(self, data: bytes) -> None:
-        """What was told, the answer to a call or a line of a watch. Raises ValueError where it does not read."""
+    def apply(self, data: bytes) -> None:
+        """Take the answer to a poll, or an object of a watch.
+
+        Raises
+        ------
+        MalformedUpdateError
+            It does not read; the watch ends with it.
+        """
         raise NotImplementedError
 
-    def beat(self) -> None:
-        """The watch stands and has nothing to tell."""
+    def on_heartbeat(self) -> None:
+        """Take note that the watch stands and has no news."""
 
     # ------------------------------------------------------------ what the module asks for
 
     def stop(self) -> None:
+        """End the watch and all polls."""
         self.watch(False)
-        self.end_calls()
+        self.cancel_polls()
 
-    def end_calls(self) -> None:
-        """Calls under way tell nothing any more."""
-        gevent.killall(list(self.calls), block=False)
+    def cancel_polls(self) -> None:
+        """End the polls under way; their answers are not heard."""
+        gevent.killall(list(self.poll_greenlets), block=False)
 
     def watch(self, on: bool) -> None:
-        if self.watching is not None and (not on or self.watching.dead):
-            self.watching.kill(block=False)
-            self.watching = None
-        if on and self.watching is None:
-            self.watching = gevent.spawn(self._watch)
+        """Open a watch where none stands, or end the one that does."""
+        if self.watch_greenlet is not None and (not on or self.watch_greenlet.dead):
+            self.watch_greenlet.kill(block=False)
+            self.watch_greenlet = None
+        if on and self.watch_greenlet is None:
+            self.watch_greenlet = gevent.spawn(self._watch)
 
     def fetch(self) -> None:
-        """One call for the whole list."""
-        greenlet = gevent.spawn(self._fetch)
-        self.calls.add(greenlet)
-        greenlet.link(self.calls.discard)
+        """Ask for the whole list once."""
+        greenlet = gevent.spawn(self._poll)
+        self.poll_greenlets.add(greenlet)
+        greenlet.link(self.poll_greenlets.discard)
 
     # ------------------------------------------------------------ the service
 
-    def _fetch(self) -> None:
-        version = self.version
+    def _poll(self) -> None:
         try:
-            status, body = self._with_descriptor(
-                lambda: call(self.pool, b"GET", self.call_target(), time.monotonic() + self.timeout)
-            )
-            if status.code != 200:
-                raise ValueError(f"answered {status.code}")
-            if self.version != version:
-                self.log.info("an answer that a watch overtook is dropped")
-                return
-            self._heard(body)
-        except Exception as bad:  # whatever it is: the module has to know, or it never asks again
-            self._failed(bad)
+            self._apply_poll()
+        except Exception as error:  # whatever it is: the module has to know, or it never asks again
+            self._failed(error)
+
+    def _apply_poll(self) -> None:
+        version = self.version
+        status, body = self._with_descriptor(
+            lambda: call(self.pool, b"GET", self.poll_target(), time.monotonic() + self.timeouts.call_s)
+        )
+        if status.code != _OK:
+            raise UnexpectedStatusError(status.code)
+        if self.version != version:
+            self.log.info("endpoint_poll_overtaken_by_watch")
+            return
+        self._heard(body)
 
     def _watch(self) -> None:
-        """A watch that falls silent is opened anew at once, as what it missed counts as told soon; for any other
-        failure the module chooses when."""
-        me = gevent.getcurrent()
+        """Reopen a watch that falls silent at once, for what it missed has to be heard soon.
+
+        After any other failure the module chooses when.
+        """
+        this_greenlet = gevent.getcurrent()
         while True:
-            pool, link = self.pool, None  # a move changes the pool
+            pool = self.pool  # a move changes it
+            connection: ClientConnection | None = None
             try:
-                link, began = self._open_watch(pool)
-                self._follow(link, began)
-            except Exception as bad:
-                if self.watching is me and reopens_at_once(link is not None, isinstance(bad, TimeoutError)):
-                    self.log.warning("a watch fell silent and is opened anew")
+                connection = self._open_watch(pool)
+                self._follow(connection)
+            except Exception as error:
+                if self.watch_greenlet is not this_greenlet:
+                    return
+                if reopens_at_once(connection is not None, isinstance(error, TimeoutError)):
+                    self.log.warning("endpoint_watch_silent")
                     continue
-                if self.watching is me:
-                    self.watching = None
-                    self._failed(bad)
+                self.watch_greenlet = None
+                self._failed(error)
                 return
             finally:
-                if link is not None:
-                    pool.discard(link)
+                if connection is not None:
+                    pool.discard(connection)
 
-    def _open_watch(self, pool: ConnectionPool) -> tuple[ClientConnection, float]:
-        """A watch whose answer has begun, and when it did."""
-        until = time.monotonic() + self.timeout
-        link = self._with_descriptor(lambda: pool.acquire(until))
+    def _open_watch(self, pool: ConnectionPool) -> ClientConnection:
+        """Return a connection on which the answer to the watch has begun."""
+        deadline = time.monotonic() + self.timeouts.call_s
+        connection = self._with_descriptor(lambda: pool.acquire(deadline))
         try:
-            link.send(format_request_head(b"GET", self.watch_target(), b"list", []), until)
-            status = link.read_head(until)
-            if status.code != 200:
-                raise ValueError(f"answered {status.code}")
+            self._begin_watch(connection, deadline)
         except BaseException:
-            pool.discard(link)
+            pool.discard(connection)
             raise
-        return link, time.monotonic()
+        return connection
+
+    def _begin_watch(self, connection: ClientConnection, deadline: float) -> None:
+        connection.send(format_request_head(b"GET", self.watch_target(), b"list", []), deadline)
+        status = connection.read_head(deadline)
+        if status.code != _OK:
+            raise UnexpectedStatusError(status.code)
+
+    def _follow(self, connection: ClientConnection) -> None:
+        """Take in what a watch tells, until it ends.
 
-    def _follow(self, link: ClientConnection, last: float) -> None:
-        """Take in what a watch tells, until it ends. Only what is whole shows that it lives: an empty line, or an
-        object to its last brace, on one line or on several."""
-        lines = ObjectSplitter(self.line_most)
+        Only what is complete shows that it lives: an empty line, or an object to its last brace.
+        """
+        last_complete = time.monotonic()
+        splitter = ObjectSplitter(self.max_object_bytes)
         while True:
-            piece = link.read_piece(last + self.silence)
-            if piece is None:
-                raise ConnectionClosedError("the watch ended")
-            for whole in lines.feed(piece):
-                last = time.monotonic()
-                if whole:
-                    self._heard(whole)
+            data = connection.read_piece(last_complete + self.timeouts.silence_s)
+            if data is None:
+                raise WatchEndedError
+            for complete in splitter.feed(data):
+                last_complete = time.monotonic()
+                if complete:
+                    self._heard(complete)
                 else:
-                    self.heard = last
-                    self.beat()
+                    self.last_heard_at = last_complete
+                    self.on_heartbeat()
 
-    def _with_descriptor(self, work: Callable[[], _T]) -> _T:
-        """Work that needs a descriptor: where none is left, a connection that can be spared is closed for it."""
-        for _ in range(_EVICTIONS):
+    def _with_descriptor(self, work: Callable[[], _Result]) -> _Result:
+        """Do work that needs a descriptor; where none is left, spare connections are closed for it."""
+        for _ in range(_MAX_EVICTIONS):
             try:
                 return work()
             except PoolExhaustedError:
@@ -197,10 +221,11 @@
         return work()
 
     def _heard(self, data: bytes) -> None:
-        self.heard, self.reachable = time.monotonic(), True
-        self.take(data)
+        self.last_heard_at = time.monotonic()
+        self.reachable = True
+        self.apply(data)
 
-    def _failed(self, bad: Exception) -> None:
+    def _failed(self, error: Exception) -> None:
         self.reachable = False
-        self.log.warning("node list out of reach", error=str(bad) or type(bad).__name__)
-        self.tell(interface.EndpointUpdate(interface.UpdateKind.POLL_FAILED, self.version, ()))
+        self.log.warning("endpoint_service_unreachable", error=str(error) or type(error).__name__)
+        self.post(interface.EndpointUpdate(interface.UpdateKind.POLL_FAILED, self.version, ()))
--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a head: environment, configuration file, settings. Read, checked, passed on unchanged."""
+"""What the platform tells a gateway: environment, configuration file, settings. Read and checked here."""
 
 from __future__ import annotations
 
@@ -10,82 +10,119 @@
 from typing import Any
 
 from fawnspool.adapter.settings import SettingsError, read_tree
+from fawnspool.relay.errors import ConfigError, IncompleteConfigError, NoDescriptorLeftError
 from fawnspool.scheduling.interface import Settings
 
+__all__ = ["ConfigError", "IncompleteConfigError", "NoDescriptorLeftError", "RelayConfig", "load"]
 
-class ConfigError(Exception):
-    """The configuration can't be used; the text names the file, the place and what was expected. no_descriptor: there
-    was none left to read it with. not_whole: there was no file, or not to its end: it may just be written."""
-
-    def __init__(self, text: str, no_descriptor: bool = False, not_whole: bool = False) -> None:
-        super().__init__(text)
-        self.no_descriptor, self.not_whole = no_descriptor, not_whole
+CONFIG_VARIABLE = "RELAY_CONFIG"
+_NAME_VARIABLE = "RELAY_NAME"
+_LISTEN_VARIABLE = "RELAY_LISTEN"
+_DISCOVERY_VARIABLE = "RELAY_DISCOVERY"
+_DEFAULT_DESCRIPTORS = 1024
+_DEFAULT_MEMORY_MIB = 192
+_DEFAULT_NODE_IDLE_TIMEOUT_S = 15.0
+_BYTES_PER_MIB = 2**20
+_PORTS = range(1, 65536)
 
 
 @dataclass(frozen=True)
 class RelayConfig:
-    """One head's configuration. seed: for random numbers; known: the list as the head last had it."""
+    """One gateway's configuration.
+
+    Attributes
+    ----------
+    seed
+        For random numbers.
+    max_descriptors
+        Limit on the process' open files.
+    known_endpoints
+        The node list as the gateway last had it, in the platform's form.
+    zones, node_kinds
+        Names in the order of the module's numbers.
+    node_idle_timeout_s
+        After that nodes close an idle connection.
+    """
 
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int
-    memory: int  # bytes
-    known: Mapping[str, Any]
+    max_descriptors: int
+    memory_bytes: int
+    known_endpoints: Mapping[str, Any]
     settings: Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
-    idle_close: float  # a connection idle for this long is closed by the other side, seconds
+    node_kinds: tuple[str, ...]
+    node_idle_timeout_s: float
 
 
 def load(path: str, environ: Mapping[str, str]) -> RelayConfig:
-    """The file, the environment where the file says nothing. Raises ConfigError."""
-    try:
-        tree = json.loads(Path(path).read_text(encoding="utf-8"))
-    except OSError as bad:
-        raise ConfigError(
-            f"{path}: {bad.strerror}; RELAY_CONFIG names the configuration",
-            bad.errno in (errno.EMFILE, errno.ENFILE),
-            bad.errno == errno.ENOENT,
-        ) from None
-    except (ValueError, RecursionError) as bad:
-        raise ConfigError(f"{path}: not JSON: {bad}", not_whole=True) from None
+    """Read the file, and the environment where the file says nothing.
+
+    Raises
+    ------
+    ConfigError
+        It can't be used; the subclasses say why it can't be read.
+    """
+    tree = _read_json(path)
     if not isinstance(tree, dict):
-        raise ConfigError(f"{path}: expected an object")
+        raise ConfigError(path, "expected an object")
     settings = tree.get("settings")
     if not isinstance(settings, dict):
-        raise ConfigError(f"{path}: settings: expected an object")
-    limits, known = tree.get("limits") or {}, tree.get("known")
+        raise ConfigError(path, "settings: expected an object")
+    try:
+        return _read_tree(path, tree, settings, environ)
+    except SettingsError as error:
+        raise ConfigError(path, f"settings: {error}") from None
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise ConfigError(path, str(error)) from None
+
+
+def _read_json(path: str) -> Any:
     try:
-        return RelayConfig(
-            name=str(tree.get("name") or environ.get("RELAY_NAME", "")),
-            listen=_address(path, "listen", tree.get("listen") or environ.get("RELAY_LISTEN")),
-            discovery=_address(path, "discovery", tree.get("discovery") or environ.get("RELAY_DISCOVERY")),
-            seed=_seed(path, tree.get("seed", 0)),
-            sockets=int(limits.get("sockets", 1024)),
-            memory=int(float(limits.get("memory_mb", 192)) * 2**20),
-            known=known if isinstance(known, dict) else {},
-            settings=read_tree(settings),
-            zones=_names(settings, "localities"),
-            kinds=_names(settings, "kinds"),
-            idle_close=float((settings.get("limits") or {}).get("idle_close", 15.0)),
-        )
-    except SettingsError as bad:
-        raise ConfigError(f"{path}: settings: {bad}") from None
-    except (TypeError, ValueError, AttributeError, OverflowError) as bad:
-        raise ConfigError(f"{path}: {bad}") from None
-
-
-def _names(settings: Mapping[str, Any], place: str) -> tuple[str, ...]:
-    value = settings.get(place)
-    return tuple(str(v) for v in value) if isinstance(value, list) else ()
-
-
-def _address(path: str, place: str, raw: Any) -> tuple[str, int]:
+        return json.loads(Path(path).read_text(encoding="utf-8"))
+    except OSError as error:
+        problem = f"{error.strerror}; {CONFIG_VARIABLE} names the configuration"
+        if error.errno in (errno.EMFILE, errno.ENFILE):
+            raise NoDescriptorLeftError(path, problem) from None
+        if error.errno == errno.ENOENT:
+            raise IncompleteConfigError(path, problem) from None
+        raise ConfigError(path, problem) from None
+    except (ValueError, RecursionError) as error:
+        raise IncompleteConfigError(path, f"not JSON: {error}") from None
+
+
+def _read_tree(
+    path: str, tree: Mapping[str, Any], settings: Mapping[str, Any], environ: Mapping[str, str]
+) -> RelayConfig:
+    process_limits = tree.get("limits") or {}
+    request_limits = settings.get("limits") or {}
+    known = tree.get("known")
+    return RelayConfig(
+        name=str(tree.get("name") or environ.get(_NAME_VARIABLE, "")),
+        listen=_address(path, "listen", tree.get("listen") or environ.get(_LISTEN_VARIABLE)),
+        discovery=_address(path, "discovery", tree.get("discovery") or environ.get(_DISCOVERY_VARIABLE)),
+        seed=_seed(path, tree.get("seed", 0)),
+        max_descriptors=int(process_limits.get("sockets", _DEFAULT_DESCRIPTORS)),
+        memory_bytes=int(float(process_limits.get("memory_mb", _DEFAULT_MEMORY_MIB)) * _BYTES_PER_MIB),
+        known_endpoints=known if isinstance(known, dict) else {},
+        settings=read_tree(settings),
+        zones=_names(settings, "localities"),
+        node_kinds=_names(settings, "kinds"),
+        node_idle_timeout_s=float(request_limits.get("idle_close", _DEFAULT_NODE_IDLE_TIMEOUT_S)),
+    )
+
+
+def _names(settings: Mapping[str, Any], field: str) -> tuple[str, ...]:
+    value = settings.get(field)
+    return tuple(str(name) for name in value) if isinstance(value, list) else ()
+
+
+def _address(path: str, field: str, raw: Any) -> tuple[str, int]:
     host, _, port = str(raw or "").rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{path}: {place}: expected an address such as 10.0.0.4:8443, found {raw!r}")
+    if not host or not port.isdigit() or int(port) not in _PORTS:
+        raise ConfigError(path, f"{field}: expected an address such as 10.0.0.4:8443, found {raw!r}")
     return host, int(port)
 
 
@@ -93,4 +130,4 @@
     try:
         return int(raw, 16) if isinstance(raw, str) else int(raw)
     except (TypeError, ValueError):
-        raise ConfigError(f"{path}: seed: expected hex digits, found {raw!r}") from None
+        raise ConfigError(path, f"seed: expected hex digits, found {raw!r}") from None
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -1,4 +1,4 @@
-"""The platform's list of shelfs, as `EndpointUpdate` events. Inside, a shelf is a node and its block a cell."""
+"""A client of the platform's discovery service: its list of hosts as `EndpointUpdate` events."""
 
 from __future__ import annotations
 
@@ -11,158 +11,241 @@
 
 from fawnspool.connections.start_times import StartTimes
 from fawnspool.connections.watch_timeouts import accepts_older_snapshot, watch_timeouts
-from fawnspool.gateway.watch_client import ListLink
+from fawnspool.gateway.watch_client import PostUpdate, WatchClient
+from fawnspool.relay.errors import NotAnObjectError, NotJsonError, OutdatedListError, UnexpectedFieldError
 from fawnspool.scheduling import interface
+from fawnspool.telemetry.logs import EventLogger
 
-PLACE = b"/catalog/members"
+LIST_TARGET = b"/catalog/members"
 HEARTBEAT_S = 2.0  # while nothing changes, a watch says so this often (PROTOCOL, Discovery)
 _PHASES = {"active": interface.Phase.READY, "leaving": interface.Phase.DRAINING, "left": interface.Phase.GONE}
+_MS_PER_S = 1000
+_NUMBER_FIELDS = ("share", "born_ms")
+_MAX_LOGGED_ENTRY_CHARS = 200
+
+
+@dataclass(frozen=True)
+class EndpointNames:
+    """Names in the order of the module's numbers; any other name counts as the first."""
+
+    zones: tuple[str, ...]
+    kinds: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Shelf:
-    """What the head keeps of a listed shelf."""
+class DiscoveredNode:
+    """What the gateway keeps of a listed node."""
 
     name: str
     address: tuple[str, int]
     phase: interface.Phase
-    cell: int
+    shard: int
+
+
+@dataclass(frozen=True, slots=True)
+class ListedHost:
+    """An entry of the platform's list.
+
+    Attributes
+    ----------
+    zone, kind
+        Names; whatever stands in the list.
+    started_at
+        Seconds of the wall clock; 0: long ago.
+    """
+
+    node: DiscoveredNode
+    zone: Any
+    kind: Any
+    size: float
+    started_at: float
 
 
-class Discovery(ListLink):
-    """The list as this head has it. Shelfs are numbered here as they appear; a number is never given again."""
+class DiscoveryClient(WatchClient):
+    """The list as this gateway has it.
+
+    Nodes are numbered here as they appear; a number is never given again.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
-        zones: tuple[str, ...],
-        kinds: tuple[str, ...],
-        tell: Callable[[Any], None],
-        log: Any,
+        names: EndpointNames,
+        post: PostUpdate,
+        log: EventLogger,
         free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
-        times = watch_timeouts(HEARTBEAT_S)
-        super().__init__(address, times.call_s, times.silence_s, tell, log, free_descriptor)
-        self.zones, self.kinds = zones, kinds
-        self.nodes: dict[int, Shelf] = {}
+        super().__init__(address, watch_timeouts(HEARTBEAT_S), post, log, free_descriptor)
+        self.names = names
+        self.nodes: dict[int, DiscoveredNode] = {}
         self.numbers: dict[str, int] = {}
-        self.starts = StartTimes()
-        self.starts.observe_clocks(time.time(), time.monotonic())
-        self.last = 0
-        self.older = 0  # lists older than what is held, in a row
-        self.confirmed = False  # has the service said anything of the list that is held?
-
-    def fetch(self) -> None:
-        """Where lists are pushed, the push is a watch too: without one nothing would come after the first answer."""
-        self.watch(True)
-
-    def beat(self) -> None:
-        """Nothing has changed since the version that the watch named: a list that was only saved is so confirmed."""
-        if not self.confirmed:
-            self.confirmed = True
-            self.tell(interface.EndpointUpdate(interface.UpdateKind.DELTA, self.version, ()))
+        self.start_times = StartTimes()
+        self.start_times.observe_clocks(time.time(), time.monotonic())
+        self.last_number = 0
+        self.older_lists_in_row = 0
+        self.confirmed = False  # the service has said something of the list that is held
 
     def start(self, known: Mapping[str, Any]) -> None:
-        """Give the list that the configuration holds, which may be old."""
+        """Post the list of the configuration, which may be old."""
         try:
             self._apply(known, interface.UpdateKind.CACHED)
-        except ValueError as bad:
-            self.log.error("the known list does not read", error=str(bad))
-            self.tell(interface.EndpointUpdate(interface.UpdateKind.CACHED, 0, ()))
+        except ValueError as error:
+            self._start_without_list(error)
+
+    def _start_without_list(self, error: ValueError) -> None:
+        self.log.error("known_endpoints_malformed", error=str(error))
+        self.post(interface.EndpointUpdate(interface.UpdateKind.CACHED, 0, ()))
+
+    def fetch(self) -> None:
+        """Open the watch: where lists are pushed, a single answer would be followed by nothing."""
+        self.watch(True)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere from now on: a watch goes on there, from the version that is held."""
-        self.log.info("discovery moves", to=f"{address[0]}:{address[1]}")
-        old, watched = self.pool, self.watching is not None
-        self.pool = old.for_address(address)
-        self.watch(False)  # what the old place still says tells nothing any more
-        old.close_idle()
-        if watched:
+        """Go on at another address, from the version that is held."""
+        host, port = address
+        self.log.info("discovery_moved", to=f"{host}:{port}")
+        old_pool = self.pool
+        was_watching = self.watch_greenlet is not None
+        self.pool = old_pool.for_address(address)
+        self.watch(False)  # what the old address still says is not heard
+        old_pool.close_idle()
+        if was_watching:
             self.watch(True)
 
-    def call_target(self) -> bytes:
-        return PLACE
+    # ------------------------------------------------------------ the platform's form
+
+    def poll_target(self) -> bytes:
+        """Where the whole list is asked for."""
+        return LIST_TARGET
 
     def watch_target(self) -> bytes:
-        return PLACE + b"?stream=1&index=%d" % self.version
+        """Where a watch of what follows `version` is asked for."""
+        return LIST_TARGET + b"?stream=1&index=%d" % self.version
 
-    def take(self, data: bytes) -> None:
-        try:
-            told = json.loads(data)
-        except ValueError as bad:
-            raise ValueError(f"not JSON: {bad}") from None
-        if not isinstance(told, dict):
-            raise ValueError("expected an object")
-        whole, version = bool(told.get("whole", True)), _version(told)
+    def on_heartbeat(self) -> None:
+        """Confirm a list that was only cached: nothing has changed since the version that the watch named."""
+        if not self.confirmed:
+            self.confirmed = True
+            self.post(interface.EndpointUpdate(interface.UpdateKind.DELTA, self.version, ()))
+
+    def apply(self, data: bytes) -> None:
+        """Take a list or a change of it and post it; a change that is older than the list is heard already.
+
+        Raises
+        ------
+        MalformedUpdateError
+            It does not read, or is a whole list that is older than the one held.
+        """
+        message = _decode(data)
+        is_snapshot = bool(message.get("whole", True))
+        version = _version(message)
         if version < self.version:
-            if not whole:
-                return  # heard before
-            self.older += 1
-            if not accepts_older_snapshot(self.older):
-                raise ValueError(f"a list of {version}, older than {self.version}")
-        self.older = 0
-        self._apply(told, interface.UpdateKind.SNAPSHOT if whole else interface.UpdateKind.DELTA)
-
-    def _apply(self, told: Mapping[str, Any], kind: interface.UpdateKind) -> None:
-        version, rows = _version(told), told.get("hosts") or []
+            if not is_snapshot:
+                return
+            self.older_lists_in_row += 1
+            if not accepts_older_snapshot(self.older_lists_in_row):
+                raise OutdatedListError(version, self.version)
+        self.older_lists_in_row = 0
+        self._apply(message, interface.UpdateKind.SNAPSHOT if is_snapshot else interface.UpdateKind.DELTA)
+
+    def _apply(self, message: Mapping[str, Any], kind: interface.UpdateKind) -> None:
+        version = _version(message)
+        rows = message.get("hosts") or []
         if not isinstance(rows, list):
-            raise ValueError("hosts: expected a list")
+            raise UnexpectedFieldError("hosts", "a list")
         now = time.monotonic()
-        self.starts.observe_clocks(time.time(), now)
-        if kind is not interface.UpdateKind.DELTA:
+        self.start_times.observe_clocks(time.time(), now)
+        is_delta = kind is interface.UpdateKind.DELTA
+        if not is_delta:
             self.nodes = {}
-        entries = []
-        for row in rows:
-            try:
-                entry, shelf = self._read(row, now)
-            except (KeyError, TypeError, ValueError, AttributeError) as bad:
-                self.log.error("a list entry does not read", entry=str(row)[:200], error=str(bad))
-                continue
-            entries.append(entry)
-            if entry.phase is interface.Phase.GONE:
-                self.nodes.pop(entry.node, None)
-                self.numbers.pop(shelf.name, None)
-                self.starts.forget(shelf.name)
-            else:
-                self.nodes[entry.node] = shelf
-        if kind is not interface.UpdateKind.DELTA:
-            self.numbers = {shelf.name: node for node, shelf in self.nodes.items()}
-            self.starts.retain(set(self.numbers))
-        self.version, self.confirmed = version, kind is not interface.UpdateKind.CACHED
-        self.tell(interface.EndpointUpdate(kind, version, tuple(entries)))
-
-    def _read(self, row: Mapping[str, Any], now: float) -> tuple[interface.Endpoint, Shelf]:
-        name, state = str(row["host"]), row["health"]
-        if state not in _PHASES:
-            raise ValueError(f"health: expected one of {', '.join(_PHASES)}, found {state!r}")
-        host, _, port = str(row["dial"]).rpartition(":")
-        phase, cell, share, born = (
-            _PHASES[state],
-            int(row["block"]),
-            float(row.get("share", 1.0)),
-            float(row.get("born_ms", 0)),
-        )
-        if not math.isfinite(share + born):
-            raise ValueError("share and born_ms: expected numbers")
-        shelf = Shelf(name, (host, int(port)), phase, cell)
-        zone, made = row.get("site"), row.get("class")
-        node = self.numbers.get(name)
-        if node is None:  # it reads whole, so a number is not given in vain
-            self.last += 1
-            node = self.numbers[name] = self.last
+        endpoints = [endpoint for row in rows if (endpoint := self._apply_row(row, now)) is not None]
+        if not is_delta:
+            self.numbers = {node.name: number for number, node in self.nodes.items()}
+            self.start_times.retain(set(self.numbers))
+        self.version = version
+        self.confirmed = kind is not interface.UpdateKind.CACHED
+        self.post(interface.EndpointUpdate(kind, version, tuple(endpoints)))
+
+    def _apply_row(self, row: Any, now: float) -> interface.Endpoint | None:
+        """Take an entry; None: it does not read."""
+        try:
+            host = _read_host(row)
+            endpoint = self._endpoint(host, now)
+        except (KeyError, TypeError, ValueError, AttributeError) as error:
+            self._log_malformed(row, error)
+            return None
+        if endpoint.phase is interface.Phase.GONE:
+            self.nodes.pop(endpoint.node, None)
+            self.numbers.pop(host.node.name, None)
+            self.start_times.forget(host.node.name)
+        else:
+            self.nodes[endpoint.node] = host.node
+        return endpoint
+
+    def _log_malformed(self, row: Any, error: Exception) -> None:
+        self.log.error("endpoint_entry_malformed", entry=str(row)[:_MAX_LOGGED_ENTRY_CHARS], error=str(error))
+
+    def _endpoint(self, host: ListedHost, now: float) -> interface.Endpoint:
+        zones = self.names.zones
+        kinds = self.names.kinds
         return interface.Endpoint(
-            node,
-            self.zones.index(zone) if zone in self.zones else 0,
-            self.kinds.index(made) if made in self.kinds else 0,
-            cell,
-            phase,
-            share,
-            self.starts.started_at(name, born / 1000, now),
-        ), shelf
+            node=self._number(host.node.name),
+            zone=zones.index(host.zone) if host.zone in zones else 0,
+            kind=kinds.index(host.kind) if host.kind in kinds else 0,
+            shard=host.node.shard,
+            phase=host.node.phase,
+            size=host.size,
+            started_at=self.start_times.started_at(host.node.name, host.started_at, now),
+        )
+
+    def _number(self, name: str) -> int:
+        number = self.numbers.get(name)
+        if number is None:
+            self.last_number += 1
+            number = self.numbers[name] = self.last_number
+        return number
+
+
+def _decode(data: bytes) -> Mapping[str, Any]:
+    try:
+        message = json.loads(data)
+    except ValueError as error:
+        raise NotJsonError(error) from None
+    if not isinstance(message, dict):
+        raise NotAnObjectError
+    return message
 
 
-def _version(told: Mapping[str, Any]) -> int:
+def _version(message: Mapping[str, Any]) -> int:
+    raw = message.get("seq", 0)
     try:
-        return int(told.get("seq", 0))
+        return int(raw)
     except (TypeError, ValueError):
-        raise ValueError(f"seq: expected a whole number, found {told.get('seq')!r}") from None
+        raise UnexpectedFieldError("seq", f"a whole number, found {raw!r}") from None
+
+
+def _read_host(row: Mapping[str, Any]) -> ListedHost:
+    """Read an entry; this is where the platform's names become ours.
+
+    Raises
+    ------
+    KeyError, TypeError, ValueError, AttributeError
+        It does not read.
+    """
+    name = str(row["host"])
+    health = row["health"]
+    if health not in _PHASES:
+        raise UnexpectedFieldError("health", f"one of {', '.join(_PHASES)}, found {health!r}")
+    host, _, port = str(row["dial"]).rpartition(":")
+    shard = int(row["block"])
+    size = float(row.get("share", 1.0))
+    started_ms = float(row.get("born_ms", 0))
+    if not math.isfinite(size + started_ms):
+        raise UnexpectedFieldError(" and ".join(_NUMBER_FIELDS), "numbers")
+    return ListedHost(
+        node=DiscoveredNode(name, (host, int(port)), _PHASES[health], shard),
+        zone=row.get("site"),
+        kind=row.get("class"),
+        size=size,
+        started_at=started_ms / _MS_PER_S,
+    )
--- a/fawnspool/relay/node_client.py
+++ b/fawnspool/relay/node_client.py
@@ -1,4 +1,4 @@
-"""How shelfs are spoken to: one request's head, and what an answer of theirs means. No I/O, no choices."""
+"""The platform's protocol to its nodes, without I/O: a request's head, and what an answer means."""
 
 from __future__ import annotations
 
@@ -7,59 +7,73 @@
 
 from fawnspool.gateway.attempt_results import AttemptEnding
 from fawnspool.gateway.attempts import NodeFeedback
-from fawnspool.gateway.request_state import Attempt, Pending
+from fawnspool.gateway.request_state import ClientRequest, NodeAttempt
 from fawnspool.net.http import ResponseHead, format_request_head
 from fawnspool.scheduling.interface import Settings
 
-BODY_USUAL = 65536  # bytes of a body (PROTOCOL)
-BODY_MOST = 1 << 20  # good ones of 112 KB from clients and 400 KB from shelfs were seen all the same
+USUAL_BODY_BYTES = 65536  # PROTOCOL
+MAX_BODY_BYTES = 1 << 20  # good ones of 112 KB from clients and 400 KB from nodes come all the same
 _NOT_STARTED = b"not-started"
+_OK = 200
+_NEVER_RUN_STATUSES = (503, 504)
+_MS_PER_S = 1000
+_PERCENT = 100
 
 
-class ShelfSpeech:
-    """An answer's report that does not read tells nothing; the answer itself stays good."""
+class RelayNodeProtocol:
+    """How the platform's nodes are spoken to.
+
+    A report that does not read tells nothing; the answer that it came with stays good.
+    """
 
     streams_large = False
-    max_buffered_bytes = BODY_MOST
+    max_buffered_bytes = MAX_BODY_BYTES
 
     def __init__(self, settings: Settings) -> None:
-        self.fields = settings.load_report_fields
+        self.load_report_fields = settings.load_report_fields
 
-    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
-        left = max(1, round((attempt.deadline - time.monotonic()) * 1000))
-        return format_request_head(
-            pending.method,
-            pending.target,
-            b"shelf",
-            [*pending.forward, (b"Request-Timeout-Ms", b"%d" % left)],
-            pending.body.length,
-        )
+    def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
+        """Return the head of the request to the node."""
+        left_ms = max(1, round((attempt.deadline - time.monotonic()) * _MS_PER_S))
+        headers = [*pending.forwarded_headers, (b"Request-Timeout-Ms", b"%d" % left_ms)]
+        return format_request_head(pending.method, pending.target, b"shelf", headers, pending.body.length)
 
-    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
-        h = head.headers
-        used, others = _figure(h.get(b"x-volume-use")), _figure(h.get(b"x-served-elsewhere"))
-        return NodeFeedback(int(others or 0), None if used is None else used / 100, self._load(h.get(b"server-load")))
+    def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
+        """Return what the answer's headers tell of the node."""
+        headers = head.headers
+        volume_use_percent = _number(headers.get(b"x-volume-use"))
+        units_by_others = _number(headers.get(b"x-served-elsewhere"))
+        return NodeFeedback(
+            int(units_by_others or 0),
+            None if volume_use_percent is None else volume_use_percent / _PERCENT,
+            self._load_report(headers.get(b"server-load")),
+        )
 
-    def _load(self, raw: bytes | None) -> tuple[float, ...]:
-        """The report's values in the order of the settings; () where one is missing or does not read."""
-        if raw is None or not self.fields:
+    def _load_report(self, raw: bytes | None) -> tuple[float, ...]:
+        """Read the values in the order of the settings; () where one is missing or does not read."""
+        if raw is None or not self.load_report_fields:
             return ()
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
-        values = [_figure(pairs.get(name.encode())) for name in self.fields]
-        return () if None in values else tuple(v for v in values if v is not None)
+        values = [_number(pairs.get(field.encode())) for field in self.load_report_fields]
+        if None in values:
+            return ()
+        return tuple(value for value in values if value is not None)
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        if head.code == 200:
+        """Return how an attempt ended whose answer came complete."""
+        if head.code == _OK:
             return AttemptEnding.ANSWERED
-        if head.code in (503, 504) and head.headers.get(_NOT_STARTED) == b"1":
+        if head.code in _NEVER_RUN_STATUSES and head.headers.get(_NOT_STARTED) == b"1":
             return AttemptEnding.REJECTED
-        return AttemptEnding.NODE_ERROR  # 500, and whatever else can't be read as "never ran"
+        return AttemptEnding.NODE_ERROR  # also whatever else does not say that the request never ran
 
 
-def _figure(raw: bytes | None) -> float | None:
-    """A number of 0 or more, or None."""
+def _number(raw: bytes | None) -> float | None:
+    """Read a number of 0 or more; None: it is missing or does not read."""
+    if raw is None:
+        return None
     try:
-        value = float(raw) if raw is not None else math.nan
+        value = float(raw)
     except ValueError:
         return None
     return value if math.isfinite(value) and value >= 0 else None
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -1,8 +1,8 @@
 """The platform's clients: a request read and checked, handed to the core, and answered once.
 
-    client -> this file (parse, bounds) -> Core.take -> the module's loop -> a shelf -> one final answer here
+client -> this module (parse, limits) -> `GatewayCore.accept` -> event loop -> a node -> one final answer here
 
-Nothing malformed reaches the module.
+Nothing malformed reaches the decision module.
 """
 
 from __future__ import annotations
@@ -10,219 +10,309 @@
 import math
 import re
 import time
+from dataclasses import dataclass
 
 from fawnspool.connections.body_limits import admits_long_body
 from fawnspool.connections.descriptor_limits import ConnectionLimits
 from fawnspool.connections.idle_timeouts import CLIENT_IDLE_TIMEOUT_S, REQUEST_TIMEOUT_S
-from fawnspool.gateway.core import Core
-from fawnspool.gateway.request_state import Body, Kind, Pending
+from fawnspool.gateway.answer_reasons import reason_for_client
+from fawnspool.gateway.core import GatewayCore
+from fawnspool.gateway.request_state import AnswerKind, ClientRequest, RequestBody
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.http import MessageLimits, RequestHead
 from fawnspool.net.server import Server
 from fawnspool.net.server_connection import Exchange, ServerConnection
 from fawnspool.net.server_options import ServerCallbacks, ServerOptions
-from fawnspool.relay.node_client import BODY_MOST, BODY_USUAL
-from fawnspool.scheduling.interface import Idempotence, Request, Settings
+from fawnspool.relay.node_client import MAX_BODY_BYTES, USUAL_BODY_BYTES
+from fawnspool.scheduling.interface import Idempotence, Request, RequestClass, Settings
 
-HEALTH = b"/_health"
-HEAD_BYTES, HEAD_FIELDS = 8192, 40
-TURN = 16  # requests begun in one turn of the loop, at most
+HEALTH_TARGET = b"/_health"
+MAX_HEAD_BYTES = 8192
+MAX_HEAD_FIELDS = 40
+MAX_REQUESTS_PER_TURN = 16  # begun in one turn of the loop
+_MS_PER_S = 1000
 _TEXT = (b"Content-Type", b"text/plain")
-_IDENT = re.compile(rb"[!-~]{1,128}")
+_FORWARDED_HEADERS = (b"request-id", b"idempotency-key")
+_REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _OBJECT = re.compile(rb"[0-9a-fA-F]{1,16}")
 _IO = re.compile(rb"volume=([0-9a-fA-F]{1,16}),units=(\d{1,6}),shard=(-1|\d{1,6}),hosts=(\d{1,6})")
-_COUNT = re.compile(rb"[1-9]\d{0,8}")
+_TIMEOUT_MS = re.compile(rb"[1-9]\d{0,8}")
 
 
-class Front:
-    """Serves the platform's clients on `listen`."""
+@dataclass(frozen=True)
+class RequestIo:
+    """The X-IO header: what a request reads or writes."""
+
+    volume: int
+    units: int
+    shard: int
+    gateway_count: int
+
+
+class LongBodyMemory:
+    """The memory for bodies that are longer than usual, as clients decide how many of them come at once.
+
+    Parameters
+    ----------
+    total_bytes
+        That the gateway may use for everything.
+    """
+
+    def __init__(self, total_bytes: int) -> None:
+        self.total_bytes = total_bytes
+        self.by_exchange: dict[Exchange, int] = {}
+        self.used_bytes = 0
+
+    def reserve(self, exchange: Exchange, size: int) -> None:
+        """Reserve room for a body of `size` bytes in all, where that is more than usual.
+
+        Raises
+        ------
+        HttpError
+            There is no room.
+        """
+        additional = size - self.by_exchange.get(exchange, 0)
+        if size <= USUAL_BODY_BYTES or additional <= 0:
+            return
+        if not admits_long_body(additional, self.used_bytes, self.total_bytes):
+            raise HttpError(503, "too many long bodies at once")
+        self.by_exchange[exchange] = size
+        self.used_bytes += additional
+
+    def release(self, exchange: Exchange) -> None:
+        """Give back what was reserved for a request."""
+        self.used_bytes -= self.by_exchange.pop(exchange, 0)
+
+
+class RequestHandler:
+    """Serves the platform's clients on `listen`.
+
+    Parameters
+    ----------
+    memory_bytes
+        That the gateway may use for everything.
+    """
 
     def __init__(
-        self, core: Core, settings: Settings, listen: tuple[str, int], limits: ConnectionLimits, memory: int
+        self,
+        core: GatewayCore,
+        settings: Settings,
+        listen: tuple[str, int],
+        limits: ConnectionLimits,
+        memory_bytes: int,
     ) -> None:
-        """memory: bytes that the head may use in all."""
-        self.core, self.settings, self.memory = core, settings, memory
-        self.long = dict[Exchange, int]()  # bytes of bodies over the usual size in hand
-        self.held = 0  # their sum
-        self.classes = {c.name.encode(): k for k, c in enumerate(settings.classes)}
-        self.plans = {p.name.encode(): k for k, p in enumerate(settings.plans)}
-        self.open: dict[bytes, Pending] = {}  # by the client's id: one that is open is not taken twice
-        self.until = math.inf  # all answers have left by then (monotonic)
+        self.core = core
+        self.settings = settings
+        self.long_bodies = LongBodyMemory(memory_bytes)
+        self.class_indexes = {block.name.encode(): index for index, block in enumerate(settings.classes)}
+        self.plan_indexes = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
+        self.open: dict[bytes, ClientRequest] = {}  # by the client's id: one that is open is not taken twice
+        self.last_answer_by = math.inf  # monotonic; set when the gateway shuts down
         self.server = Server(
             listen,
             self.handle,
             ServerOptions(
-                MessageLimits(HEAD_BYTES, HEAD_FIELDS),
+                MessageLimits(MAX_HEAD_BYTES, MAX_HEAD_FIELDS),
                 idle_timeout_s=CLIENT_IDLE_TIMEOUT_S,
                 first_request_timeout_s=REQUEST_TIMEOUT_S,
                 read_timeout_s=REQUEST_TIMEOUT_S,
                 max_connections=limits.clients,
-                max_starts_per_turn=TURN,
+                max_starts_per_turn=MAX_REQUESTS_PER_TURN,
                 untrusted_clients=True,
                 crowded_from=limits.crowded_from,
             ),
             ServerCallbacks(
-                on_error=self._error,
-                on_rejected=self._bad,
-                on_unanswered=self._unanswered,
-                start_deadline=self._due,
+                on_error=self._on_error,
+                on_rejected=self._on_rejected,
+                on_unanswered=self._on_unanswered,
+                start_deadline=_start_deadline,
             ),
         )
 
     def start(self) -> None:
+        """Accept connections."""
         self.server.start()
 
-    def end_all(self) -> None:
-        """The program ends: whatever is still open is answered now."""
+    def fail_open_requests(self) -> None:
+        """Answer whatever is still open, as the process ends."""
         for pending in list(self.open.values()):
-            self.core.give_up(pending, Kind.FAILED)
+            self.core.abandon(pending, AnswerKind.FAILED)
 
-    def _error(self, bad: Exception) -> None:
-        self.core.log.error("the front raised", error=str(bad), exc_info=bad)
+    def _on_error(self, error: Exception) -> None:
+        self.core.log.error("request_handler_raised", error=str(error), exc_info=error)
 
-    def _bad(self, bad: HttpError) -> None:
-        counts = self.core.metrics.bad_requests
-        counts[bad.status] = counts.get(bad.status, 0) + 1
+    def _on_rejected(self, error: HttpError) -> None:
+        self.core.metrics.bad_request(error.status)
 
-    def _unanswered(self, conn: ServerConnection) -> None:
-        """A request was read and its connection ends without an answer."""
-        head = conn.exchange.head if conn.exchange is not None else None
-        ident = b"" if head is None else head.headers.get(b"request-id", b"")
+    def _on_unanswered(self, connection: ServerConnection) -> None:
+        """Log that a request was read and its connection ends without an answer."""
+        request_id = b""
+        if connection.exchange is not None:
+            request_id = connection.exchange.head.headers.get(b"request-id", b"")
         self.core.log.error(
-            "request left unanswered",
-            id=ident.decode("ascii", "replace"),
-            connection=conn.number,
-            connection_age_s=round(time.monotonic() - conn.opened_at, 4),
-            state=conn.state.value,
-            cause=conn.cause.value if conn.cause is not None else "",
+            "request_left_unanswered",
+            id=request_id.decode("ascii", "replace"),
+            connection=connection.number,
+            connection_age_s=round(time.monotonic() - connection.opened_at, 4),
+            state=connection.state.value,
+            cause=connection.cause.value if connection.cause is not None else "",
         )
 
-    def _due(self, head: RequestHead, came: float) -> float:
-        """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
-        raw = head.headers.get(b"request-timeout-ms", b"")
-        return came + (int(raw) / 1000 if _COUNT.fullmatch(raw) else REQUEST_TIMEOUT_S)
-
     # ------------------------------------------------------------ one request
 
     def handle(self, exchange: Exchange) -> None:
-        """One request, answered once. Raises HttpError for what can't be taken."""
+        """Answer one request, once.
+
+        Raises
+        ------
+        HttpError
+            It can't be taken.
+        """
         head = exchange.head
-        if head.target == HEALTH:
-            return exchange.respond(200, [_TEXT], b"ok\n")
-        if head.length is not None and head.length > BODY_MOST:
-            raise HttpError(413, f"a body has {BODY_MOST} bytes at most")
+        if head.target == HEALTH_TARGET:
+            exchange.respond(200, [_TEXT], b"ok\n")
+            return
+        if head.length is not None and head.length > MAX_BODY_BYTES:
+            raise _body_too_long()
         try:
-            self._hold(exchange, head.length or 0)
-            self._request(exchange)
+            self.long_bodies.reserve(exchange, head.length or 0)
+            self._serve(exchange)
         finally:
-            self.held -= self.long.pop(exchange, 0)
-
-    def _hold(self, exchange: Exchange, size: int) -> None:
-        """Room for a body of `size` bytes, if that is over the usual. Raises HttpError."""
-        more = size - self.long.get(exchange, 0)
-        if size > BODY_USUAL and more > 0:
-            if not admits_long_body(more, self.held, self.memory):
-                raise HttpError(503, "too many long bodies at once")
-            self.long[exchange] = size
-            self.held += more
-
-    def _request(self, exchange: Exchange) -> None:
-        head = exchange.head
-        req, patience = self._read(exchange)
-        h = head.headers
-        ident = h[b"request-id"]
-        forward: list[tuple[bytes, bytes]] = [(n, h[n]) for n in (b"request-id", b"idempotency-key") if n in h]
-        body = self._body(exchange)
-        if ident in self.open:
+            self.long_bodies.release(exchange)
+
+    def _serve(self, exchange: Exchange) -> None:
+        request = self._read_request(exchange)
+        request_id = exchange.head.headers[b"request-id"]
+        body = self._read_body(exchange)
+        if request_id in self.open:
             raise HttpError(409, "a request of this id is open")
-        cls, plan = self.settings.classes[req.class_index], self.settings.plans[req.plan_index]
-        margin = min(self.settings.answer_slack_s, patience / 4)
-        pending = Pending(
-            req,
-            head.method,
-            head.target,
-            forward,
-            Body(body, len(body)),
-            exchange,
-            ident.decode(),
-            "",
-            exchange.arrived_at,
-            exchange.arrived_at + patience - margin,
-            cls.name,
-            plan.name,
-        )
-        pending.deadline = min(pending.deadline, self.until)
-        self.open[ident] = pending
+        margin_s = min(self.settings.answer_slack_s, request.timeout_s / 4)
+        pending = self._pending(exchange, request, body, margin_s)
+        self.open[request_id] = pending
         try:
-            self.core.take(pending)
-            self.core.wait(pending, margin / 2, 0.0)
+            self.core.accept(pending)
+            self.core.wait_for_answer(pending, grace_s=margin_s / 2, streaming_s=0.0)
         finally:
-            del self.open[ident]
+            del self.open[request_id]
         self._finish(pending, exchange)
 
-    def _read(self, exchange: Exchange) -> tuple[Request, float]:
-        """The request for the module, and how long its client waits, seconds. Raises HttpError."""
-        head, h = exchange.head, exchange.head.headers
-        if not _IDENT.fullmatch(h.get(b"request-id", b"")):
+    def _pending(self, exchange: Exchange, request: Request, body: bytes, margin_s: float) -> ClientRequest:
+        head = exchange.head
+        deadline = exchange.arrived_at + request.timeout_s - margin_s
+        return ClientRequest(
+            request=request,
+            method=head.method,
+            target=head.target,
+            forwarded_headers=[(name, head.headers[name]) for name in _FORWARDED_HEADERS if name in head.headers],
+            body=RequestBody(body, len(body)),
+            exchange=exchange,
+            operation_id=head.headers[b"request-id"].decode(),
+            idempotency_key="",
+            arrived_at=exchange.arrived_at,
+            deadline=min(deadline, self.last_answer_by),
+            class_name=self.settings.classes[request.class_index].name,
+            plan_name=self.settings.plans[request.plan_index].name,
+        )
+
+    def _read_request(self, exchange: Exchange) -> Request:
+        """Make the module's request of the head, its time-out counted from the arrival; raise HttpError."""
+        head = exchange.head
+        headers = head.headers
+        if not _REQUEST_ID.fullmatch(headers.get(b"request-id", b"")):
             raise HttpError(400, "Request-Id is missing or does not read")
-        name = head.target.partition(b"?")[0].split(b"/")[1:2]
-        cls = self.classes.get(name[0] if name else b"")
-        if cls is None:
-            raise HttpError(404, "the first part of the path names no request class")
-        if head.method not in (b"GET", b"PUT") or (head.method == b"GET" and self.settings.classes[cls].writes):
-            raise HttpError(405, "a read is a GET, a write a PUT")
-        plan = self.plans.get(h.get(b"x-plan", b""))
-        if plan is None:
+        class_index = self._read_class(head)
+        plan_index = self.plan_indexes.get(headers.get(b"x-plan", b""))
+        if plan_index is None:
             raise HttpError(400, "X-Plan names no plan")
-        extent, io = h.get(b"x-object", b""), _IO.fullmatch(h.get(b"x-io", b"").replace(b" ", b""))
+        extent = headers.get(b"x-object", b"")
         if not _OBJECT.fullmatch(extent):
             raise HttpError(400, "X-Object has up to 16 hex digits")
-        if io is None:
+        request_io = self._read_io(head)
+        timeout_s = self._read_timeout(head, self.settings.classes[class_index])
+        return Request(
+            id=self.core.next_request_id(),
+            class_index=class_index,
+            plan_index=plan_index,
+            extent=int(extent, 16),
+            timeout_s=timeout_s,
+            volume=request_io.volume,
+            units=float(request_io.units),
+            shard=request_io.shard,
+            gateway_count=request_io.gateway_count,
+            is_client_retry=headers.get(b"client-retry") == b"1",
+            writes=head.method == b"PUT",
+        )
+
+    def _read_class(self, head: RequestHead) -> int:
+        """Read the request's class, the first part of its path."""
+        path = head.target.partition(b"?")[0]
+        parts = path.split(b"/")
+        class_index = self.class_indexes.get(parts[1] if len(parts) > 1 else b"")
+        if class_index is None:
+            raise HttpError(404, "the first part of the path names no request class")
+        is_read = head.method == b"GET"
+        if head.method not in (b"GET", b"PUT") or (is_read and self.settings.classes[class_index].writes):
+            raise HttpError(405, "a read is a GET, a write a PUT")
+        return class_index
+
+    def _read_io(self, head: RequestHead) -> RequestIo:
+        found = _IO.fullmatch(head.headers.get(b"x-io", b"").replace(b" ", b""))
+        if found is None:
             raise HttpError(400, "X-IO does not read: volume=HEX,units=N,shard=N,hosts=N")
-        units, cell, heads = int(io[2]), int(io[3]), int(io[4])
-        if not 1 <= units <= self.settings.largest_units or cell >= self.settings.shard_count or heads < 1:
+        read = RequestIo(
+            volume=int(found[1], 16), units=int(found[2]), shard=int(found[3]), gateway_count=int(found[4])
+        )
+        is_in_range = (
+            1 <= read.units <= self.settings.largest_units
+            and read.shard < self.settings.shard_count
+            and read.gateway_count >= 1
+        )
+        if not is_in_range:
             raise HttpError(400, "X-IO: units, shard or hosts out of range")
-        wait = h.get(b"request-timeout-ms", b"")
-        if not _COUNT.fullmatch(wait):
+        return read
+
+    def _read_timeout(self, head: RequestHead, request_class: RequestClass) -> float:
+        """Read how long the client waits, in seconds."""
+        raw = head.headers.get(b"request-timeout-ms", b"")
+        if not _TIMEOUT_MS.fullmatch(raw):
             raise HttpError(400, "Request-Timeout-Ms is a whole number of milliseconds above 0")
-        spec = self.settings.classes[cls]
-        if spec.idempotence is Idempotence.WITH_KEY and b"idempotency-key" not in h:
+        if request_class.idempotence is Idempotence.WITH_KEY and b"idempotency-key" not in head.headers:
             raise HttpError(400, "this class needs an Idempotency-Key")
-        patience = min(int(wait) / 1000, spec.deadline_s)
-        return Request(
-            self.core.next_id(),
-            cls,
-            plan,
-            int(extent, 16),
-            patience,
-            int(io[1], 16),
-            float(units),
-            cell,
-            heads,
-            h.get(b"client-retry") == b"1",
-            head.method == b"PUT",
-        ), patience
-
-    def _body(self, exchange: Exchange) -> bytes:
-        parts = []
+        return min(int(raw) / _MS_PER_S, request_class.deadline_s)
+
+    def _read_body(self, exchange: Exchange) -> bytes:
+        pieces = []
         for piece in exchange.body():
-            parts.append(piece)
-            if exchange.body_bytes > BODY_MOST:
-                raise HttpError(413, f"a body has {BODY_MOST} bytes at most")
-            self._hold(exchange, exchange.body_bytes)
-        return b"".join(parts)
-
-    def _finish(self, pending: Pending, exchange: Exchange) -> None:
-        kind, core = pending.kind, self.core
-        core.finished(pending, "failed" if kind is None else kind.value)
-        if kind is Kind.LEFT:
+            pieces.append(piece)
+            if exchange.body_bytes > MAX_BODY_BYTES:
+                raise _body_too_long()
+            self.long_bodies.reserve(exchange, exchange.body_bytes)
+        return b"".join(pieces)
+
+    def _finish(self, pending: ClientRequest, exchange: Exchange) -> None:
+        """Count the request and write its final answer."""
+        kind = pending.answer_kind or AnswerKind.FAILED
+        self.core.count_finished(pending, kind.value)
+        if kind is AnswerKind.CLIENT_LEFT:
             exchange.abandon()
-        elif kind is Kind.SERVED and pending.answer is not None:
+        elif kind is AnswerKind.SERVED and pending.answer is not None:
             exchange.respond(200, [], pending.answer.body)
-        elif kind is Kind.REFUSED:
-            wait = pending.retry_after
-            more = [(b"Retry-After", b"%.3f" % wait)] if wait > 0 else []
-            exchange.respond(503, [_TEXT, *more], b"refused: " + core.reason(pending).encode() + b"\n")
+        elif kind is AnswerKind.REJECTED:
+            headers = [_TEXT]
+            if pending.retry_after_s > 0:
+                headers.append((b"Retry-After", b"%.3f" % pending.retry_after_s))
+            exchange.respond(503, headers, b"refused: " + reason_for_client(pending).encode() + b"\n")
         else:
-            late = time.monotonic() >= pending.deadline
-            exchange.respond(504 if late else 502, [_TEXT], b"failed: " + core.reason(pending).encode() + b"\n")
+            is_late = time.monotonic() >= pending.deadline
+            reason = reason_for_client(pending).encode()
+            exchange.respond(504 if is_late else 502, [_TEXT], b"failed: " + reason + b"\n")
+
+
+def _body_too_long() -> HttpError:
+    return HttpError(413, f"a body has {MAX_BODY_BYTES} bytes at most")
+
+
+def _start_deadline(head: RequestHead, arrived_at: float) -> float:
+    """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
+    raw = head.headers.get(b"request-timeout-ms", b"")
+    return arrived_at + (int(raw) / _MS_PER_S if _TIMEOUT_MS.fullmatch(raw) else REQUEST_TIMEOUT_S)
--- /dev/null
+++ b/fawnspool/relay/snapshots.py
@@ -0,0 +1,149 @@
+"""Snapshots of what a gateway has done and of what it believes, and their form in the log."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from fawnspool.net.server import Server
+from fawnspool.scheduling.node_queue import NodeQueue
+from fawnspool.scheduling.scheduler import Scheduler
+from fawnspool.telemetry.counters import GatewayCounters
+
+_MS_PER_S = 1000
+_CLOSED_PREFIX = "closed "
+
+LogFields = dict[str, float]
+
+
+@dataclass(frozen=True)
+class CounterSnapshot:
+    """Totals since the start.
+
+    Attributes
+    ----------
+    requests
+        By outcome.
+    attempts
+        By result.
+    endings
+        Attempts by how they ended.
+    bad_requests
+        By status.
+    reasons
+        Requests not served, by outcome and reason.
+    closings
+        Connections of clients, by state and cause.
+    """
+
+    requests: Mapping[str, int]
+    attempts: Mapping[str, int]
+    endings: Mapping[str, int]
+    bad_requests: Mapping[int, int]
+    reasons: Mapping[tuple[str, str], int]
+    closings: Mapping[tuple[str, str], int]
+    accepted_connections: int
+    module_s: float
+    module_events: int
+    module_errors: int
+    overdue_answers: int
+    loop_lag_s: float
+    cpu_s: float
+
+    def log_fields(self) -> LogFields:
+        """Return the totals by the names that operators' searches know."""
+        fields: LogFields = {}
+        fields |= {f"request {outcome}": count for outcome, count in self.requests.items()}
+        fields |= {f"attempt {result}": count for result, count in self.attempts.items()}
+        fields |= {f"attempt ended: {ending}": count for ending, count in self.endings.items()}
+        fields |= {f"bad {status}": count for status, count in self.bad_requests.items()}
+        fields |= {f"{outcome}: {reason}": count for (outcome, reason), count in self.reasons.items()}
+        fields |= self.closing_fields()
+        fields |= {
+            "accepted": self.accepted_connections,
+            "module_s": self.module_s,
+            "events": self.module_events,
+            "errors": self.module_errors,
+            "overdue": self.overdue_answers,
+            "lag_s": self.loop_lag_s,
+            "cpu_s": self.cpu_s,
+        }
+        return fields
+
+    def closing_fields(self) -> LogFields:
+        """Return the part about connections that were closed."""
+        return {f"{_CLOSED_PREFIX}{state}: {cause}": count for (state, cause), count in self.closings.items()}
+
+
+def count_now(counters: GatewayCounters, server: Server) -> CounterSnapshot:
+    """Take a snapshot of the totals."""
+    requests: dict[str, int] = {}
+    for (_, _, outcome), count in counters.requests.items():
+        requests[outcome] = requests.get(outcome, 0) + count
+    attempts: dict[str, int] = {}
+    for (_, result), count in counters.attempts.items():
+        attempts[result] = attempts.get(result, 0) + count
+    return CounterSnapshot(
+        requests=requests,
+        attempts=attempts,
+        endings=dict(counters.endings),
+        bad_requests=dict(counters.bad_requests),
+        reasons=dict(counters.reasons),
+        closings=dict(server.closed_counts),
+        accepted_connections=server.accepted,
+        module_s=counters.module_seconds,
+        module_events=counters.module_events,
+        module_errors=counters.module_errors,
+        overdue_answers=counters.overdue,
+        loop_lag_s=counters.lag.total,
+        cpu_s=time.process_time(),
+    )
+
+
+def changes(now: LogFields, before: LogFields) -> LogFields:
+    """Return by how much each total grew, where it did."""
+    return {name: round(value - before.get(name, 0), 4) for name, value in now.items() if value != before.get(name, 0)}
+
+
+@dataclass(frozen=True)
+class NodeSnapshot:
+    """What the scheduler believes of one node."""
+
+    shard: int
+    is_available: bool
+    may_be_cold: bool
+    concurrency_limit: float
+    queued: int
+    in_flight: int
+    mean_response_s: float
+    mean_wait_s: float
+
+    def text(self) -> str:
+        """Return a few words for the log: milliseconds behind `r` and `w`."""
+        state = "sound" if self.is_available else "trials"
+        cold = " cold" if self.may_be_cold else ""
+        response_ms = self.mean_response_s * _MS_PER_S
+        wait_ms = self.mean_wait_s * _MS_PER_S
+        return (
+            f"{self.shard}:{state}{cold} b{self.concurrency_limit:.1f} h{self.queued} o{self.in_flight} "
+            f"r{response_ms:.0f} w{wait_ms:.0f}"
+        )
+
+
+def nodes_now(scheduler: Scheduler) -> list[NodeSnapshot]:
+    """Take a snapshot of the nodes that the scheduler knows."""
+    return [_node_snapshot(node_queue) for node_queue in scheduler.node_queues.values() if node_queue.node is not None]
+
+
+def _node_snapshot(node_queue: NodeQueue) -> NodeSnapshot:
+    return NodeSnapshot(
+        shard=node_queue.shard,
+        is_available=node_queue.is_available(),
+        may_be_cold=node_queue.slow_start.started_at is not None,
+        concurrency_limit=node_queue.concurrency.limit,
+        queued=node_queue.queue.queued,
+        in_flight=len(node_queue.in_flight),
+        mean_response_s=node_queue.response_times.mean_s,
+        mean_wait_s=node_queue.response_times.wait_s,
+    )
--- a/fawnspool/telemetry/traces.py
+++ b/fawnspool/telemetry/traces.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry traces of requests: a span for the request, one for each attempt with the reason for its end.
+"""OpenTelemetry traces of requests: a span for the request, and one for each attempt with the reason for its end.
 
 Spans go to a file, a JSON object a line. Which requests are traced is drawn by the trace's own sampler; a
 request that is not traced costs one comparison.
@@ -9,6 +9,7 @@
 import functools
 import json
 import time
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
@@ -20,17 +21,21 @@
 
 from fawnspool.records.background_writer import BackgroundWriter
 
+_NS_PER_S = 1e9
+_NS_PER_MS = 1e6
 
-class _Lines(SpanExporter):
-    """Writes each span as one line."""
 
-    def __init__(self, path: Path, behind: BackgroundWriter) -> None:
+class _LineExporter(SpanExporter):
+    """Writes each span as one line of a file, in the background."""
+
+    def __init__(self, path: Path, writer: BackgroundWriter) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
-        self.file, self.behind = path.open("a", encoding="utf-8"), behind
+        self.file = path.open("a", encoding="utf-8")
+        self.writer = writer
 
-    def export(self, spans: Any) -> SpanExportResult:
-        text = "".join(json.dumps(_row(span)) + "\n" for span in spans)
-        if self.behind.put(functools.partial(self._write, text), len(text)):
+    def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
+        text = "".join(json.dumps(_fields(span)) + "\n" for span in spans)
+        if self.writer.put(functools.partial(self._write, text), len(text)):
             return SpanExportResult.SUCCESS
         return SpanExportResult.FAILURE
 
@@ -39,49 +44,63 @@
         self.file.flush()
 
     def shutdown(self) -> None:
-        if not self.behind.put(self.file.close):
+        if not self.writer.put(self.file.close):
             self.file.close()
 
 
-def _row(span: ReadableSpan) -> dict[str, Any]:
-    context, start, end = span.get_span_context(), span.start_time or 0, span.end_time or 0
+def _fields(span: ReadableSpan) -> dict[str, Any]:
+    context = span.get_span_context()
+    started_ns = span.start_time or 0
+    ended_ns = span.end_time or 0
     return {
         "name": span.name,
         "trace": f"{context.trace_id:032x}" if context else "",
         "span": f"{context.span_id:016x}" if context else "",
         "parent": f"{span.parent.span_id:016x}" if span.parent else "",
-        "start_ns": start,
-        "ms": (end - start) / 1e6,
+        "start_ns": started_ns,
+        "ms": (ended_ns - started_ns) / _NS_PER_MS,
         **dict(span.attributes or {}),
     }
 
 
 class Traces:
-    """Draws and writes traces. Times given are monotonic seconds."""
-
-    def __init__(self, path: str, share: float, name: str, behind: BackgroundWriter) -> None:
-        provider = TracerProvider(resource=Resource({"service.name": name}), sampler=TraceIdRatioBased(share))
-        provider.add_span_processor(SimpleSpanProcessor(_Lines(Path(path), behind)))
-        self.provider, self.tracer = provider, provider.get_tracer("fawnspool")
-        self.offset = time.time() - time.monotonic()
-
-    def _ns(self, at: float) -> int:
-        return int((at + self.offset) * 1e9)
+    """Draws and writes traces; its times are seconds of the monotonic clock.
+
+    Parameters
+    ----------
+    share
+        Fraction of the requests that are traced.
+    service_name
+        Names this gateway in its traces.
+    """
+
+    def __init__(self, path: str, share: float, service_name: str, writer: BackgroundWriter) -> None:
+        resource = Resource({"service.name": service_name})
+        self.provider = TracerProvider(resource=resource, sampler=TraceIdRatioBased(share))
+        self.provider.add_span_processor(SimpleSpanProcessor(_LineExporter(Path(path), writer)))
+        self.tracer = self.provider.get_tracer("fawnspool")
+        self.wall_clock_offset_s = time.time() - time.monotonic()
+
+    def _wall_clock_ns(self, at: float) -> int:
+        return int((at + self.wall_clock_offset_s) * _NS_PER_S)
 
     def begin(self, at: float, **attributes: Any) -> Any:
-        """A request's span, or None where it is not drawn."""
-        span = self.tracer.start_span("request", start_time=self._ns(at), attributes=attributes)
+        """Return a request's span, or None where it is not traced."""
+        span = self.tracer.start_span("request", start_time=self._wall_clock_ns(at), attributes=attributes)
         return span if span.is_recording() else None
 
-    def attempt(self, parent: Any, began: float, ended: float, **attributes: Any) -> None:
-        span = self.tracer.start_span(
-            "attempt", context=set_span_in_context(parent), start_time=self._ns(began), attributes=attributes
-        )
-        span.end(self._ns(ended))
+    def attempt(self, parent: Any, started_at: float, ended_at: float, **attributes: Any) -> None:
+        """Write the span of an attempt."""
+        context = set_span_in_context(parent)
+        start_ns = self._wall_clock_ns(started_at)
+        span = self.tracer.start_span("attempt", context=context, start_time=start_ns, attributes=attributes)
+        span.end(self._wall_clock_ns(ended_at))
 
     def end(self, span: Any, at: float, **attributes: Any) -> None:
+        """Write a request's span."""
         span.set_attributes(attributes)
-        span.end(self._ns(at))
+        span.end(self._wall_clock_ns(at))
 
     def close(self) -> None:
+        """Write what is left and close the file."""
         self.provider.shutdown()
--- a/tests/e2e/relayrig.py
+++ b/tests/e2e/relayrig.py
@@ -13,7 +13,7 @@
 from gevent.server import StreamServer
 
 from fawnspool.relay.config import load
-from fawnspool.relay.process import Program
+from fawnspool.relay.process import RelayProcess
 from fawnspool.standins.platform import DiscoveryServer, Shelf
 from fawnspool.telemetry import logs
 from tests.e2e.rig import Client, wait_for
@@ -111,7 +111,7 @@
             free.bind(("127.0.0.1", 0))
             self.listen: tuple[str, int] = free.getsockname()
         self.write(self.discovery)
-        self.program = Program(load(str(self.path), {}), str(self.path), {})
+        self.program = RelayProcess(load(str(self.path), {}), str(self.path), {})
         self.core = self.program.core
         self.program.start()
         wait_for(lambda: self.discovery.watchers and self.program.discovery.version == self.discovery.seq)
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -16,7 +16,7 @@
 from fawnspool.config.checks import check_gateway
 from fawnspool.config.head import HeadConfig
 from fawnspool.config.schema import parse
-from fawnspool.gateway.gateway import Head
+from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
@@ -140,11 +140,11 @@
         )
         config = parse(text, "rig.hcl", HeadConfig, check_gateway)
         self.config = replace(config, head=replace(config.head, policy=policy))
-        self.head = Head(self.config)
+        self.head = Gateway(self.config)
         self.api = ObjectApi(self.head)
         self.head.start()
         self.api.start()
-        wait_for(lambda: len(self.head.list.nodes) == nodes and self.head.list.reachable)
+        wait_for(lambda: len(self.head.endpoints.nodes) == nodes and self.head.endpoints.reachable)
         wait_for(lambda: not self.head.loop.inbox)
 
     def make_node(self, k: int, cold: bool = False, port: int = 0) -> NodeServer:
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -24,13 +24,13 @@
 import pytest
 from gevent.event import Event
 
-from fawnspool.connections.watch_timeouts import watch_timeouts
-from fawnspool.gateway.watch_client import ObjectSplitter
+from fawnspool.connections.watch_timeouts import WatchTimeouts, watch_timeouts
+from fawnspool.gateway.json_splitter import ObjectSplitter
 from fawnspool.net import connection_pool
 from fawnspool.net import server as net_server
 from fawnspool.net.socket_stream import SocketStream
 from fawnspool.relay.discovery import HEARTBEAT_S
-from fawnspool.relay.process import read_whole
+from fawnspool.relay.process import read_config
 from fawnspool.scheduling import interface
 from fawnspool.standins.platform import DiscoveryServer
 from tests.e2e.relayrig import SETTINGS, WATCH, RawDiscovery, RelayRig, chunk, headers, plain_sock, text
@@ -114,14 +114,14 @@
 
 def gone(rig: RelayRig) -> None:
     """All that the head had in hand is over."""
-    wait_for(lambda: not rig.core.pending and not rig.program.front.open)
+    wait_for(lambda: not rig.core.pending and not rig.program.handler.open)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
 def test_nothing_is_sent_for_a_client_that_left_while_the_connection_came_up(
     rig: RelayRig, late: LateConnect, how: str
 ) -> None:
-    rig.core.sweeper.kill()  # the sweep sees it too, a little later
+    rig.core.checks.stop()  # the sweep sees it too, a little later
     late.asked, late.at_once = 0, 0
     sock = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: late.asked == 1)
@@ -138,7 +138,7 @@
 
 
 def test_nothing_is_sent_again_for_a_client_that_left_between_two_attempts(rig: RelayRig) -> None:
-    rig.core.sweeper.kill()
+    rig.core.checks.stop()
     shelf, seen = rig.shelfs[0], outcomes(rig)
     shelf.ends = True
     sock = rig.raw(b"")
@@ -179,7 +179,7 @@
     sock.sendall(text("/read", headers("r2", shard=1)) + text("/read", headers("r3", shard=1))[:50])
     before = len(looks)
     wait_for(lambda: len(looks) >= before + 3)  # the sweep has looked behind the first
-    assert rig.program.front.server.states() == {"in hand": 1}
+    assert rig.program.handler.server.states() == {"in hand": 1}
     shelf.hold.set()
     sock.sendall(text("/read", headers("r3", shard=1))[50:])
     got = b""
@@ -194,7 +194,7 @@
     """The loop stands still while they leave, so no sweep has seen one of them when the node has room again."""
     rig = RelayRig(tmp_path, sockets=1024)
     try:
-        rig.core.sweeper.kill()
+        rig.core.checks.stop()
         rig.shelfs[0].hold.clear()
         first = rig.raw(text("/read", headers("first", volume="1", obj="1")))
         wait_for(lambda: rig.asked() == ["first"])
@@ -231,9 +231,9 @@
 
 def rests(rig: RelayRig, ident: str) -> std.socket:
     """A kept connection, resting."""
-    before = len(rig.program.front.server.idle)
+    before = len(rig.program.handler.server.idle)
     sock = plain_sock(rig.listen, text("/read", headers(ident)))
-    wait_for(lambda: len(rig.program.front.server.idle) == before + 1)
+    wait_for(lambda: len(rig.program.handler.server.idle) == before + 1)
     assert sock.recv(4096).startswith(b"HTTP/1.1 200")
     return sock
 
@@ -258,7 +258,7 @@
 @pytest.mark.parametrize("used", [False, True])
 def test_who_has_asked_does_not_make_room(rig: RelayRig, used: bool) -> None:
     """Its bytes lie in the kernel, its greenlet has not run: it looks as if it rested."""
-    server = rig.program.front.server
+    server = rig.program.handler.server
     if used:
         asks, rests_still = rests(rig, "r0"), rests(rig, "r1")
     else:
@@ -274,7 +274,7 @@
 
 
 def test_nobody_makes_room_where_all_have_asked(rig: RelayRig) -> None:
-    server = rig.program.front.server
+    server = rig.program.handler.server
     asks = rests(rig, "r0")
     asks.sendall(text("/read", headers("r1")))
     assert not server.evict_waiting()
@@ -286,7 +286,7 @@
     rig: RelayRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The head has looked and seen nothing; then the bytes come; then it closes. Never sent on, and no answer begun."""
-    server = rig.program.front.server
+    server = rig.program.handler.server
     sock, real = rests(rig, "r0"), SocketStream.has_unread
 
     def unread(wire: SocketStream) -> bool:
@@ -306,7 +306,7 @@
 @pytest.mark.parametrize("used", [False, True])
 def test_a_request_that_comes_as_the_idle_time_ends_is_served(rig: RelayRig, used: bool) -> None:
     """The loop stands still over the end of the time, and finds both at one stroke."""
-    server = rig.program.front.server
+    server = rig.program.handler.server
     server.options.idle_timeout_s = server.options.first_request_timeout_s = 0.3
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
     wait_for(lambda: server.idle or server.new)
@@ -318,7 +318,7 @@
 
 @pytest.mark.parametrize("used", [False, True])
 def test_a_request_that_came_before_the_end_of_its_connection_is_served(rig: RelayRig, used: bool) -> None:
-    server = rig.program.front.server
+    server = rig.program.handler.server
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
     wait_for(lambda: server.idle or server.new)
     sock.sendall(text("/read", headers("r1")))
@@ -328,7 +328,7 @@
 
 
 def test_half_a_request_at_the_end_of_idle_connections_gets_its_time(rig: RelayRig) -> None:
-    server, whole = rig.program.front.server, text("/read", headers("r1"))
+    server, whole = rig.program.handler.server, text("/read", headers("r1"))
     sock = rests(rig, "r0")
     sock.sendall(whole[:30])
     server.drain(time.monotonic() + 5)
@@ -339,18 +339,18 @@
 
 def test_a_second_request_that_came_before_the_last_answer_is_answered_too(rig: RelayRig) -> None:
     """Read with the first or not, it is served, and the answer that ends the connection is the last one's."""
-    rig.program.front.server.draining = True
+    rig.program.handler.server.draining = True
     sock = plain_sock(rig.listen, text("/read", headers("r1")) + text("/read", headers("r2")))
     got = answer(sock)
     assert got.count(b"HTTP/1.1 200") == 2 and got.count(b"Connection: close") == 1
     assert got.index(b"r1 GET /read") < got.index(b"Connection: close") < got.index(b"r2 GET /read")
-    wait_for(lambda: not rig.program.front.server.connections)
+    wait_for(lambda: not rig.program.handler.server.connections)
     assert rig.asked() == ["r1", "r2"]
 
 
 def test_a_second_request_behind_the_last_answer_is_not_read(rig: RelayRig) -> None:
     """Its client has been told that the connection ends, and that nobody read what it sent all the same."""
-    rig.program.front.server.draining = True
+    rig.program.handler.server.draining = True
     sock = plain_sock(rig.listen, text("/read", headers("r1")))
     assert b"Connection: close" in answer(sock)
     sock.setblocking(True)
@@ -364,14 +364,14 @@
 def test_who_comes_while_all_places_are_taken_is_heard_later_and_not_closed(tmp_path: Path) -> None:
     rig = RelayRig(tmp_path, sockets=64)
     try:
-        server, shelf = rig.program.front.server, rig.shelfs[0]
+        server, shelf = rig.program.handler.server, rig.shelfs[0]
         shelf.hold.clear()
         rig.core.loop.module._shed_load = lambda node_queue: None
         busy = [
             plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
             for k in range(server.options.max_connections)
         ]
-        wait_for(lambda: len(rig.program.front.open) == server.options.max_connections)
+        wait_for(lambda: len(rig.program.handler.open) == server.options.max_connections)
         late_one = plain_sock(rig.listen, text("/read", headers("late", shard=1)))
         gevent.sleep(0.05)
         assert "late" not in rig.asked()
@@ -385,7 +385,7 @@
 
 
 def test_an_accept_that_fails_in_an_unknown_way_is_not_the_last(rig: RelayRig) -> None:
-    server = rig.program.front.server
+    server = rig.program.handler.server
     real, failed = server.sock, []
 
     class Odd:
@@ -423,7 +423,7 @@
 
 
 def test_no_single_fault_ends_the_modules_loop_or_the_sweep(rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
-    failed, prune = list[int](), rig.core._prune
+    failed, prune = list[int](), rig.core.pools.prune
 
     def odd() -> None:
         if not failed:
@@ -431,8 +431,8 @@
             raise KeyError("odd")
         prune()
 
-    monkeypatch.setattr(rig.core, "_prune", odd)
-    rig.core.loop.tell(lambda: failed[99])
+    monkeypatch.setattr(rig.core.pools, "prune", odd)
+    rig.core.loop.post(lambda: failed[99])
     wait_for(lambda: failed)
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
     rig.shelfs[0].hold.clear()
@@ -448,7 +448,7 @@
 @pytest.mark.parametrize("hangs", ["before its answer", "in its answer"])
 def test_each_request_has_one_whole_answer_when_the_head_ends(rig: RelayRig, late: LateConnect, hangs: str) -> None:
     """Held, being connected, out, answered in part, not yet whole, not yet begun: SIGTERM comes upon each at once."""
-    shelf, server = rig.shelfs[0], rig.program.front.server
+    shelf, server = rig.shelfs[0], rig.program.handler.server
     kept = rests(rig, "k0")
     if hangs == "before its answer":
         shelf.hold.clear()
@@ -471,7 +471,7 @@
     ending = gevent.spawn(rig.program.drain)
     again = gevent.spawn(rig.program.drain)  # a second signal
     rig.program.reload()  # and a new configuration
-    wait_for(lambda: rig.program.front.until < float("inf"))
+    wait_for(lambda: rig.program.handler.last_answer_by < float("inf"))
     socks["half"].sendall(whole[60:])
     ending.join(timeout=10)
     again.join(timeout=10)
@@ -539,7 +539,7 @@
 ) -> Iterator[RawDiscovery]:
     """The head follows discovery to one that plays `script`, and takes a shorter silence for the end of a watch."""
     raw = RawDiscovery(script)
-    rig.program.discovery.silence = rig.program.discovery.timeout = silence
+    rig.program.discovery.timeouts = WatchTimeouts(silence, silence)
     host, port = raw.address.split(":")
     rig.program.discovery.move((host, int(port)))
     try:
@@ -770,7 +770,7 @@
     sock, real = rests(rig, "r0"), time.time
     sock.sendall(text("/read", headers("r1", wait="1500")))
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    rig.program.front.server.draining = True
+    rig.program.handler.server.draining = True
     assert answer(sock).startswith(b"HTTP/1.1 200")
     left = [int(a.headers[b"request-timeout-ms"]) for a in rig.shelfs[0].asked if a.ident == "r1"]
     assert len(left) == 1 and 300 < left[0] <= 1000 * SETTINGS["classes"][0]["aim"]
@@ -965,7 +965,7 @@
 def test_a_start_on_a_configuration_that_is_just_written_waits_for_the_rest(rig: RelayRig) -> None:
     whole = rig.path.read_text()
     rig.path.write_text(whole[:100])
-    reader = gevent.spawn(read_whole, str(rig.path), {})
+    reader = gevent.spawn(read_config, str(rig.path), {})
     gevent.sleep(0)
     assert not reader.dead
     rig.path.write_text(whole)
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -95,13 +95,13 @@
         rig = Rig(tmp_path / str(len(made)), traits=SLOW, **more)
         if policy is not Scheduler:
             rig.head.loop.module = policy(rig.head.settings, 1)
-            rig.head.loop.tell(
+            rig.head.loop.post(
                 interface.EndpointUpdate(
                     interface.UpdateKind.SNAPSHOT,
                     9,
                     tuple(
-                        interface.Endpoint(n, 0, 0, known.cell, known.phase, 1.0, 0.0)
-                        for n, known in rig.head.list.nodes.items()
+                        interface.Endpoint(n, 0, 0, known.shard, known.phase, 1.0, 0.0)
+                        for n, known in rig.head.endpoints.nodes.items()
                     ),
                 )
             )
@@ -240,7 +240,7 @@
 
 def test_a_head_that_forgets_an_answer(rigs: Callable[..., Rig]) -> None:
     run = Run(rigs(Forgets, nodes=1))
-    run.rig.head.overdue = lambda pending: None  # type: ignore[method-assign]  # and its backstop with it
+    run.rig.head.answer_overdue = lambda pending: None  # type: ignore[method-assign]  # and its backstop with it
     run.rig.nodes[0].set_faults({"error": 1.0})
     run.ask(0.0, patience=0.3)
     assert "answered once" in broken(run.play())
@@ -269,7 +269,7 @@
 def test_a_head_that_answers_late(rigs: Callable[..., Rig]) -> None:
     run = Run(rigs(PassThrough, nodes=1))
     run.rig.head.config = replace(run.rig.head.config, clients=replace(run.rig.head.config.clients, answer_margin=-0.4))
-    run.rig.api.config = run.rig.head.config
+    run.rig.api.config = run.rig.api.reader.config = run.rig.head.config
     run.rig.nodes[0].set_faults({"lose": 1.0})
     run.ask(0.0, patience=0.3)
     assert "answered once" in broken(run.play())
@@ -282,7 +282,7 @@
             return super()._update_endpoints(replace(event, entries=ready))
 
     run = Run(rigs(SendsOn, nodes=1))
-    run.rig.head._withdrawn = lambda node: False  # type: ignore[method-assign]
+    run.rig.head._is_withdrawn = lambda node: False  # type: ignore[method-assign]
     for k in range(20):
         run.ask(k * 0.03)
 
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -11,7 +11,8 @@
 import pytest
 
 from fawnspool.gateway.attempt_results import NEVER_RAN, RESULTS, AttemptEnding
-from fawnspool.gateway.request_state import Kind
+from fawnspool.gateway.gateway import ObjectRequest
+from fawnspool.gateway.request_state import AnswerKind
 from fawnspool.model.node import NodeTraits
 from fawnspool.scheduling import interface
 from tests.e2e.rig import Rig, wait_for
@@ -40,13 +41,13 @@
 def watch_endings(rig: Rig) -> None:
     """Keep how each attempt ended, in order."""
     rig.ended = []  # type: ignore[attr-defined]
-    before = rig.head._ended
+    before = rig.head._attempt_ended
 
     def ended(pending: Any, attempt: Any, outcome: Any) -> interface.Outcome:
         rig.ended.append(outcome.ending)  # type: ignore[attr-defined]
         return before(pending, attempt, outcome)
 
-    rig.head._ended = ended  # type: ignore[method-assign]
+    rig.head._attempt_ended = ended  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
@@ -158,12 +159,12 @@
     c = rig.client()
     c.ask("PUT", KEY, b"x")
     watch_endings(rig)
-    pool = next(iter(rig.head.pools.values()))
+    pool = next(iter(rig.head.pools.by_address.values()))
     acquire, told = pool.acquire, []
 
     def late(deadline: float) -> Any:  # the notice comes while the connection is being made
         rig.list.change(rig.entry(0, "draining"))
-        wait_for(lambda: rig.head.list.nodes[1].phase is interface.Phase.DRAINING)
+        wait_for(lambda: rig.head.endpoints.nodes[1].phase is interface.Phase.DRAINING)
         told.append(time.monotonic())
         return acquire(deadline)
 
@@ -253,7 +254,7 @@
         c.ask("PUT", f"/v1/volumes/v/objects/{k}", b"%d" % k)
     where = {k: rig.catalogue.catalogue.find("v", str(k))[0] for k in range(8)}  # type: ignore[index]
     rig.list.gone()
-    wait_for(lambda: not rig.head.list.reachable)
+    wait_for(lambda: not rig.head.endpoints.reachable)
     rig.nodes[0].stop()  # dies, and another takes its cell at another port
     for k in range(8):
         got = c.ask("GET", f"/v1/volumes/v/objects/{k}", Fawn_Patience_Ms="300")
@@ -263,7 +264,7 @@
     rig.list.entries = {e.node: e for e in (rig.entry(0), rig.entry(1))}
     rig.list.version += 1
     rig.list.start()
-    wait_for(lambda: rig.head.list.reachable and 77 in rig.head.list.nodes, 15)
+    wait_for(lambda: rig.head.endpoints.reachable and 77 in rig.head.endpoints.nodes, 15)
     for k in range(8):
         assert wait_for(lambda k=k: c.ask("GET", f"/v1/volumes/v/objects/{k}").data == b"%d" % k)  # type: ignore[misc]
 
@@ -404,14 +405,18 @@
     taken: list[Any] = []
     submit = rig.head.submit
 
-    def keep(**more: Any) -> Any:
-        taken.append(submit(**more))
+    def keep(request: ObjectRequest) -> Any:
+        taken.append(submit(request))
         return taken[-1]
 
     rig.head.submit = keep  # type: ignore[method-assign]
     c.ask("GET", KEY)
     pending = taken[0]
-    assert pending.kind is Kind.SERVED
-    assert not pending.settle(Kind.FAILED) and not pending.begin() and pending.kind is Kind.SERVED
+    assert pending.answer_kind is AnswerKind.SERVED
+    assert (
+        not pending.settle(AnswerKind.FAILED)
+        and not pending.start_streaming()
+        and pending.answer_kind is AnswerKind.SERVED
+    )
     with pytest.raises(RuntimeError, match="answered once"):
         pending.exchange.respond(200, [])
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -439,7 +439,7 @@
         assert got.data == b"bytes" and int(got.getheader("Fawn-Map-Age-Ms")) > 1000
         status = rig.head.status()["map"]
         assert status["extents"] == 1 and not status["reachable"] and status["wrong_sends"] == 1
-        page = rig.head.figures.page().decode()
+        page = rig.head.exporter.page().decode()
         assert "fawnspool_map_wrong_sends_total 1.0" in page and "fawnspool_map_age_seconds " in page
     finally:
         rig.stop()
--- a/tests/e2e/test_objects.py
+++ b/tests/e2e/test_objects.py
@@ -121,7 +121,7 @@
     got = c.answer()
     assert got.status == status
     assert b'"error"' in got.data
-    assert rig.head.ids & 0xFFFFF == 0
+    assert rig.head.last_request_id & 0xFFFFF == 0
     timers = rig.head.metrics.module_events - before
     assert not rig.head.pending and timers <= 2  # the module's own timers at most
     if status not in (404, 405, 413) and b"objects/k HTTP/1.1" not in raw[:60] and b"%" not in raw:
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -79,10 +79,10 @@
         (7.0, 61.5),
     )
     assert seen[1].load_report is None and seen[1].volume_usage is None
-    assert rig.program.front.open == {} and not rig.core.pending
-    figures = rig.program.figures()
+    assert rig.program.handler.open == {} and not rig.core.pending
+    figures = rig.program.count().log_fields()
     assert figures["request served"] == 2 and figures["attempt served"] == 2 and figures["events"] > 4
-    assert [row.partition(" ")[0] for row in rig.program.nodes()] == ["0:sound", "1:sound"]
+    assert [node.text().partition(" ")[0] for node in rig.program.nodes()] == ["0:sound", "1:sound"]
 
 
 BAD = {
@@ -125,8 +125,8 @@
 @pytest.mark.parametrize("chunked", [False, True])
 def test_long_bodies_pass_whole_while_there_is_room_for_them(tmp_path: Path, chunked: bool) -> None:
     rig = RelayRig(tmp_path)
-    front = rig.program.front
-    front.memory = 8 * 250_000
+    memory = rig.program.handler.long_bodies
+    memory.total_bytes = 8 * 250_000
     try:
         rig.shelfs[0].hold.clear()
 
@@ -139,13 +139,13 @@
 
         first = ask("w1", 120_000)
         wait_for(lambda: rig.asked() == ["w1"])
-        assert front.held == 120_000
+        assert memory.used_bytes == 120_000
         assert ask("w2", 200_000).recv(4096).startswith(b"HTTP/1.1 503")  # not beside the first
         usual = ask("w3", 40_000)
         wait_for(lambda: rig.asked() == ["w1", "w3"])
         rig.shelfs[0].hold.set()
         assert first.recv(4096).startswith(b"HTTP/1.1 200") and usual.recv(4096).startswith(b"HTTP/1.1 200")
-        wait_for(lambda: front.held == 0 and not front.long)
+        wait_for(lambda: memory.used_bytes == 0 and not memory.by_exchange)
         assert ask("w4", 200_000).recv(4096).startswith(b"HTTP/1.1 200")
         assert [len(a.body) for a in rig.shelfs[0].asked] == [120_000, 40_000, 200_000]
     finally:
@@ -220,11 +220,11 @@
 def test_a_full_head_closes_who_waits_longest_without_a_request(tmp_path: Path) -> None:
     rig = RelayRig(tmp_path, sockets=64)
     try:
-        most = rig.program.front.server.options.max_connections
+        most = rig.program.handler.server.options.max_connections
         used = rig.client()
         assert used.ask("GET", "/read", **headers("r0")).status == 200
         quiet = [rig.raw(b"") for _ in range(most + 5)]
-        wait_for(lambda: len(rig.program.front.server.connections) == most)
+        wait_for(lambda: len(rig.program.handler.server.connections) == most)
         assert quiet[0].recv(1) == b""
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert used.ask("GET", "/read", **headers("r2")).status == 200  # it asked before: the quiet ones go first
@@ -236,13 +236,13 @@
     """Clients that ask once and stay would leave the others no connection to ask on."""
     rig = RelayRig(tmp_path, sockets=64)
     try:
-        crowd = rig.program.front.server.options.crowded_from
+        crowd = rig.program.handler.server.options.crowded_from
         for k in range(3 * crowd):
             c = rig.client()  # it never closes
             assert c.ask("GET", "/read", **headers(f"r{k}")).status == 200
-            assert len(rig.program.front.server.connections) <= crowd + 1
+            assert len(rig.program.handler.server.connections) <= crowd + 1
         assert c.sock.recv(1) == b""
-        rig.program.front.server.options.crowded_from = None
+        rig.program.handler.server.options.crowded_from = None
         c = rig.client()
         for k in range(2):
             assert c.ask("GET", "/read", **headers(f"k{k}")).status == 200
@@ -295,7 +295,7 @@
 
 def test_a_head_without_a_place_left_holds_nothing_against_the_shelf(rig: RelayRig) -> None:
     seen = outcomes(rig)
-    pool = rig.core.pool(rig.shelfs[0].server.address)
+    pool = rig.core.pools.get(rig.shelfs[0].server.address)
     pool.options = replace(pool.options, max_connections=0)
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 503
     assert seen and {o.result for o in seen} == {interface.Result.NOT_SENT}
@@ -309,7 +309,7 @@
     wait_for(lambda: rig.asked() == ["r1"])
     sock.close()
     wait_for(lambda: [o.result for o in seen] == [interface.Result.CANCELLED])
-    wait_for(lambda: not rig.core.pending and not rig.program.front.open)
+    wait_for(lambda: not rig.core.pending and not rig.program.handler.open)
     assert all(
         conn.stream.peer_left() for conn in shelf.server.connections
     )  # its shelf is told by the end of the connection
@@ -338,13 +338,15 @@
     got = rig.client().ask("GET", "/read", **headers("r1", plan="tight", units=8))
     assert got.status == 503 and 0 < float(got.headers["Retry-After"]) <= 0.5
     assert time.monotonic() - began < 0.3 and rig.asked() == []
-    assert [why for why in rig.program.figures() if why.startswith("refused: turned away before any attempt")]
+    assert [
+        why for why in rig.program.count().log_fields() if why.startswith("refused: turned away before any attempt")
+    ]
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_taken(rig: RelayRig) -> None:
     c = rig.client()
     assert c.ask("GET", "/read", **headers("r1")).status == 200
-    server = rig.program.front.server
+    server = rig.program.handler.server
     wait_for(lambda: server.idle)
     next(iter(server.idle)).stream.close()
     with pytest.raises((ConnectionError, http.client.HTTPException)):
@@ -357,7 +359,7 @@
     row = first["hosts"][0]
     for k in range(2000):
         rows = [row | {"host": f"new-{k}"}, row | {"host": f"new-{k - 1}", "health": "left"}]
-        discovery.take(json.dumps({"seq": first["seq"] + k + 1, "whole": False, "hosts": rows}).encode())
+        discovery.apply(json.dumps({"seq": first["seq"] + k + 1, "whole": False, "hosts": rows}).encode())
     wait_for(lambda: not rig.core.loop.inbox)
     assert len(discovery.nodes) <= 4 and len(discovery.numbers) <= 4 and len(module.endpoints.nodes) <= 4
     assert len(module.node_queues) == 2
@@ -480,7 +482,7 @@
     wait_for(lambda: len(shelf.asked) == 4)
     shelf.hold.set()
     assert all(s.recv(4096).startswith(b"HTTP/1.1 200") for s in socks)
-    pool = rig.core.pools[shelf.server.address]
+    pool = rig.core.pools.by_address[shelf.server.address]
     wait_for(lambda: len(pool.idle) == 4)
     shelf.cuts_kept = True
     seen.clear()
@@ -503,11 +505,11 @@
 def test_connections_to_shelfs_that_left_or_closed_are_given_back(rig: RelayRig) -> None:
     for k in range(2):
         assert rig.client().ask("GET", "/read", **headers(f"r{k}", shard=k)).status == 200
-    wait_for(lambda: sum(p.open_count for p in rig.core.pools.values()) == 2)
+    wait_for(lambda: sum(p.open_count for p in rig.core.pools.by_address.values()) == 2)
     rig.discovery.change(rig.discovery.rows["s-0"] | {"health": "left"})
-    wait_for(lambda: rig.shelfs[0].server.address not in rig.core.pools)
+    wait_for(lambda: rig.shelfs[0].server.address not in rig.core.pools.by_address)
     wait_for(lambda: not rig.shelfs[0].server.connections)  # seen from the other end
-    pool = rig.core.pools[rig.shelfs[1].server.address]
+    pool = rig.core.pools.by_address[rig.shelfs[1].server.address]
     rig.shelfs[1].server.reset_all()
     wait_for(lambda: pool.open_count == 0)
     assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200
@@ -560,14 +562,14 @@
 
 def test_a_second_sigterm_gives_no_more_time_and_sighup_changes_discovery_alone(rig: RelayRig) -> None:
     ending = gevent.spawn(rig.program.drain)
-    wait_for(lambda: rig.program.front.until < math.inf)
-    until = rig.program.front.until
+    wait_for(lambda: rig.program.handler.last_answer_by < math.inf)
+    until = rig.program.handler.last_answer_by
     rig.settings = rig.settings | {"classes": [c | {"deadline": 9.0} for c in SETTINGS["classes"]]}
     rig.write(rig.discovery)
     rig.program.reload()
     again = gevent.spawn(rig.program.drain)
     gevent.joinall([ending, again], timeout=10)
-    assert ending.ready() and again.ready() and rig.program.front.until == until
+    assert ending.ready() and again.ready() and rig.program.handler.last_answer_by == until
     assert rig.program.config.settings.classes[0].deadline_s == 2.0
 
 
@@ -580,7 +582,7 @@
     wait_for(lambda: "r1" in rig.asked())
     began = time.monotonic()
     ending = gevent.spawn(rig.program.drain)
-    wait_for(lambda: rig.program.front.until < math.inf)
+    wait_for(lambda: rig.program.handler.last_answer_by < math.inf)
     assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200  # a new connection still comes
     last, served = 0.0, 0
     while not ending.ready():
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -51,8 +51,8 @@
 SLOW_STOP = """
 import os, sys, gevent
 from fawnspool.relay import process
-real = process.Program.stop
-process.Program.stop = lambda self: (gevent.sleep(0.05), real(self))
+real = process.RelayProcess.stop
+process.RelayProcess.stop = lambda self: (gevent.sleep(0.05), real(self))
 sys.exit(process.main(os.environ))
 """
 
@@ -121,7 +121,7 @@
         kept = plain_sock(rig.listen, text("/read", headers("kept", shard=1)))
         wait_for(lambda: "kept" in rig.asked())
         process.send_signal(signal.SIGTERM)
-        wait_for(lambda: b'"idle connections are closed"' in log.read_bytes())
+        wait_for(lambda: b'"idle_connections_closed"' in log.read_bytes())
         late: Any = None
         with contextlib.suppress(ConnectionRefusedError):
             late = plain_sock(rig.listen)
@@ -177,7 +177,7 @@
     rig: RelayRig, monkeypatch: pytest.MonkeyPatch, end: str, used: bool
 ) -> None:
     """Its client is told by the system's reset that nobody read it, and may send it again."""
-    server = rig.program.front.server
+    server = rig.program.handler.server
     if end == "idle time":
         server.options.idle_timeout_s = server.options.first_request_timeout_s = 0.2
     sock = rests(rig, "r0") if used else plain_sock(rig.listen)
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -10,10 +10,10 @@
 import gevent
 import pytest
 
-from fawnspool.gateway.endpoint_client import ListClient
+from fawnspool.gateway.endpoint_client import EndpointClient, EndpointClientConfig
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.gateway.greenlet_pool import Workers
-from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.greenlet_pool import GreenletPool
+from fawnspool.gateway.peers import PeerSocket
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Writer
 from fawnspool.scheduling import interface
@@ -36,18 +36,16 @@
 
     def __init__(self, server: NodeListServer, tmp: Path, pushes: bool) -> None:
         self.events: list[interface.EndpointUpdate] = []
-        self.client = ListClient(
-            server.where,
-            0,
-            ("zone-a",),
-            ("node",),
-            pushes,
-            0.5,
-            tmp / "list.json",
-            self.events.append,
-            logs.get(),
-            BackgroundWriter(),
+        config = EndpointClientConfig(
+            address=server.where,
+            gateway_id=0,
+            zones=("zone-a",),
+            kinds=("node",),
+            pushes=pushes,
+            call_timeout_s=0.5,
+            cache=tmp / "list.json",
         )
+        self.client = EndpointClient(config, self.events.append, logs.get(), BackgroundWriter())
 
     def kinds(self) -> list[interface.UpdateKind]:
         return [e.kind for e in self.events]
@@ -182,8 +180,8 @@
 
 def test_datagrams_count_once_and_strangers_do_not_count() -> None:
     heard: list[Any] = []
-    b = Peers(("127.0.0.1", 0), 1, {0: ("127.0.0.1", 1)}, heard.append)
-    a = Peers(("127.0.0.1", 0), 0, {1: b.address, 2: ("127.0.0.1", 1)}, heard.append)
+    b = PeerSocket(("127.0.0.1", 0), 1, {0: ("127.0.0.1", 1)}, heard.append)
+    a = PeerSocket(("127.0.0.1", 0), 0, {1: b.address, 2: ("127.0.0.1", 1)}, heard.append)
     a.send(None, b"hello")
     a.send(1, b"again")
     wait_for(lambda: len(heard) == 2)
@@ -191,7 +189,7 @@
     sent = a.sock.sendto
     a.sock.sendto(b"nonsense", b.address)
     a.sock.sendto(b"FP1" + (7).to_bytes(4, "big") + bytes(16) + b"stranger", b.address)
-    a.number -= 1
+    a.last_number -= 1
     a.send(1, b"twice")  # the same number: a datagram that came twice
     a.send(1, b"new")
     wait_for(lambda: len(heard) == 3)
@@ -200,19 +198,23 @@
     b.stop()
 
 
-def test_workers_are_kept_within_a_bound() -> None:
-    workers, done = Workers(2), list[int]()
+def test_idle_greenlets_are_kept_within_a_bound_and_end_with_their_pool() -> None:
+    pool = GreenletPool(2)
+    done: list[int] = []
 
     def work(k: int) -> None:
         gevent.sleep(0.001)
         done.append(k)
 
     for k in range(6):
-        workers.run(work, k)
+        pool.submit(work, k)
     wait_for(lambda: len(done) == 6)
-    wait_for(lambda: len(workers.idle) == 2)
-    workers.run(work, 7)
-    wait_for(lambda: done[-1] == 7 and len(workers.idle) == 2)
+    wait_for(lambda: len(pool.idle) == 2)
+    pool.submit(work, 7)
+    wait_for(lambda: done[-1] == 7 and len(pool.idle) == 2)
+    pool.submit(work, 8)
+    pool.stop()
+    wait_for(lambda: done[-1] == 8 and not pool.idle)
 
 
 def test_repeats_are_dropped_for_their_window_by_all_of_a_group(tmp_path: Path) -> None:
