--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -13,7 +13,7 @@
 
 from fawnspool.gateway.attempt_results import AttemptEnding
 from fawnspool.gateway.attempts import AttemptHooks, NodeFeedback, run_attempt
-from fawnspool.gateway.request_state import Attempt, Body, Pending
+from fawnspool.gateway.request_state import ClientRequest, NodeAttempt, RequestBody
 from fawnspool.net import connection_pool
 from fawnspool.net.client_connection import ClientConnection
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions
@@ -28,10 +28,10 @@
     max_buffered_bytes = 1000
     streams_large = False
 
-    def request_head(self, pending: Pending, attempt: Attempt) -> bytes:
+    def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
         return format_request_head(b"GET", b"/", b"node", [])
 
-    def feedback(self, pending: Pending, head: ResponseHead) -> NodeFeedback:
+    def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
         if b"spoilt" in head.headers:
             raise ValueError
         return NodeFeedback()
@@ -40,18 +40,18 @@
         return AttemptEnding.ANSWERED if head.code == 200 else AttemptEnding.NODE_ERROR
 
 
-def pending_request() -> Pending:
+def pending_request() -> ClientRequest:
     request = Request(1, 0, 0, 1, 5.0, 1, 1.0, 0, 1, False, False)
     now = time.monotonic()
-    return Pending(request, b"GET", b"/", [], Body(b"", 0), None, "op", "", now, now + 5, "read", "plan")
+    return ClientRequest(request, b"GET", b"/", [], RequestBody(b"", 0), None, "op", "", now, now + 5, "read", "plan")
 
 
-def one_attempt(seconds: float = 5.0) -> Attempt:
+def one_attempt(seconds: float = 5.0) -> NodeAttempt:
     now = time.monotonic()
-    return Attempt(0, 0, now, now + seconds)
+    return NodeAttempt(0, 0, now, now + seconds)
 
 
-def run(pool: ConnectionPool, attempt: Attempt) -> AttemptEnding:
+def run(pool: ConnectionPool, attempt: NodeAttempt) -> AttemptEnding:
     hooks = AttemptHooks(PlainProtocol(), lambda node: False, lambda pending, attempt: None)
     return run_attempt(pending_request(), attempt, pool, hooks).ending
 
@@ -85,21 +85,21 @@
 
 
 @pytest.mark.parametrize(("error", "ending"), CONNECT_ERRORS, ids=lambda value: str(value))
-@pytest.mark.parametrize("called_off", [True, False])
+@pytest.mark.parametrize("cancelled", [True, False])
 def test_no_connection_error_counts_against_a_node_once_the_attempt_is_over(
-    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding, called_off: bool
+    monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding, cancelled: bool
 ) -> None:
     attempt = one_attempt()
 
     def connect(address: tuple[str, int], deadline: float) -> Any:
-        if called_off:
-            attempt.called_off = True
+        if cancelled:
+            attempt.cancelled = True
         else:
-            attempt.written_by = time.monotonic()
+            attempt.write_by = time.monotonic()
         raise error
 
     monkeypatch.setattr(connection_pool, "connect", connect)
-    want = AttemptEnding.CANCELLED_UNSENT if called_off else AttemptEnding.OUT_OF_TIME
+    want = AttemptEnding.CANCELLED_UNSENT if cancelled else AttemptEnding.OUT_OF_TIME
     assert run(ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0)), attempt) is want
 
 
@@ -136,26 +136,26 @@
 # ------------------------------------------------------------------ a connection that ends under its request
 
 
-def close(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
+def close(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
     peer.recv(4096)
     peer.close()
 
 
-def reset(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
+def reset(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     peer.close()
 
 
-def wait(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
+def wait(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
     return
 
 
-def close_own_end(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
+def close_own_end(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
     connection.close()
 
 
-def call_off(peer: socket.socket, connection: ClientConnection, attempt: Attempt) -> None:
-    attempt.called_off = True
+def call_off(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
+    attempt.cancelled = True
     connection.close()
 
 
@@ -254,8 +254,8 @@
     if said:
         peer.sendall(said)
         gevent.sleep(0.02)
-    if attempt.link is not None:
-        then(peer, attempt.link, attempt)
+    if attempt.connection is not None:
+        then(peer, attempt.connection, attempt)
     got: AttemptEnding = job.get(timeout=5)
     for sock in (peer, listener):
         sock.close()
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fawnspool.gateway.event_loop import Loop
+from fawnspool.gateway.event_loop import EventLoop
+from fawnspool.gateway.observability import Observability
 from fawnspool.records.decision_recording import (
     ACTIONS,
     EVENTS,
@@ -25,7 +26,7 @@
 from fawnspool.records.frames import MAGIC, Reader, RecordingError, Writer
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
-from fawnspool.telemetry.sums import Sums
+from fawnspool.telemetry.counters import GatewayCounters
 from tests.conftest import Head, make_settings
 
 
@@ -119,7 +120,8 @@
     update = interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, ())
     carried_out: list[interface.Action] = []
     scheduler = RaisesAfterItsActions(make_settings(), 1)
-    loop = Loop(scheduler, {interface.FetchEndpoints: carried_out.append}, Sums(), Mock(), lambda event: None)
+    handlers = {interface.FetchEndpoints: carried_out.append}
+    loop = EventLoop(scheduler, handlers, lambda event: None, Observability(GatewayCounters(), Mock()))
     loop._handle(update)
     assert carried_out == Scheduler(make_settings(), 1).handle(1.0, update)
 
