--- a/benchmarks/shared_model.py
+++ b/benchmarks/shared_model.py
@@ -241,20 +241,22 @@
 
 def cost() -> None:
     """What sharing adds to a request in the head, beside what the module takes for one: microseconds, one thread."""
-    from fawnspool.gossip.agent import Sharer
-    from fawnspool.gossip.terms import Terms
+    from fawnspool.gossip.agent import GossipAgent
+    from fawnspool.gossip.settings import GossipSettings
+    from fawnspool.gossip.volume_participants import VolumeLimit
 
-    sharer, n = Sharer(Terms(190), 3, 1, 1, 0.0), 200_000
+    agent, n = GossipAgent(GossipSettings(190), 3, 1, 1, 0.0), 200_000
+    limit = VolumeLimit(6, 20.0, 60.0)
     served = interface.Outcome(1, 0, 101, 0.01, interface.Result.SERVED, True, 0, None, None)
     began = time.perf_counter()
     for k in range(n):
-        sharer.table.asked(k * 1e-3, k % 400, 6, 20.0, 60.0, 2.0)
-        sharer.table.used(k % 400, 2.0)
-        sharer.outcome(k * 1e-3, served)
+        agent.volumes.record_demand(k * 1e-3, k % 400, limit, 2.0)
+        agent.volumes.record_used(k % 400, 2.0)
+        agent.record_outcome(k * 1e-3, served)
     a_request = (time.perf_counter() - began) / n * 1e6
     began = time.perf_counter()
     for k in range(2000):
-        sharer.look(200.0 + k * 0.3, 45, [(101, 1)])
+        agent.run_round(200.0 + k * 0.3, 45, [(101, 1)])
     a_look = (time.perf_counter() - began) / 2000 * 1e6
     day = load("days/shared-skew.hcl", Day, check)
     spent = 0.0
--- a/fawnspool/drill/links.py
+++ b/fawnspool/drill/links.py
@@ -22,7 +22,7 @@
 _ESTABLISHED = 1  # of a connection's states (Linux: tcp_states.h)
 STEPS = (b"POST /-/", b"PUT /-/")  # how a mover's step to a node begins
 _LEADING = 23  # bytes before a datagram's body (head/peers.py)
-SHARED = 0xB5  # leading byte of what heads share (shared/messages.py)
+SHARED = 0xB5  # leading byte of what heads share (gossip/messages.py)
 
 
 @dataclass
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -707,10 +707,10 @@
         """In place of what these heads say of what they share the others hear that every node is dead; size 1: well."""
 
         def lie(k: int, body: bytes) -> bytes:
-            mark = messages.unpack(body).mark
-            verdict = messages.Verdict.WELL if x.size == 1 else messages.Verdict.SHUT
-            rows = tuple(messages.SaysRow(c.node, k, verdict, 9, 0.0) for c in self.cells)
-            return messages.pack(messages.Message(messages.Kind.SAYS, mark, rows))
+            fingerprint = messages.decode(body).fingerprint
+            verdict = messages.HealthVerdict.HEALTHY if x.size == 1 else messages.HealthVerdict.UNREACHABLE
+            rows = tuple(messages.EvidenceRow(c.node, k, verdict, 9, 0.0) for c in self.cells)
+            return messages.encode(messages.GossipMessage(messages.GossipMessageType.EVIDENCE, fingerprint, rows))
 
         liars = [link for (a, _), link in self.links.datagrams.items() if a in heads]
         for link in liars:
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -21,7 +21,7 @@
 from fawnspool.gateway.core import Core, PoolBounds
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
-from fawnspool.gateway.gossip_runner import Sharing
+from fawnspool.gateway.gossip_runner import GossipRunner, SchedulerView
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
 from fawnspool.gateway.node_protocol import NodeSpeech
@@ -106,7 +106,7 @@
         )
         self.peers: Peers | None = None
         self.leases: LeaseRunner | None = None
-        self.sharing: Sharing | None = None
+        self.gossip: GossipRunner | None = None
 
     def _places(self, config: HeadConfig) -> Places:
         k = config.catalogue
@@ -138,27 +138,25 @@
         if self.config.duties is not None and self.peers is not None:
             self._start_leases(self.peers)
         if self.config.shared is not None and self.peers is not None:
-            self.sharing = Sharing(
-                self.config.shared,
-                h.number,
-                h.heads,
-                h.seed,
-                self.peers,
-                {n: name for name, n in self.numbers.items()},
-                lambda: len(self.list.nodes),
-                lambda: doubts(self.loop.module),
-                self.loop.tell,
-                self.log,
+            view = SchedulerView(
+                volume_names={n: name for name, n in self.numbers.items()},
+                listed_count=lambda: len(self.list.nodes),
+                suspects=lambda: doubts(self.loop.module),
+                notify=self.loop.tell,
             )
-            self.sharing.start()
+            self.gossip = GossipRunner(self.config.shared, self._place(), self.peers, view, self.log)
+            self.gossip.start()
+
+    def _place(self) -> FleetPlace:
+        h = self.config.head
+        return FleetPlace(h.number, h.heads, h.seed)
 
     def _start_leases(self, peers: Peers) -> None:
         c, k = self.config, self.config.catalogue
         assert c.duties is not None
-        place = FleetPlace(c.head.number, c.head.heads, c.head.seed)
         view = GatewayView(nodes=lambda: self.list.nodes, requests_in_flight=lambda: len(self.pending))
         map_client = MapClient(address(k.address), k.call_timeout)
-        self.leases = LeaseRunner(c.duties, place, Path(c.head.data), peers, self.log)
+        self.leases = LeaseRunner(c.duties, self._place(), Path(c.head.data), peers, self.log)
         self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
 
     def hand_over(self) -> None:
@@ -172,13 +170,13 @@
 
     def shared_status(self) -> dict[str, Any] | None:
         """None: this head shares nothing."""
-        return None if self.sharing is None else self.sharing.status()
+        return None if self.gossip is None else self.gossip.status()
 
     def stop(self) -> None:
         if self.leases is not None:
             self.leases.stop()
-        if self.sharing is not None:
-            self.sharing.stop()
+        if self.gossip is not None:
+            self.gossip.stop()
         self.list.stop()
         self.places.stop()
         if self.peers is not None:
@@ -250,8 +248,8 @@
                 came, volume=volume, cls=pending.cls, plan=block.plan, units=units, method=method.decode(), op=op
             )
         self.take(pending)
-        if self.sharing is not None:
-            self.sharing.request(req.volume, block.heads, self.config.plan[req.plan_index], units)
+        if self.gossip is not None:
+            self.gossip.record_request(req.volume, block.heads, self.config.plan[req.plan_index], units)
         return pending
 
     # ------------------------------------------------------------ actions
@@ -279,8 +277,8 @@
 
     def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> interface.Outcome:
         event = super()._ended(pending, attempt, outcome)
-        if self.sharing is not None:
-            self.sharing.outcome(event, pending.req.volume, pending.req.units)
+        if self.gossip is not None:
+            self.gossip.record_outcome(event, pending.req.volume, pending.req.units)
         return event
 
     def _tell_peer(self, action: interface.SendPeerMessage) -> None:
--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -1,139 +1,188 @@
-"""Carries out what heads share: passes requests, outcomes, datagrams and time to `shared/sharer.py`, tells the module
-what follows. It chooses nothing. All calls run in one thread and none yields, so the sharer needs no owner.
+"""Carries gossip out: passes requests, outcomes, messages and time to the gossip agent, its events to the scheduler.
+
+It chooses nothing. All calls run in one thread and none yields, so the agent needs no owner.
 """
 
 from __future__ import annotations
 
 import math
 import time
-from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import gevent
 
 from fawnspool.config.head import PlanBlock, SharedBlock
+from fawnspool.gateway.peer_channel import FleetPlace, PeerChannel, PeerCodec
 from fawnspool.gateway.peers import Peers
-from fawnspool.gossip.agent import Out, Sharer
-from fawnspool.gossip.messages import LEADING, Unread, pack, unpack
-from fawnspool.gossip.terms import Terms
-from fawnspool.gossip.volume_participants import Say
+from fawnspool.gossip.actions import GossipAction, SendGossip
+from fawnspool.gossip.agent import GossipAgent
+from fawnspool.gossip.grow_only_counter import CountInterval
+from fawnspool.gossip.messages import LEADING_BYTE, GossipMessage, GossipMessageError, decode, encode
+from fawnspool.gossip.settings import GossipSettings
+from fawnspool.gossip.volume_participants import VolumeLimit
 from fawnspool.scheduling import interface
 
-SHOWN_MOST = 100  # volumes in the status
-
-
-def terms_of(config: SharedBlock, heads: int) -> Terms:
-    """What all heads agree on. Numbers are passed on as written."""
-    return Terms(heads, config.every, config.fades, config.shun, config.quorum)
-
-
-class Sharing:
-    """names: of volumes, by number; listed: how many nodes there are; doubts: nodes with bad signs that the module has
-    counted; tell: into the module's queue."""
-
-    def __init__(
-        self,
-        config: SharedBlock,
-        me: int,
-        heads: int,
-        seed: int,
-        peers: Peers,
-        names: dict[int, str],
-        listed: Callable[[], int],
-        doubts: Callable[[], list[tuple[int, int]]],
-        tell: Callable[[Any], None],
-        log: Any,
-    ) -> None:
-        self.peers, self.names, self.listed, self.tell, self.log = peers, names, listed, tell, log
-        self.doubts = doubts
-        # Seconds of the wall clock: a later start is a later life, unless the clock was set back (docs/shared.md).
-        self.sharer = Sharer(terms_of(config, heads), me, int(time.time()), seed, time.monotonic())
-        self.counts: Counter[str] = Counter()
-        self.alone = False
-        self.shunned: set[int] = set()
-        self.greenlet: Any = None
+MAX_STATUS_VOLUMES = 100
+MIN_SLEEP_S = 0.001
+CODEC = PeerCodec("gossip", LEADING_BYTE, encode, decode, GossipMessageError)
+
+
+def gossip_settings(config: SharedBlock, gateway_count: int) -> GossipSettings:
+    """Return what all gateways agree on; numbers are passed on as written, as the fingerprint depends on them."""
+    return GossipSettings(gateway_count, config.every, config.fades, config.shun, config.quorum)
+
+
+def draw_incarnation() -> int:
+    """Return the seconds of the wall clock: a later start has a larger number, unless the clock was set back."""
+    return int(time.time())
+
+
+@dataclass(frozen=True)
+class SchedulerView:
+    """What gossip sees of its gateway.
+
+    Parameters
+    ----------
+    volume_names
+        By volume's number.
+    listed_count
+        Returns how many nodes there are.
+    suspects
+        Returns nodes, and the failures in a row that the scheduler has counted.
+    notify
+        Puts an event into the scheduler's queue.
+    """
+
+    volume_names: dict[int, str]
+    listed_count: Callable[[], int]
+    suspects: Callable[[], list[tuple[int, int]]]
+    notify: Callable[[Any], None]
+
+
+class GossipRunner:
+    """This gateway's gossip.
+
+    Parameters
+    ----------
+    config
+        The `shared` block of the settings.
+    """
+
+    def __init__(self, config: SharedBlock, place: FleetPlace, peers: Peers, view: SchedulerView, log: Any) -> None:
+        self.view = view
+        self.log = log
+        settings = gossip_settings(config, place.gateway_count)
+        self.agent = GossipAgent(settings, place.gateway_id, draw_incarnation(), place.seed, time.monotonic())
+        self.is_isolated = False
+        self.ejected: set[int] = set()
+        self.sent_count = 0
+        self.ejected_count = 0
+        self.readmitted_count = 0
+        self._channel = PeerChannel(peers, CODEC, log)
+        self._greenlet: Any = None
 
     def start(self) -> None:
-        self.peers.claim(LEADING, self.hear)
-        self.greenlet = gevent.spawn(self._run)
+        """Take part."""
+        self._channel.subscribe(self._receive)
+        self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        if self.greenlet is not None:
-            self.greenlet.kill()
+        """Send nothing more."""
+        if self._greenlet is not None:
+            self._greenlet.kill()
+
+    # ------------------------------------------------------------ events
 
-    def request(self, volume: int, takers: int, plan: PlanBlock, units: float) -> None:
-        """A request of a volume that so many heads share has come."""
-        if plan.limit and takers > 1:
-            self.sharer.table.asked(time.monotonic(), volume, takers, plan.limit, plan.limit_depth, units)
+    def record_request(self, volume: int, participants: int, plan: PlanBlock, units: float) -> None:
+        """Note a request of a volume that so many gateways share."""
+        if plan.limit and participants > 1:
+            limit = VolumeLimit(participants, plan.limit, plan.limit_depth)
+            self.agent.volumes.record_demand(time.monotonic(), volume, limit, units)
 
-    def outcome(self, event: interface.Outcome, volume: int, units: float) -> None:
+    def record_outcome(self, event: interface.Outcome, volume: int, units: float) -> None:
+        """Note how an attempt ended."""
         if event.result is interface.Result.SERVED:
-            self.sharer.table.used(volume, units)
-        self._out(self.sharer.outcome(time.monotonic(), event))
-
-    def hear(self, sender: int, body: bytes) -> None:
-        try:
-            message = unpack(body)
-        except Unread as bad:
-            self.counts["unread"] += 1
-            self.log.debug("a datagram about what heads share does not read", sender=sender, why=str(bad))
-            return
-        self._out(self.sharer.hear(time.monotonic(), sender, message))
+            self.agent.volumes.record_used(volume, units)
+        self._carry_out(self.agent.record_outcome(time.monotonic(), event))
+
+    def _receive(self, sender: int, message: GossipMessage) -> None:
+        self._carry_out(self.agent.receive(time.monotonic(), sender, message))
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(max(0.001, self.sharer.due() - time.monotonic()))
+            gevent.sleep(max(MIN_SLEEP_S, self.agent.next_round_at() - time.monotonic()))
             now = time.monotonic()
-            self._out(self.sharer.look(now, self.listed(), self.doubts()))
-            if self.sharer.alone(now) != self.alone:
-                self.alone = not self.alone
-                if self.alone:
-                    self.log.warning("no other head is heard: own parts of limits and own evidence alone")
-                else:
-                    self.log.info("other heads are heard again")
-
-    def _out(self, out: list[Out]) -> None:
-        for o in out:
-            if isinstance(o, Say):
-                self.counts["said"] += 1
-                self.peers.send(o.to, pack(o.message))
+            self._carry_out(self.agent.run_round(now, self.view.listed_count(), self.view.suspects()))
+            self._note_isolation(self.agent.is_isolated(now))
+
+    def _note_isolation(self, is_isolated: bool) -> None:
+        if is_isolated and not self.is_isolated:
+            self.log.warning("gossip_isolated", effect="own parts of limits and own evidence alone")
+        if self.is_isolated and not is_isolated:
+            self.log.info("gossip_rejoined")
+        self.is_isolated = is_isolated
+
+    # ------------------------------------------------------------ actions
+
+    def _carry_out(self, actions: list[GossipAction]) -> None:
+        for action in actions:
+            if isinstance(action, SendGossip):
+                self.sent_count += 1
+                self._channel.send(action.recipient, action.message)
                 continue
-            if isinstance(o, interface.GossipedHealth):
-                if o.healthy or o.node not in self.shunned:  # else: its turn to try it is another
-                    self.counts["mended" if o.healthy else "shunned"] += 1
-                    self.log.info("a shunned node is well" if o.healthy else "node shunned on hearsay", node=o.node)
-                self.shunned = self.shunned - {o.node} if o.healthy else self.shunned | {o.node}
-            self.tell(o)
+            if isinstance(action, interface.GossipedHealth):
+                self._note_health(action)
+            self.view.notify(action)
+
+    def _note_health(self, event: interface.GossipedHealth) -> None:
+        if event.healthy:
+            self.readmitted_count += 1
+            self.log.info("node_readmitted_by_gossip", node=event.node)
+            self.ejected.discard(event.node)
+        elif event.node not in self.ejected:  # else only its turn to try the node has changed
+            self.ejected_count += 1
+            self.log.info("node_ejected_by_gossip", node=event.node)
+            self.ejected.add(event.node)
+
+    # ------------------------------------------------------------ status
 
     def status(self) -> dict[str, Any]:
-        s, now = self.sharer, time.monotonic()
-        volumes = []
-        for volume in list(s.table.mine)[-SHOWN_MOST:]:
-            found = s.table.read(now, volume)
-            if found is not None:
-                most = None if math.isinf(found.at_most) else round(found.at_most, 1)
-                volumes.append(
-                    {
-                        "volume": self.names.get(volume, str(volume)),
-                        "used_at_most": most,
-                        "used_at_least": round(found.at_least, 1),
-                        "age_s": round(found.age, 2),
-                        "heads": found.heads,
-                        "unheard": found.others,
-                    }
-                )
+        """Return what is known of volumes and nodes."""
+        now = time.monotonic()
+        agent = self.agent
         return {
-            "alone": self.alone,
-            "heard_s": round(now - s.heard, 2) if s.heard > 0 else None,
-            "heads": s.judge.there(now),
-            "volumes_in_all": len(s.table.mine),
-            "volumes": volumes,
-            "nodes": [{"node": k, **row} for k, row in s.judge.status(now).items()],
-            "shunned": s.judge.shunned(),
-            "said": self.counts["said"],
-            "unread": self.counts["unread"],
-            "strangers": s.strangers,
-            "told_shunned": self.counts["shunned"],
-            "told_mended": self.counts["mended"],
+            "alone": self.is_isolated,
+            "heard_s": round(now - agent.heard_at, 2) if agent.heard_at > 0 else None,
+            "heads": agent.health.present_count(now),
+            "volumes_in_all": len(agent.volumes.volumes),
+            "volumes": self._volume_rows(now),
+            "nodes": [{"node": node, **row} for node, row in agent.health.status(now).items()],
+            "shunned": agent.health.ejected_nodes(),
+            "said": self.sent_count,
+            "unread": self._channel.malformed_count,
+            "strangers": agent.foreign_messages,
+            "told_shunned": self.ejected_count,
+            "told_mended": self.readmitted_count,
         }
+
+    def _volume_rows(self, now: float) -> list[dict[str, Any]]:
+        latest = list(self.agent.volumes.volumes)[-MAX_STATUS_VOLUMES:]
+        intervals = {volume: self.agent.volumes.interval(now, volume) for volume in latest}
+        return [
+            _volume_row(self.view.volume_names.get(volume, str(volume)), interval)
+            for volume, interval in intervals.items()
+            if interval is not None
+        ]
+
+
+def _volume_row(name: str, interval: CountInterval) -> dict[str, Any]:
+    return {
+        "volume": name,
+        "used_at_most": None if math.isinf(interval.at_most) else round(interval.at_most, 1),
+        "used_at_least": round(interval.at_least, 1),
+        "age_s": round(interval.age_s, 2),
+        "heads": interval.heard,
+        "unheard": interval.unheard,
+    }
--- /dev/null
+++ b/fawnspool/gossip/actions.py
@@ -0,0 +1,19 @@
+"""What a gossip agent has its gateway carry out: messages to other gateways, and events for the scheduler."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from fawnspool.gossip.messages import GossipMessage
+from fawnspool.scheduling.interface import GossipedHealth, VolumeParticipants
+
+
+@dataclass(frozen=True, slots=True)
+class SendGossip:
+    """Send a message to a gateway, by its number."""
+
+    recipient: int
+    message: GossipMessage
+
+
+GossipAction = SendGossip | VolumeParticipants | GossipedHealth
--- a/fawnspool/gossip/agent.py
+++ b/fawnspool/gossip/agent.py
@@ -1,69 +1,94 @@
-"""One head's side of all that heads share: who takes part in which volume, and what is thought of nodes.
-
-Nothing here is needed for safety. Without any news a head uses its even part of each limit, and its own evidence; what
-it hears only says whom to ask for more (`takers.py`), and which nodes others found bad (`judgements.py`).
-"""
+"""One gateway's side of the gossip: who serves which volume, and what is found of nodes."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from random import Random
 
-from fawnspool.gossip.health_evidence import Judge, shows
-from fawnspool.gossip.messages import Kind, Message, Verdict
-from fawnspool.gossip.terms import Terms
-from fawnspool.gossip.volume_participants import Say, Table
-from fawnspool.scheduling.interface import GossipedHealth, Outcome, VolumeParticipants
+from fawnspool.gossip.actions import GossipAction, SendGossip
+from fawnspool.gossip.health_evidence import HealthEvidence, outcome_verdict
+from fawnspool.gossip.messages import GossipMessage, GossipMessageType, HealthVerdict
+from fawnspool.gossip.settings import GossipSettings
+from fawnspool.gossip.volume_participants import VolumeTable
+from fawnspool.scheduling.interface import Outcome
+
+ISOLATION_ROUNDS = 20  # without a word from any other gateway, after it sent something, that make one isolated
+ROUND_SPREAD = (0.8, 1.2)  # of the interval
+NEVER = float("-inf")
 
-Out = Say | VolumeParticipants | GossipedHealth
-ALONE_LOOKS = 20  # looks without a word from any other head, after one was asked, that make a head say so
 
+class GossipAgent:
+    """Gossip of one gateway; its actions are to be carried out in order.
 
-class Sharer:
-    """`life` rises with each start. Calls give what is to be told to the module and said to other heads, in order."""
+    Parameters
+    ----------
+    incarnation
+        It rises with each start of the gateway.
+    now
+        Time in seconds; only differences count.
+    """
 
-    def __init__(self, terms: Terms, me: int, life: int, seed: int, now: float) -> None:
-        self.terms, self.me, self.random = terms, me, Random(f"{seed}-{me}-sharer")
-        self.table, self.judge = Table(terms, me, life, seed), Judge(terms, me, seed)
-        self.next = now + terms.every * self.random.random()
-        self.start, self.heard, self.said = now, float("-inf"), float("-inf")
-        self.strangers = 0
+    def __init__(self, settings: GossipSettings, gateway_id: int, incarnation: int, seed: int, now: float) -> None:
+        self.settings = settings
+        self.gateway_id = gateway_id
+        self.random = Random(f"{seed}-{gateway_id}-sharer")
+        self.volumes = VolumeTable(settings, gateway_id, incarnation, seed)
+        self.health = HealthEvidence(settings, gateway_id, seed)
+        self.heard_at = NEVER
+        self.foreign_messages = 0  # from gateways whose settings differ, or that can't be
+        self._next_round = now + settings.interval_s * self.random.random()
+        self._started_at = now
+        self._sent_at = NEVER
 
-    def hear(self, now: float, sender: int, m: Message) -> list[Out]:
-        if m.mark != self.terms.mark or not 0 <= sender < self.terms.heads or sender == self.me:
-            self.strangers += 1
+    def receive(self, now: float, sender: int, message: GossipMessage) -> list[GossipAction]:
+        """Handle a message from another gateway."""
+        is_gateway = 0 <= sender < self.settings.gateway_count and sender != self.gateway_id
+        if message.fingerprint != self.settings.fingerprint or not is_gateway:
+            self.foreign_messages += 1
             return []
-        self.heard = now
-        if m.kind is Kind.SAYS:
-            return [*self.judge.hear(now, sender, m)]
-        self.judge.heard[sender] = now
-        return [*self.table.hear(now, sender, m)]
+        self.heard_at = now
+        if message.type is GossipMessageType.EVIDENCE:
+            return self.health.receive(now, sender, message)
+        self.health.heard_at[sender] = now
+        return self.volumes.receive(now, sender, message)
 
-    def outcome(self, now: float, event: Outcome) -> list[Out]:
-        """What an attempt at a node showed this head itself."""
-        found = shows(event)
-        if found is None:
+    def record_outcome(self, now: float, event: Outcome) -> list[GossipAction]:
+        """Note what an attempt at a node showed this gateway itself."""
+        verdict = outcome_verdict(event)
+        if verdict is None:
             return []
-        return [
-            *(self.judge.well(now, event.node) if found is Verdict.WELL else self.judge.bad(now, event.node, found))
-        ]
+        if verdict is HealthVerdict.HEALTHY:
+            return self.health.record_healthy(now, event.node)
+        return self.health.record_failure(now, event.node, verdict)
+
+    def next_round_at(self) -> float:
+        """Return when `run_round` must be called."""
+        return self._next_round
 
-    def due(self) -> float:
-        return self.next
+    def run_round(self, now: float, listed_count: int, suspects: Iterable[tuple[int, int]]) -> list[GossipAction]:
+        """Do a round if it is due.
 
-    def look(self, now: float, listed: int, doubts: Iterable[tuple[int, int]]) -> list[Out]:
-        """Once `every`; listed: nodes that there are; doubts: nodes, and bad signs in a row that the module has."""
-        if now < self.next:
+        Parameters
+        ----------
+        now
+            Time in seconds.
+        listed_count
+            Nodes that there are.
+        suspects
+            Nodes, and the failures in a row that the scheduler has counted.
+        """
+        if now < self._next_round:
             return []
-        for node, signs in doubts:
-            self.judge.doubts(now, node, signs)
-        self.next = now + self.terms.every * self.random.uniform(0.8, 1.2)
-        self.judge.listed = listed
-        out = [*self.table.look(now), *self.judge.look(now)]
-        if any(isinstance(o, Say) for o in out):
-            self.said = now
-        return out
+        for node, failures in suspects:
+            self.health.record_suspicion(now, node, failures)
+        self._next_round = now + self.settings.interval_s * self.random.uniform(*ROUND_SPREAD)
+        self.health.listed_count = listed_count
+        actions = [*self.volumes.run_round(now), *self.health.run_round(now)]
+        if any(isinstance(action, SendGossip) for action in actions):
+            self._sent_at = now
+        return actions
 
-    def alone(self, now: float) -> bool:
-        """Has it spoken of late, and heard nothing of any other head for a while?"""
-        return now - max(self.heard, self.start) > ALONE_LOOKS * self.terms.every and self.said > self.heard
+    def is_isolated(self, now: float) -> bool:
+        """Return whether it has sent something of late, and heard nothing of any other gateway for a while."""
+        silent_s = now - max(self.heard_at, self._started_at)
+        return silent_s > ISOLATION_ROUNDS * self.settings.interval_s and self._sent_at > self.heard_at
--- a/fawnspool/gossip/messages.py
+++ b/fawnspool/gossip/messages.py
@@ -1,15 +1,16 @@
-"""What heads say to each other about what they share, as bodies of their datagrams (at most 256 bytes).
+"""Codec of the datagrams that gateways gossip with (bodies of at most 256 bytes).
 
-    body = u8 0xB5, u8 kind, u32 mark of the terms, then rows
+    body = u8 0xB5, u8 type, u32 settings fingerprint, then rows
 
-    HERE    to a keeper: this head takes part in these volumes. Row: u64 volume, u16 head, u32 life, f32 value, u16 age
-            (10 ms); value: units that it has sent so far; head is the sender
-    WANT    the same, and it wants to know who else does
-    HEADS   a keeper's answer: rows of other heads
-    SAYS    evidence about nodes. Row: u32 node, u16 head, u8 verdict, u8 signs, u16 age (10 ms); head: whose it is
+    1 PARTICIPATION       to a registrar: this gateway serves these volumes. Usage rows: u64 volume, u16 gateway,
+                          u32 incarnation, f32 units that it has sent so far, u16 age (10 ms); the gateway is the sender
+    2 PARTICIPANTS_QUERY  the same, and it wants to know who else does
+    3 PARTICIPANTS        a registrar's answer: usage rows of other gateways
+    4 EVIDENCE            about nodes. Evidence rows: u32 node, u16 gateway whose evidence it is, u8 verdict,
+                          u8 failures, u16 age (10 ms)
 
-The leading byte tells them from duties' (0xD0) and the module's own (1, 2). What does not read is counted and harms
-nothing.
+The leading byte tells these bodies from those about leases (0xD0) and the scheduler's own (1, 2). What can't be decoded
+is counted and dropped.
 """
 
 from __future__ import annotations
@@ -18,98 +19,149 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-LEADING = 0xB5
-BODY_MOST = 256
-_HEAD = struct.Struct(">BBI")
-_COUNT = struct.Struct(">QHIfH")
-_SAYS = struct.Struct(">IHBBH")
-AGE_STEP = 0.01  # seconds
-AGE_MOST = 65_535 * AGE_STEP
+LEADING_BYTE = 0xB5
+MAX_BODY_BYTES = 256
+AGE_STEP_S = 0.01
+MAX_UNITS = 3e38
+_MAX_U8 = 0xFF
+_MAX_U16 = 0xFFFF
+_U32_MASK = 0xFFFFFFFF
+_HEADER = struct.Struct(">BBI")
+_USAGE = struct.Struct(">QHIfH")
+_EVIDENCE = struct.Struct(">IHBBH")
 
 
-class Kind(IntEnum):
-    HERE = 1
-    WANT = 2
-    HEADS = 3
-    SAYS = 4
+class GossipMessageType(IntEnum):
+    """Type of a gossip message, as on the wire."""
 
+    PARTICIPATION = 1
+    PARTICIPANTS_QUERY = 2
+    PARTICIPANTS = 3
+    EVIDENCE = 4
 
-class Verdict(IntEnum):
-    WELL = 0
-    SILENT = 1  # gives no answer
-    SHUT = 2  # takes no connection: it may have restarted by the time it does
+
+class HealthVerdict(IntEnum):
+    """What a gateway found of a node, as on the wire."""
+
+    HEALTHY = 0
+    UNRESPONSIVE = 1  # it gives no answer
+    UNREACHABLE = 2  # it takes no connection, and may have restarted by the time it does
+
+
+class GossipMessageError(Exception):
+    """A datagram body is no gossip message."""
+
+    @classmethod
+    def of_length(cls, size: int) -> GossipMessageError:
+        """Return the error for a body of a length that no message has."""
+        return cls(f"{size} bytes")
+
+    @classmethod
+    def of_type(cls, message_type: int, leading_byte: int) -> GossipMessageError:
+        """Return the error for an unknown leading byte or message type."""
+        return cls(f"kind {message_type} behind {leading_byte:#x}")
+
+    @classmethod
+    def of_rows(cls, size: int, message_type: int) -> GossipMessageError:
+        """Return the error for rows that are cut short."""
+        return cls(f"{size} bytes of kind {message_type}")
+
+    @classmethod
+    def of_verdict(cls) -> GossipMessageError:
+        """Return the error for a verdict that does not exist."""
+        return cls("an unknown verdict")
+
+    @classmethod
+    def of_units(cls) -> GossipMessageError:
+        """Return the error for units that are negative, infinite or no number."""
+        return cls("a count that is no number")
 
 
 @dataclass(frozen=True, slots=True)
-class CountRow:
+class UsageRow:
+    """Units that one incarnation of a gateway has sent of a volume."""
+
     volume: int
-    head: int
-    life: int
-    value: float
-    age: float
+    gateway_id: int
+    incarnation: int
+    units: float
+    age_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class SaysRow:
+class EvidenceRow:
+    """What one gateway found of a node."""
+
     node: int
-    head: int
+    gateway_id: int
     verdict: int
-    signs: int
-    age: float
+    failures: int
+    age_s: float
 
 
-Row = CountRow | SaysRow
+Row = UsageRow | EvidenceRow
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
-    kind: Kind
-    mark: int
+class GossipMessage:
+    """One datagram; its rows are of the kind that the type has."""
+
+    type: GossipMessageType
+    fingerprint: int
     rows: tuple[Row, ...] = ()
 
 
-class Unread(Exception):
-    """A body that is none of these."""
-
-
-def rows_of(kind: Kind) -> int:
-    """Of one body, at most."""
-    return (BODY_MOST - _HEAD.size) // (_SAYS if kind is Kind.SAYS else _COUNT).size
-
-
-def _steps(age: float) -> int:
-    return min(65_535, max(0, round(age / AGE_STEP)))
-
-
-def pack(m: Message) -> bytes:
-    out = [_HEAD.pack(LEADING, m.kind, m.mark)]
-    for r in m.rows[: rows_of(m.kind)]:
-        if isinstance(r, CountRow):
-            out.append(_COUNT.pack(r.volume, r.head, r.life, r.value, _steps(r.age)))
-        else:
-            out.append(_SAYS.pack(r.node & 0xFFFFFFFF, r.head, r.verdict, min(255, r.signs), _steps(r.age)))
-    return b"".join(out)
-
-
-def unpack(body: bytes) -> Message:
-    """Raises Unread."""
-    if len(body) < _HEAD.size or len(body) > BODY_MOST:
-        raise Unread(f"{len(body)} bytes")
-    leading, kind, mark = _HEAD.unpack_from(body)
-    if leading != LEADING or kind not in Kind._value2member_map_:
-        raise Unread(f"kind {kind} behind {leading:#x}")
-    form = _SAYS if kind == Kind.SAYS else _COUNT
-    if (len(body) - _HEAD.size) % form.size:
-        raise Unread(f"{len(body)} bytes of kind {kind}")
-    raw = form.iter_unpack(body[_HEAD.size :])
-    if kind == Kind.SAYS:
-        rows: tuple[Row, ...] = tuple(
-            SaysRow(node, head, verdict, signs, age * AGE_STEP) for node, head, verdict, signs, age in raw
-        )
-        if any(r.verdict not in Verdict._value2member_map_ for r in rows if isinstance(r, SaysRow)):
-            raise Unread("an unknown verdict")
-    else:
-        rows = tuple(CountRow(volume, head, life, value, age * AGE_STEP) for volume, head, life, value, age in raw)
-        if any(not 0 <= r.value < 3e38 for r in rows if isinstance(r, CountRow)):
-            raise Unread("a count that is no number")
-    return Message(Kind(kind), mark, rows)
+def max_rows(message_type: GossipMessageType) -> int:
+    """Return the rows that fit into one body."""
+    row = _EVIDENCE if message_type is GossipMessageType.EVIDENCE else _USAGE
+    return (MAX_BODY_BYTES - _HEADER.size) // row.size
+
+
+def encode(message: GossipMessage) -> bytes:
+    """Return the datagram body of a message; rows that don't fit are left out."""
+    header = _HEADER.pack(LEADING_BYTE, message.type, message.fingerprint)
+    return header + b"".join(_encode_row(row) for row in message.rows[: max_rows(message.type)])
+
+
+def _encode_row(row: Row) -> bytes:
+    age_steps = min(_MAX_U16, max(0, round(row.age_s / AGE_STEP_S)))
+    if isinstance(row, UsageRow):
+        return _USAGE.pack(row.volume, row.gateway_id, row.incarnation, row.units, age_steps)
+    failures = min(_MAX_U8, row.failures)
+    return _EVIDENCE.pack(row.node & _U32_MASK, row.gateway_id, row.verdict, failures, age_steps)
+
+
+def decode(body: bytes) -> GossipMessage:
+    """Read a datagram body.
+
+    Raises
+    ------
+    GossipMessageError
+        If the body is no gossip message.
+    """
+    if len(body) < _HEADER.size or len(body) > MAX_BODY_BYTES:
+        raise GossipMessageError.of_length(len(body))
+    leading, message_type, fingerprint = _HEADER.unpack_from(body)
+    if leading != LEADING_BYTE or message_type not in GossipMessageType._value2member_map_:
+        raise GossipMessageError.of_type(message_type, leading)
+    is_evidence = message_type == GossipMessageType.EVIDENCE
+    form = _EVIDENCE if is_evidence else _USAGE
+    rows_size = len(body) - _HEADER.size
+    if rows_size % form.size:
+        raise GossipMessageError.of_rows(len(body), message_type)
+    raw_rows = form.iter_unpack(body[_HEADER.size :])
+    read_row = _read_evidence if is_evidence else _read_usage
+    rows = tuple(read_row(*raw_row) for raw_row in raw_rows)
+    return GossipMessage(GossipMessageType(message_type), fingerprint, rows)
+
+
+def _read_evidence(node: int, gateway_id: int, verdict: int, failures: int, age_steps: int) -> Row:
+    if verdict not in HealthVerdict._value2member_map_:
+        raise GossipMessageError.of_verdict()
+    return EvidenceRow(node, gateway_id, verdict, failures, age_steps * AGE_STEP_S)
+
+
+def _read_usage(volume: int, gateway_id: int, incarnation: int, units: float, age_steps: int) -> Row:
+    if not 0 <= units < MAX_UNITS:
+        raise GossipMessageError.of_units()
+    return UsageRow(volume, gateway_id, incarnation, units, age_steps * AGE_STEP_S)
--- /dev/null
+++ b/fawnspool/gossip/settings.py
@@ -0,0 +1,53 @@
+"""Settings that gossiping gateways must share.
+
+Every message carries a fingerprint of them: what a gateway with other settings says has another meaning, so it is
+dropped as foreign.
+"""
+
+from __future__ import annotations
+
+import zlib
+from dataclasses import dataclass
+from functools import cached_property
+
+import xxhash
+
+REGISTRARS_PER_VOLUME = 2  # one may be down, or cut off
+MAX_VOLUMES_PER_ROUND = 4  # that a gateway speaks of, or answers about as a registrar: bounds its bytes
+
+
+@dataclass(frozen=True)
+class GossipSettings:
+    """Gossip settings of the fleet.
+
+    Parameters
+    ----------
+    gateway_count
+        Gateways in the fleet, numbered from 0.
+    interval_s
+        Seconds between two rounds.
+    evidence_ttl_s
+        Seconds after which what was heard of a node is no evidence any more.
+    max_ejected_fraction
+        Fraction of the nodes that may be ejected on others' evidence.
+    quorum_fraction
+        Fraction of the gateways that must find a node bad; more than may be wrong at once, or lie.
+    """
+
+    gateway_count: int
+    interval_s: float = 0.25
+    evidence_ttl_s: float = 4.0
+    max_ejected_fraction: float = 0.25
+    quorum_fraction: float = 0.25
+
+    @cached_property
+    def fingerprint(self) -> int:
+        """Checksum of the settings that must agree. It stands in messages, so its form is fixed."""
+        return zlib.crc32(repr((self.gateway_count, self.interval_s, self.evidence_ttl_s)).encode())
+
+    def registrars(self, volume: int) -> tuple[int, ...]:
+        """Return the gateways that register who serves a volume; all gateways draw the same ones by its number."""
+        drawn = xxhash.xxh3_64_intdigest(volume.to_bytes(8, "big"))
+        first = drawn % self.gateway_count
+        step = 1 + (drawn >> 32) % max(1, self.gateway_count - 1)
+        return tuple(dict.fromkeys((first + n * step) % self.gateway_count for n in range(REGISTRARS_PER_VOLUME)))
--- a/fawnspool/model/between.py
+++ b/fawnspool/model/between.py
@@ -1,4 +1,4 @@
-"""What passes between heads in simulated time, cut, lost, doubled, late; and the heads' own `Sharer`."""
+"""What passes between heads in simulated time, cut, lost, doubled, late; and the heads' own `GossipAgent`."""
 
 from __future__ import annotations
 
@@ -6,11 +6,20 @@
 from typing import TYPE_CHECKING, Any
 
 from fawnspool.days.day import TroubleBlock
-from fawnspool.gossip.agent import Out, Sharer
-from fawnspool.gossip.health_evidence import SAID_MOST, doubts
-from fawnspool.gossip.messages import LEADING, Kind, Message, SaysRow, Verdict, pack, unpack
-from fawnspool.gossip.terms import Terms
-from fawnspool.gossip.volume_participants import Say
+from fawnspool.gossip.actions import GossipAction, SendGossip
+from fawnspool.gossip.agent import GossipAgent
+from fawnspool.gossip.health_evidence import MAX_ROWS_SENT, doubts
+from fawnspool.gossip.messages import (
+    LEADING_BYTE,
+    EvidenceRow,
+    GossipMessage,
+    GossipMessageType,
+    HealthVerdict,
+    decode,
+    encode,
+)
+from fawnspool.gossip.settings import GossipSettings
+from fawnspool.gossip.volume_participants import VolumeLimit
 from fawnspool.scheduling import interface
 
 if TYPE_CHECKING:
@@ -26,18 +35,18 @@
         self.world, self.random = world, Random(f"{world.own}-between")
         self.cut: set[tuple[int, int]] = set()  # (from, to)
         self.part = self.late_by = 0.0  # of bad weather
-        self.liars: dict[int, Verdict] = {}  # what they say of every node, in place of what they share
+        self.liars: dict[int, HealthVerdict] = {}  # what they say of every node, in place of what they share
         self.sent: dict[int, int] = {}
         self.bytes: dict[int, int] = {}
         self.hearsay: list[tuple[float, int, interface.GossipedHealth]] = []  # when, at which head
 
     def send(self, sender: int, head: _Head, body: bytes) -> None:
         w, r = self.world, self.random
-        if sender in self.liars and body[:1] == bytes((LEADING,)):
-            nodes = r.sample(sorted(w.listed), min(SAID_MOST, len(w.listed)))
-            rows = tuple(SaysRow(n, sender, self.liars[sender], 9, 0.0) for n in nodes)
-            body = pack(Message(Kind.SAYS, unpack(body).mark, rows))
-        if body[:1] == bytes((LEADING,)):
+        if sender in self.liars and body[:1] == bytes((LEADING_BYTE,)):
+            nodes = r.sample(sorted(w.listed), min(MAX_ROWS_SENT, len(w.listed)))
+            rows = tuple(EvidenceRow(n, sender, self.liars[sender], 9, 0.0) for n in nodes)
+            body = encode(GossipMessage(GossipMessageType.EVIDENCE, decode(body).fingerprint, rows))
+        if body[:1] == bytes((LEADING_BYTE,)):
             self.sent[sender] = self.sent.get(sender, 0) + 1
             self.bytes[sender] = self.bytes.get(sender, 0) + len(body) + FRAME
         if (sender, head.number) in self.cut or (self.part and r.random() < self.part):
@@ -49,7 +58,7 @@
     def _arrive(self, head: _Head, life: int, sender: int, body: bytes) -> None:
         if not head.up:
             return
-        if body[:1] == bytes((LEADING,)):
+        if body[:1] == bytes((LEADING_BYTE,)):
             if head.sharing is not None:  # also what was meant for an earlier life: it must see that itself
                 head.do(0.0, head.sharing.hear, sender, body)
         elif head.life == life:
@@ -62,7 +71,7 @@
             after(x.length, self._calm)
             return
         if x.kind == "head_lies":
-            self.liars |= dict.fromkeys(heads, Verdict.WELL if x.size == 1 else Verdict.SHUT)
+            self.liars |= dict.fromkeys(heads, HealthVerdict.HEALTHY if x.size == 1 else HealthVerdict.UNREACHABLE)
             after(x.length, self._honest, heads)
             return
         at, period = 0.0, x.every if x.every < x.length else 2 * x.length
@@ -87,48 +96,47 @@
 
 
 class Sharing:
-    """One life of a head: what `head/shared.py` does."""
+    """One life of a head: what `gateway/gossip_runner.py` does."""
 
     def __init__(self, head: _Head, seed: int) -> None:
         self.head, self.world, self.life = head, head.world, head.life
         s = head.config.shared
         assert s is not None
         w = self.world
-        terms = Terms(w.day.day.heads, s.every, s.fades, s.shun, s.quorum)
-        self.sharer = Sharer(terms, head.number, head.life, seed, w.engine.now)
+        settings = GossipSettings(w.day.day.heads, s.every, s.fades, s.shun, s.quorum)
+        self.agent = GossipAgent(settings, head.number, head.life, seed, w.engine.now)
         self._again()
 
     def _again(self) -> None:
-        self.world.engine.at(self.sharer.due(), self._tick)
+        self.world.engine.at(self.agent.next_round_at(), self._tick)
 
     def _tick(self) -> None:
         if self.head.up and self.head.life == self.life:
             self.head.do(0.0, self._do_tick)
 
     def _do_tick(self) -> None:
-        self._out(self.sharer.look(self.world.engine.now, len(self.world.listed), doubts(self.head.module)))
+        self._out(self.agent.run_round(self.world.engine.now, len(self.world.listed), doubts(self.head.module)))
         self._again()
 
     def request(self, req: interface.Request) -> None:
         plan = self.head.settings.plans[req.plan_index]
         if plan.rate_limit and req.gateway_count > 1:
-            self.sharer.table.asked(
-                self.world.engine.now, req.volume, req.gateway_count, plan.rate_limit, plan.rate_limit_burst, req.units
-            )
+            limit = VolumeLimit(req.gateway_count, plan.rate_limit, plan.rate_limit_burst)
+            self.agent.volumes.record_demand(self.world.engine.now, req.volume, limit, req.units)
 
     def outcome(self, event: interface.Outcome, req: interface.Request) -> None:
         if event.result is interface.Result.SERVED:
-            self.sharer.table.used(req.volume, req.units)
-        self._out(self.sharer.outcome(self.world.engine.now, event))
+            self.agent.volumes.record_used(req.volume, req.units)
+        self._out(self.agent.record_outcome(self.world.engine.now, event))
 
     def hear(self, sender: int, body: bytes) -> None:
-        self._out(self.sharer.hear(self.world.engine.now, sender, unpack(body)))
+        self._out(self.agent.receive(self.world.engine.now, sender, decode(body)))
 
-    def _out(self, out: list[Out]) -> None:
+    def _out(self, out: list[GossipAction]) -> None:
         w = self.world
         for o in out:
-            if isinstance(o, Say):
-                w.peer(self.head.number, o.to, pack(o.message))
+            if isinstance(o, SendGossip):
+                w.peer(self.head.number, o.recipient, encode(o.message))
                 continue
             if isinstance(o, interface.GossipedHealth):
                 w.between.hearsay.append((w.engine.now, self.head.number, o))
--- a/fawnspool/rules/shared.py
+++ b/fawnspool/rules/shared.py
@@ -33,7 +33,7 @@
 
 
 CHANCE = 25.0  # requests that a node would have had in a gap: chance alone leaves one out in e^25
-LEADING = 0xB5  # of bodies about shared budgets (shared/messages.py)
+LEADING = 0xB5  # of bodies about shared budgets (gossip/messages.py)
 OVERHEAD = 28  # bytes of IP and UDP headers
 
 
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -144,12 +144,12 @@
 def hearsay_alone() -> None:
     """A head that believes whatever it hears of a node, before its own answers, and does not try it."""
 
-    def weigh(self: Any, now: float, node: int, n: Any) -> list[Any]:
-        bad = [f for f in n.found.values() if f.verdict]
+    def weigh(self: Any, now: float, node: int, findings: Any) -> list[Any]:
+        bad = [finding for finding in findings.by_origin.values() if finding.is_bad]
         return [health_evidence.GossipedHealth(node, False, 60.0)] if bad else []
 
-    health_evidence.Judge._weigh = weigh  # type: ignore[method-assign]
-    health_evidence.Judge.well = lambda self, now, node: []  # type: ignore[method-assign]
+    health_evidence.HealthEvidence._weigh = weigh  # type: ignore[method-assign]
+    health_evidence.HealthEvidence.record_healthy = lambda self, now, node: []  # type: ignore[method-assign]
 
 
 HOW: dict[str, Callable[[], None]] = {
--- a/tests/e2e/test_shared.py
+++ b/tests/e2e/test_gossip.py
@@ -1,9 +1,9 @@
-"""What heads share, between real processes: faults between them, and doctored heads that the judge must find."""
+"""Gossip between real processes: faults between them, and doctored gateways that the judge must find."""
 
 from __future__ import annotations
 
+import importlib.util
 import json
-import subprocess
 import sys
 import time
 from dataclasses import replace
@@ -19,6 +19,7 @@
 from fawnspool.net.client import Pool, call
 from fawnspool.records.frames import rows_of
 from fawnspool.rules.story import read
+from tests.e2e.run_imports import modules_of_run
 
 FILE = Path(__file__).parent / "shared.hcl"
 
@@ -105,9 +106,7 @@
 
 
 def test_run_starts_and_imports_none_of_it() -> None:
-    code = (
-        "import sys, json, fawnspool.relay.process; "
-        "print(json.dumps([m for m in sys.modules if m.startswith('fawnspool.')]))"
-    )
-    loaded = json.loads(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout)
-    assert "fawnspool.relay.process" in loaded and not [m for m in loaded if "shared" in m]
+    loaded = modules_of_run()
+    assert not [name for name in loaded if "gossip" in name or "shared" in name]
+    for name in ("fawnspool.gossip", "fawnspool.gateway.gossip_runner"):
+        assert importlib.util.find_spec(name) is not None, f"{name} is gone: name what took its place"
--- a/tests/lease_model.py
+++ b/tests/lease_model.py
@@ -382,7 +382,7 @@
             (p.token, p.incarnation, p.expires_at, p.released, floor, silent_until, responses or ())
             for p, floor, silent_until, responses in acceptors
         )
-        key = (rows, messages, str(candidates))
+        key = (rows, messages, tuple(candidate.claim or () for candidate in candidates))
         if best is None or key < best[0]:
             best = (key, acceptors, candidates, messages)
     _, acceptors, candidates, messages = best
