--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -24,10 +24,13 @@
 from fawnspool.gateway.extent_directory import PlacesError
 from fawnspool.gateway.gateway import Head
 from fawnspool.gateway.request_state import Answer, Body, Kind, Pending
-from fawnspool.net.http import BadMessage, Limits
-from fawnspool.net.http import Head as MessageHead
-from fawnspool.net.node_headers import MOVED, read_moved, target
-from fawnspool.net.server import Exchange, Server, address
+from fawnspool.net.exceptions import HttpError
+from fawnspool.net.http import MessageLimits, RequestHead
+from fawnspool.net.listener import parse_address
+from fawnspool.net.node_headers import MOVED_HEADER, object_target, parse_moved
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
+from fawnspool.net.server_options import ServerCallbacks, ServerOptions
 
 KEY_MOST = 300
 _JSON = (b"Content-Type", b"application/json")
@@ -68,17 +71,18 @@
         self.head, self.config = head, head.config
         c: HeadConfig = head.config
         self.server = Server(
-            address(c.head.listen),
+            parse_address(c.head.listen),
             self.handle,
-            limits=Limits(c.clients.header_bytes, c.clients.headers),
-            idle_close=c.clients.idle_close,
-            piece_timeout=c.clients.request_timeout,
-            most=c.clients.connections,
-            on_error=self._error,
-            on_bad=self._bad,
-            listener=listener,
-            turn=c.clients.turn,
-            due=self._due,
+            ServerOptions(
+                MessageLimits(c.clients.header_bytes, c.clients.headers),
+                idle_timeout_s=c.clients.idle_close,
+                first_request_timeout_s=c.clients.idle_close,
+                read_timeout_s=c.clients.request_timeout,
+                max_connections=c.clients.connections,
+                max_starts_per_turn=c.clients.turn or None,
+            ),
+            ServerCallbacks(on_error=self._error, on_rejected=self._bad, start_deadline=self._due),
+            listener,
         )
         names = [k.name for k in c.class_]
         self.default_read, self.default_write = 0, min(1, len(names) - 1)
@@ -98,7 +102,7 @@
     def _error(self, bad: Exception) -> None:
         self.head.log.error("the API raised", error=str(bad), exc_info=bad)
 
-    def _bad(self, bad: BadMessage) -> None:
+    def _bad(self, bad: HttpError) -> None:
         counts = self.head.metrics.bad_requests
         counts[bad.status] = counts.get(bad.status, 0) + 1
 
@@ -109,7 +113,7 @@
         try:
             self._route(exchange)
         except ApiError as bad:
-            self._bad(BadMessage(bad.status, bad.text))
+            self._bad(HttpError(bad.status, bad.text))
             self._say(exchange, bad.status, bad.word, bad.text)
 
     def _route(self, exchange: Exchange) -> None:
@@ -163,7 +167,7 @@
             raise ApiError(400, "unknown-class", f"Fawn-Class is one of: {', '.join(self.head.classes)}")
         return found
 
-    def _due(self, head: MessageHead, came: float) -> float:
+    def _due(self, head: RequestHead, came: float) -> float:
         """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
         raw = head.headers.get(b"fawn-patience-ms", b"")
         most = int(raw) / 1000 if raw.isdigit() and len(raw) <= 9 else self.config.clients.request_timeout
@@ -173,7 +177,7 @@
         """All headers read before anybody else is asked anything; when the answer must have left (monotonic)."""
         for name in (b"fawn-op", b"idempotency-key"):
             self._token(exchange, name)
-        deadline = exchange.came + self._patience(exchange, cls)
+        deadline = exchange.arrived_at + self._patience(exchange, cls)
         if deadline <= time.monotonic():
             raise ApiError(503, "refused", "its time was up when its turn came: nothing was done for it")
         return deadline
@@ -224,12 +228,12 @@
             volume=volume,
             cls=cls,
             method=method,
-            target=target(volume, key) + query,
+            target=object_target(volume, key) + query,
             forward=[(n, h[n]) for n in _FORWARD if n in h],
             body=body,
             exchange=exchange,
             patience=self._patience(exchange, cls),
-            came=exchange.came,
+            came=exchange.arrived_at,
             units=self._units(size),
             cell=cell,
             extent=xxhash.xxh3_64_intdigest(name) or 1,
@@ -258,7 +262,7 @@
 
     def _drain_body(self, exchange: Exchange) -> None:
         for _ in exchange.body():
-            if exchange.seen > 65536:
+            if exchange.body_bytes > 65536:
                 raise ApiError(400, "body", "this request takes no body")
 
     def _get(self, exchange: Exchange, volume: str, key: str) -> None:
@@ -311,7 +315,7 @@
     ) -> Pending:
         """Submit and wait; where nodes say that the extent has moved (nothing was done there), submit to where it went,
         or once more where it is about to open. Each is a request of its own to the module; the client gets one answer.
-        Raises ApiError where `extents/stale.py` ends it. once: its body can't be sent again."""
+        Raises ApiError where `extents/staleness.py` ends it. once: its body can't be sent again."""
         once |= self.config.class_[cls].ordered
         for turn in count():
             pending = submit(place)
@@ -320,10 +324,12 @@
             if pending.kind is not Kind.SERVED or answer is None or answer.status not in (421, 425):
                 return pending
             self.head.finished(pending, "moved")
-            to = read_moved(answer.headers.get(MOVED)) if answer.status == 421 else None
+            to = parse_moved(answer.headers.get(MOVED_HEADER)) if answer.status == 421 else None
             if to is not None:
                 place = self.head.places.moved(volume, key, *to)
-            pause = self.head.places.stale.follow(turn, to is not None, pending.deadline - time.monotonic(), once)
+            pause = self.head.places.stale.redirect_pause_s(
+                turn, to is not None, pending.deadline - time.monotonic(), once
+            )
             if pause is None:
                 break
             gevent.sleep(pause)
@@ -351,11 +357,11 @@
         pending = self._followed(exchange, volume, key, place or (-1, 0), submit, cls, once=body.rest is not None)
         answer = pending.answer
         if pending.kind is Kind.SERVED and answer is not None and answer.status in (200, 201):
-            self.head.metrics.bytes_in += exchange.seen
+            self.head.metrics.bytes_in += exchange.body_bytes
             new = head.headers.get(b"if-none-match", b"").strip() == b"*"
             try:
                 until = pending.deadline + self.config.clients.answer_margin / 2
-                if not self.head.places.note(volume, key, pending.cell, exchange.seen, new, until, sent_at):
+                if not self.head.places.note(volume, key, pending.cell, exchange.body_bytes, new, until, sent_at):
                     pending.answer = Answer(412, {})
             except PlacesError as bad:
                 self.head.log.error("written, but its place can't be noted", volume=volume, key=key, error=str(bad))
@@ -370,7 +376,7 @@
         largest = self.config.clients.largest_body
         pieces = exchange.body()
         start, size = list[bytes](), 0
-        if not head.expects:
+        if not head.expects_continue:
             for piece in pieces:
                 start.append(piece)
                 size += len(piece)
@@ -384,7 +390,7 @@
             for piece in pieces:
                 seen += len(piece)
                 if seen > largest:
-                    raise BadMessage(413, f"a body has {largest} bytes at most")
+                    raise HttpError(413, f"a body has {largest} bytes at most")
                 yield piece
 
         return Body(b"".join(start), head.length, rest())
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -9,29 +9,24 @@
 
 import click
 
-from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
-from fawnspool.config.head import HeadConfig, check
-from fawnspool.config.schema import ConfigError, load
+from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
 from fawnspool.gateway.lease_runner import lease_settings
 from fawnspool.gateway.role_context import PAUSE, RELEASE
-from fawnspool.net.server import address
+from fawnspool.net.listener import parse_address
 
 
 class _Duties:
     """The duties of a head's settings, and the map service that they name."""
 
     def __init__(self, config_file: str) -> None:
-        try:
-            config = load(config_file, HeadConfig, check)
-        except ConfigError as bad:
-            config_error(bad, False)
+        config = load_gateway_config(config_file)
         if config.duties is None:
             fail(f"{config_file}: has no duties block: its head takes no part in any")
         self.lease = config.duties.lease
         self.kinds = [d.name for d in config.duties.duty]
         self.names = lease_settings(config.duties, config.head.heads).role_names
-        self.places = MapClient(address(config.catalogue.address), config.catalogue.call_timeout)
+        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
 
     def wishes(self) -> Wishes:
         with reached():
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -8,47 +8,47 @@
 import click
 import msgspec
 
-from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, table
-from fawnspool.config.head import HeadConfig, check
-from fawnspool.config.schema import ConfigError, load
-from fawnspool.extents.migration import Step
-from fawnspool.extents.records import Fact
+from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
+from fawnspool.extents.migration import MigrationStep
+from fawnspool.extents.records import ExtentRecord
 from fawnspool.gateway.endpoint_client import Told
 from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.migrator import Mover
 from fawnspool.gateway.role_context import DRAIN
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
-from fawnspool.net.server import address
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
+from fawnspool.net.listener import parse_address
 
 
 class _Fleet:
     """The services that a head's settings name, as a command needs them."""
 
     def __init__(self, config_file: str) -> None:
-        try:
-            config = load(config_file, HeadConfig, check)
-        except ConfigError as bad:
-            config_error(bad, False)
+        config = load_gateway_config(config_file)
         if config.embedded is not None:
             fail(f"{config_file}: a head with embedded nodes has its map inside; nothing can be moved from here")
         self.volumes = {v.name for v in config.volume}
-        self.places = MapClient(address(config.catalogue.address), config.catalogue.call_timeout)
+        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
         self.nodes = self._listed(config.list.address, config.list.call_timeout)
         self.drains = config.duties is not None and any(d.name == "drain" for d in config.duties.duty)
 
     def _listed(self, where: str, timeout: float) -> dict[int, tuple[str, int]]:
         """Addresses by cell, of the nodes that take work."""
         try:
-            status, data = call(Pool(address(where), 1, timeout, 1.0), b"GET", b"/list", time.monotonic() + timeout)
+            status, data = call(
+                ConnectionPool(parse_address(where), PoolOptions(1, timeout, 1.0)),
+                b"GET",
+                b"/list",
+                time.monotonic() + timeout,
+            )
             if status.code != 200:
                 fail(f"the node list at {where} answered {status.code}", UNREACHED)
             rows = msgspec.json.decode(data, type=Told).entries
-        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError) as bad:
+        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
-        return {r.cell: address(r.address) for r in rows if r.phase != "gone"}
+        return {r.cell: parse_address(r.address) for r in rows if r.phase != "gone"}
 
-    def fact(self, volume: str, key: str) -> Fact:
+    def fact(self, volume: str, key: str) -> ExtentRecord:
         if volume not in self.volumes:
             fail(f"there is no volume {volume!r}; known: {', '.join(sorted(self.volumes))}")
         try:
@@ -87,7 +87,7 @@
                 "cell": cell,
                 "role": seen.role.value,
                 "generation": seen.generation,
-                "to": seen.to,
+                "to": seen.successor,
                 "position": seen.position,
             }
         )
@@ -96,7 +96,7 @@
             {
                 "volume": volume,
                 "key": key,
-                "cell": fact.cell,
+                "cell": fact.shard,
                 "generation": fact.stamp.generation,
                 "epoch": fact.stamp.epoch,
                 "version": fact.stamp.version,
@@ -105,7 +105,7 @@
             }
         )
     click.echo(
-        f"{volume}/{key}: cell {fact.cell}, generation {fact.stamp.generation}, {fact.size} bytes; "
+        f"{volume}/{key}: cell {fact.shard}, generation {fact.stamp.generation}, {fact.size} bytes; "
         f"said in epoch {fact.stamp.epoch} as version {fact.stamp.version}"
     )
     names = ["cell", "role", "generation", "to", "position"]
@@ -125,9 +125,9 @@
     if to not in fleet.nodes:
         fail(f"cell {to} has no node in the list; cells with one: {', '.join(map(str, sorted(fleet.nodes)))}")
     end = fleet.mover().move(volume, key, to, time.monotonic() + within)
-    if end is Step.DONE:
+    if end is MigrationStep.DONE:
         return click.echo(f"{volume}/{key} lies in cell {to}")
-    if end is Step.LOST:
+    if end is MigrationStep.SUPERSEDED:
         fail("another move of it has won, or it has gone: see `fawnspool extents show`", BROKEN)
     fail(
         f"not done within {within:g} s: a node or the map service does not answer; the same again goes on from there",
--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -5,9 +5,9 @@
 import time
 from typing import Any
 
-from fawnspool.extents.migration import Step
-from fawnspool.extents.records import Fact
-from fawnspool.extents.replicas import Role
+from fawnspool.extents.migration import MigrationStep
+from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.replicas import NO_SUCCESSOR, ReplicaRole
 from fawnspool.gateway.held_lease import HeldLease
 from fawnspool.gateway.migrator import Mover
 from fawnspool.gateway.role_context import DRAIN, POLL_INTERVAL_S, RoleContext
@@ -53,21 +53,21 @@
 
     def _drain_once(self, drained: set[int]) -> None:
         """Try to move each extent that lies on a drained shard."""
-        remaining = [fact for fact in self.context.extents_of(self.lease) if fact.cell in drained]
+        remaining = [record for record in self.context.extents_of(self.lease) if record.shard in drained]
         self._report(len(remaining))
         moved_before = self.moved_count
-        for fact in remaining:
-            if not self._is_still_drained(fact):
+        for record in remaining:
+            if not self._is_still_drained(record):
                 break
-            self._move(fact, drained)
+            self._move(record, drained)
         if self.moved_count == moved_before:
             self.lease.sleep(POLL_INTERVAL_S / 4)
 
-    def _is_still_drained(self, fact: Fact) -> bool:
+    def _is_still_drained(self, record: ExtentRecord) -> bool:
         requests = self.context.operator_requests(self.lease)
         if requests is None or self.context.is_paused(self.lease, requests):
             return False
-        return f"{DRAIN}{fact.cell}" in requests
+        return f"{DRAIN}{record.shard}" in requests
 
     def _report(self, remaining: int) -> None:
         now = time.monotonic()
@@ -75,31 +75,31 @@
             self._reported_at = now
             self.context.show_token(self.lease, f"{self.moved_count} moved, {remaining} left")
 
-    def _move(self, fact: Fact, drained: set[int]) -> None:
+    def _move(self, record: ExtentRecord, drained: set[int]) -> None:
         lease = self.lease
-        extent = (fact.volume, fact.extent)
+        extent = (record.volume, record.extent)
         if not self.retries.is_due(time.monotonic(), extent):
             return
         present = self.context.directory.map.find(*extent)  # a move, or a delete, may have come meanwhile
-        if present is None or present.cell != fact.cell:
+        if present is None or present.shard != record.shard:
             return
         self._wait_for_rate(present.size)
-        target = self._target(fact, drained)
-        ready = [self._show_token(shard) for shard in (fact.cell, target) if shard is not None]
+        target = self._target(record, drained)
+        ready = [self._show_token(shard) for shard in (record.shard, target) if shard is not None]
         lease.record_reachability(ANY_NODE, any(ready))
         lease.check()
         if target is None or not all(ready):
             self.retries.record_failure(time.monotonic(), extent)
             return
         deadline = time.monotonic() + min(lease.remaining_s(), MOVE_TIMEOUTS * self.context.call_timeout_s)
-        step = self._mover.move(fact.volume, fact.extent, target, deadline)
+        step = self._mover.move(record.volume, record.extent, target, deadline)
         lease.check()
-        if step is Step.DONE:
+        if step is MigrationStep.DONE:
             self.moved_count += 1
             self.retries.record_success(extent)
             lease.record_reachability(ANY_NODE, True)
         else:
-            self._record_failed_move(fact, target)
+            self._record_failed_move(record, target)
 
     def _wait_for_rate(self, size: int) -> None:
         while True:
@@ -109,9 +109,9 @@
                 return
             self.lease.sleep(wait_s)
 
-    def _record_failed_move(self, fact: Fact, target: int) -> None:
-        extent = (fact.volume, fact.extent)
-        if self._mover.look(fact.cell, *extent) is None and self._mover.look(target, *extent) is None:
+    def _record_failed_move(self, record: ExtentRecord, target: int) -> None:
+        extent = (record.volume, record.extent)
+        if self._mover.look(record.shard, *extent) is None and self._mover.look(target, *extent) is None:
             self.lease.record_reachability(ANY_NODE, False)
             self.lease.check()
         self.retries.record_failure(time.monotonic(), extent)
@@ -132,13 +132,18 @@
         self.lease.check()
         return address in self._fenced_nodes
 
-    def _target(self, fact: Fact, drained: set[int]) -> int | None:
+    def _target(self, record: ExtentRecord, drained: set[int]) -> int | None:
         """Return the shard that an extent moves to: a predecessor's if it has fenced the extent for it."""
-        seen = self._mover.look(fact.cell, fact.volume, fact.extent)
-        next_generation = fact.stamp.generation + 1
-        if seen is not None and seen.role is Role.FENCED and seen.to >= 0 and seen.generation == next_generation:
-            return seen.to
-        return target_shard(fact.volume, fact.extent, _ready_shards(self.context.view.nodes()) - drained)
+        seen = self._mover.look(record.shard, record.volume, record.extent)
+        next_generation = record.stamp.generation + 1
+        if (
+            seen is not None
+            and seen.role is ReplicaRole.FENCED
+            and seen.successor != NO_SUCCESSOR
+            and seen.generation == next_generation
+        ):
+            return seen.successor
+        return target_shard(record.volume, record.extent, _ready_shards(self.context.view.nodes()) - drained)
 
 
 def _drained_shards(requests: dict[str, str] | None) -> set[int]:
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -16,9 +16,9 @@
 
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig, module_settings
-from fawnspool.extents.staleness import Terms
-from fawnspool.gateway.attempts import Outcome
-from fawnspool.gateway.core import Core, PoolBounds
+from fawnspool.extents.staleness import StalenessSettings
+from fawnspool.gateway.attempts import AttemptOutcome
+from fawnspool.gateway.core import Core
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
 from fawnspool.gateway.gossip_runner import GossipRunner, SchedulerView
@@ -30,13 +30,14 @@
 from fawnspool.gateway.request_state import Attempt, Body, Pending
 from fawnspool.gateway.role_context import GatewayView, RoleContext
 from fawnspool.gossip.health_evidence import doubts
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, call
-from fawnspool.net.http import BadMessage
-from fawnspool.net.node_headers import TOLD, read_told
-from fawnspool.net.server import address
+from fawnspool.net.connection_pool import PoolOptions, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
+from fawnspool.net.listener import parse_address
+from fawnspool.net.node_headers import REPORT_HEADER, parse_node_report
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.decision_recording import Recorder, module_hash
 from fawnspool.scheduling import interface
+from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
 from fawnspool.telemetry.metrics import HeadMetrics
@@ -46,6 +47,13 @@
 POLICIES: dict[str, Callable[[interface.Settings, int], Any]] = {"module": Scheduler, "pass": PassThrough}
 
 
+def _node_state(node_queue: NodeQueue) -> str:
+    """Return what the scheduler makes of a node, in the words of the status page."""
+    if not node_queue.is_available():
+        return "trials only"
+    return "sound" if node_queue.slow_start.started_at is None else "may be cold"
+
+
 def make_policy(name: str, settings: interface.Settings, seed: int) -> Any:
     """The decision module, or a baseline, by its name in the settings."""
     return POLICIES[name](settings, seed)
@@ -79,7 +87,7 @@
             settings,
             module,
             NodeSpeech(h.number, settings, c.clients.replay_bytes),
-            PoolBounds(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
+            PoolOptions(c.nodes.connections, c.nodes.connect_timeout, c.nodes.idle_close),
             self.figures,
             logs.get(head=h.number),
             recorder=recorder,
@@ -90,7 +98,7 @@
             self.list = FixedList(rows, config.nodes.zones, config.nodes.kinds, self.loop.tell, self.log, self.behind)
         else:
             self.list = ListClient(
-                address(config.list.address),
+                parse_address(config.list.address),
                 h.number,
                 config.nodes.zones,
                 config.nodes.kinds,
@@ -102,7 +110,9 @@
                 self.behind,
             )
         self.places = (
-            Places(source, Terms(heads=h.heads), h.seed, self.log) if source is not None else self._places(config)
+            Places(source, StalenessSettings(gateway_count=h.heads), h.seed, self.log)
+            if source is not None
+            else self._places(config)
         )
         self.peers: Peers | None = None
         self.leases: LeaseRunner | None = None
@@ -110,10 +120,10 @@
 
     def _places(self, config: HeadConfig) -> Places:
         k = config.catalogue
-        where = address(k.address)
+        where = parse_address(k.address)
         return Places(
             MapClient(where, k.call_timeout),
-            Terms(heads=config.head.heads, peak=k.peak),
+            StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=k.peak),
             config.head.seed,
             self.log,
             address=where,
@@ -127,9 +137,9 @@
         h = self.config.head
         if self.config.peer and h.peer_listen:
             self.peers = Peers(
-                address(h.peer_listen),
+                parse_address(h.peer_listen),
                 h.number,
-                {int(p.name): address(p.address) for p in self.config.peer},
+                {int(p.name): parse_address(p.address) for p in self.config.peer},
                 self.loop.tell,
             )
         super().start()
@@ -155,7 +165,7 @@
         c, k = self.config, self.config.catalogue
         assert c.duties is not None
         view = GatewayView(nodes=lambda: self.list.nodes, requests_in_flight=lambda: len(self.pending))
-        map_client = MapClient(address(k.address), k.call_timeout)
+        map_client = MapClient(parse_address(k.address), k.call_timeout)
         self.leases = LeaseRunner(c.duties, self._place(), Path(c.head.data), peers, self.log)
         self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
 
@@ -265,17 +275,17 @@
                 status, _ = call(
                     self.pool(known.address), b"GET", b"/-/probe", began + self.config.nodes.connect_timeout
                 )
-                load = read_told(status.headers.get(TOLD)).load or None
+                load = parse_node_report(status.headers.get(REPORT_HEADER)).load or None
                 result = interface.Result.SERVED if status.code == 200 else interface.Result.ERROR
-            except ConnectFailed:
+            except ConnectError:
                 result = interface.Result.CONNECT_FAILED
             except TimeoutError:
                 result = interface.Result.TIMED_OUT
-            except (ConnectionBroken, BadMessage, ValueError):
+            except (ConnectionLostError, HttpError, ValueError):
                 result = interface.Result.RESET
         self.loop.tell(interface.Probed(node, result, time.monotonic() - began, load))
 
-    def _ended(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> interface.Outcome:
+    def _ended(self, pending: Pending, attempt: Attempt, outcome: AttemptOutcome) -> interface.Outcome:
         event = super()._ended(pending, attempt, outcome)
         if self.gossip is not None:
             self.gossip.record_outcome(event, pending.req.volume, pending.req.units)
@@ -290,7 +300,11 @@
     def status(self) -> dict[str, Any]:
         """What the head thinks of each node, and how it fares itself."""
         now = time.monotonic()
-        lanes = {lane.node: lane for lane in getattr(self.loop.module, "lanes", {}).values() if lane.node is not None}
+        node_queues = {
+            node_queue.node: node_queue
+            for node_queue in getattr(self.loop.module, "node_queues", {}).values()
+            if node_queue.node is not None
+        }
         nodes = []
         for ident, known in sorted(self.list.nodes.items()):
             row: dict[str, Any] = {
@@ -300,16 +314,16 @@
                 "cell": known.cell,
                 "listed": known.phase.value,
             }
-            if (lane := lanes.get(ident)) is not None:
+            if (node_queue := node_queues.get(ident)) is not None:
                 row |= {
-                    "state": "trials only" if not lane.sound() else "may be cold" if lane.born is not None else "sound",
-                    "bound": round(lane.bound, 2),
-                    "held": lane.held,
-                    "out": len(lane.out),
-                    "response_ms": round(lane.response * 1000, 2),
-                    "wait_ms": round(lane.wait * 1000, 2),
-                    "bad_signs": lane.failed,
-                    "heard_s": round(now - lane.heard, 2),
+                    "state": _node_state(node_queue),
+                    "bound": round(node_queue.concurrency.limit, 2),
+                    "held": node_queue.queue.queued,
+                    "out": len(node_queue.in_flight),
+                    "response_ms": round(node_queue.response_times.mean_s * 1000, 2),
+                    "wait_ms": round(node_queue.response_times.wait_s * 1000, 2),
+                    "bad_signs": node_queue.health.failures,
+                    "heard_s": round(now - node_queue.health.last_answer_at, 2),
                 }
             nodes.append(row)
         m = self.metrics
--- a/fawnspool/gateway/inventory_worker.py
+++ b/fawnspool/gateway/inventory_worker.py
@@ -9,8 +9,8 @@
 from fawnspool.gateway.held_lease import HeldLease
 from fawnspool.gateway.role_context import POLL_INTERVAL_S, RoleContext
 from fawnspool.leases.inventory import compare_inventories
-from fawnspool.net.client import ConnectFailed, ConnectionBroken, Pool, call
-from fawnspool.net.http import BadMessage
+from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
+from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
 _StoredRow = tuple[str, str, int, str]  # a node's inventory: volume, key, and what is not needed here
 
@@ -34,7 +34,7 @@
     def _compare(self) -> None:
         lease = self.lease
         stored = {shard: self._stored(address) for shard, address in self.context.shard_addresses().items()}
-        mapped = {(fact.volume, fact.extent): fact.cell for fact in self.context.extents_of(lease)}
+        mapped = {(record.volume, record.extent): record.shard for record in self.context.extents_of(lease)}
         report = compare_inventories(mapped, stored, lease.partition, lease.kind.shards)
         self.context.log.info("inventories_compared", role=lease.name, report=str(report))
         self.context.show_token(lease, str(report))
@@ -50,7 +50,7 @@
         timeout_s = self.context.call_timeout_s
         try:
             status, body = call(
-                Pool(address, 1, timeout_s, 0.0),
+                ConnectionPool(address, PoolOptions(1, timeout_s, 0.0)),
                 b"GET",
                 b"/-/objects",
                 time.monotonic() + min(timeout_s, self.lease.remaining_s()),
@@ -58,7 +58,7 @@
             if status.code != 200:
                 return None
             return [(row[0], row[1]) for row in msgspec.json.decode(body, type=list[_StoredRow])]
-        except (ConnectFailed, ConnectionBroken, BadMessage, TimeoutError, msgspec.MsgspecError):
+        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError):
             return None
         finally:
             self.lease.check()
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -13,7 +13,7 @@
 
 import gevent
 
-from fawnspool.extents.records import Fact
+from fawnspool.extents.records import ExtentRecord
 from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError, Wishes
 from fawnspool.gateway.held_lease import HeldLease
 from fawnspool.gateway.lease_runner import LeaseRunner
@@ -138,13 +138,13 @@
             known.cell: known.address for known in self.view.nodes().values() if known.phase is not interface.Phase.GONE
         }
 
-    def extents_of(self, lease: HeldLease) -> list[Fact]:
+    def extents_of(self, lease: HeldLease) -> list[ExtentRecord]:
         """Return the extents of a lease's partition as the gateway's map has them; others get their turn meanwhile."""
         extents = []
-        for index, fact in enumerate(self.directory.map.facts()):
+        for index, record in enumerate(self.directory.map.records()):
             if index % EXTENTS_PER_SLICE == EXTENTS_PER_SLICE - 1:
                 gevent.sleep(0)
                 lease.check()
-            if fact.cell >= 0 and partition_of(fact.volume, fact.extent, lease.kind.shards) == lease.partition:
-                extents.append(fact)
+            if record.shard >= 0 and partition_of(record.volume, record.extent, lease.kind.shards) == lease.partition:
+                extents.append(record)
         return extents
--- a/fawnspool/model/duties.py
+++ b/fawnspool/model/duties.py
@@ -20,7 +20,7 @@
 from fawnspool.leases.settings import LeaseSettings
 from fawnspool.model.engine import Engine
 
-_UDP = 28 + 23  # bytes of IP and UDP headers, and of `head/peers.py`
+_UDP = 28 + 23  # bytes of IP and UDP headers, and of `gateway/peers.py`
 
 
 @dataclass(frozen=True)
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -13,8 +13,12 @@
 import gevent
 from gevent.event import Event
 
-from fawnspool.connections.decide import COOLDOWN, IDLE_SHARE, ending, places, reads_again
-from fawnspool.gateway.core import Core, PoolBounds
+from fawnspool.connections.config_reload import retry_delay_s
+from fawnspool.connections.descriptor_limits import divide_descriptors
+from fawnspool.connections.idle_timeouts import NODE_COOLDOWN_S, NODE_IDLE_FRACTION
+from fawnspool.connections.shutdown import shutdown_schedule
+from fawnspool.gateway.core import Core
+from fawnspool.net.connection_pool import PoolOptions
 from fawnspool.relay.config import ConfigError, RelayConfig, load
 from fawnspool.relay.discovery import Discovery
 from fawnspool.relay.node_client import ShelfSpeech
@@ -37,17 +41,17 @@
         self.config, self.path, self.environ = config, path, environ
         self.log = logs.get(head=config.name)
         s = config.settings
-        bounds = places(config.sockets, s.shard_count)
+        bounds = divide_descriptors(config.sockets, s.shard_count)
         self.core = Core(
             s,
             Scheduler(s, config.seed),
             ShelfSpeech(s),
-            PoolBounds(
-                bounds.node,
+            PoolOptions(
+                bounds.per_node,
                 s.connect_timeout_s or 0.25,
-                IDLE_SHARE * config.idle_close,
+                NODE_IDLE_FRACTION * config.idle_close,
                 lenient=True,
-                cooldown=COOLDOWN,
+                cooldown_s=NODE_COOLDOWN_S,
             ),
             Sums(),
             self.log,
@@ -73,9 +77,9 @@
             now = self.figures()
             self.log.info(
                 "state",
-                connections=len(self.front.server.open),
+                connections=len(self.front.server.connections),
                 in_hand=len(self.front.open),
-                to_shelfs=sum(p.open for p in self.core.pools.values()),
+                to_shelfs=sum(p.open_count for p in self.core.pools.values()),
                 **{k: round(v - before.get(k, 0), 4) for k, v in now.items() if v != before.get(k, 0)},
                 nodes=self.nodes(),
             )
@@ -89,7 +93,7 @@
         rows += [(f"attempt ended: {how}", n) for how, n in m.endings.items()]
         rows += [(f"bad {status}", n) for status, n in m.bad_requests.items()]
         rows += [(f"{outcome}: {why}", n) for (outcome, why), n in m.reasons.items()]
-        rows += [(f"closed {state}: {why}", n) for (state, why), n in self.front.server.closings.items()]
+        rows += [(f"closed {state}: {why}", n) for (state, why), n in self.front.server.closed_counts.items()]
         rows += [("accepted", self.front.server.accepted)]
         rows += [
             ("module_s", m.module_seconds),
@@ -105,17 +109,18 @@
 
     def nodes(self) -> list[str]:
         """A few words a node: cell, state, bound, held and out, mean response and wait in milliseconds."""
-        lanes = self.core.loop.module.lanes.values()
         return [
-            f"{x.cell}:{'sound' if x.sound() else 'trials'}{'' if x.born is None else ' cold'} b{x.bound:.1f} "
-            f"h{x.held} o{len(x.out)} r{x.response * 1000:.0f} w{x.wait * 1000:.0f}"
-            for x in lanes
+            f"{x.shard}:{'sound' if x.is_available() else 'trials'}"
+            f"{'' if x.slow_start.started_at is None else ' cold'} "
+            f"b{x.concurrency.limit:.1f} h{x.queue.queued} o{len(x.in_flight)} "
+            f"r{x.response_times.mean_s * 1000:.0f} w{x.response_times.wait_s * 1000:.0f}"
+            for x in self.core.loop.module.node_queues.values()
             if x.node is not None
         ]
 
     def free_descriptor(self) -> bool:
         """Close a connection that can be spared, a client's or one to a shelf: its descriptor is needed more."""
-        return self.front.server.evict_idle() or self.core.close_one_idle()
+        return self.front.server.evict_waiting() or self.core.close_one_idle()
 
     def reload(self) -> None:
         """SIGHUP: the file was replaced. What can change under load is where discovery is; the rest needs a restart."""
@@ -136,21 +141,22 @@
         if self.front.until < math.inf:
             return  # told before: a second signal gives no more time
         told, server = time.monotonic(), self.front.server
-        end = ending(told, NEW_S, MORE_S + min(COUNTED_S, max(c.deadline_s for c in self.config.settings.classes)))
-        self.front.until = end.answered
-        server.crowd = 0  # new connections end soon: from now on every kept one is needed
+        longest = max(c.deadline_s for c in self.config.settings.classes)
+        end = shutdown_schedule(told, NEW_S, MORE_S + min(COUNTED_S, longest))
+        self.front.until = end.answered_by
+        server.options.crowded_from = None  # new connections end soon: from now on every kept one is needed
         self._log_step("ending")
-        _wait_until(end.refuse, lambda: time.monotonic() >= end.unused and not server.open)
-        server.leaving = True
+        _wait_until(end.refuse_at, lambda: time.monotonic() >= end.unused_from and not server.connections)
+        server.draining = True
         self._log_step("new connections are refused")
-        server.stop_accepting(end.close)
-        _wait_until(end.close, lambda: not server.open)
+        server.stop_accepting(end.close_idle_at)
+        _wait_until(end.close_idle_at, lambda: not server.connections)
         self._log_step("idle connections are closed")
-        server.closing_down(end.answered)
-        _wait_until(end.answered, lambda: not server.open)
+        server.drain(end.answered_by)
+        _wait_until(end.answered_by, lambda: not server.connections)
         self.front.end_all()
-        server.finish()
-        _wait_until(end.gone, lambda: not server.open)
+        server.end_reading()
+        _wait_until(end.exit_by, lambda: not server.connections)
         self._log_step("ended", after_s=round(time.monotonic() - told, 2))
         self.ended.set()
 
@@ -159,7 +165,7 @@
         self.log.info(
             step,
             in_hand=len(self.front.open),
-            connections=len(server.open),
+            connections=len(server.connections),
             states=server.states(),
             accepted=server.accepted,
             **more,
@@ -191,7 +197,7 @@
             if bad.no_descriptor and free_descriptor():
                 continue
             tries += 1
-            pause = reads_again(tries) if bad.not_whole else None
+            pause = retry_delay_s(tries) if bad.not_whole else None
             if pause is None:
                 raise
             gevent.sleep(pause)
--- a/fawnspool/standins/platform.py
+++ b/fawnspool/standins/platform.py
@@ -15,8 +15,9 @@
 from gevent.event import Event
 from gevent.queue import Empty, Queue
 
-from fawnspool.net.http import BadMessage
-from fawnspool.net.server import Exchange, Server
+from fawnspool.net.exceptions import HttpError
+from fawnspool.net.server import Server
+from fawnspool.net.server_connection import Exchange
 
 BEAT_S = 2.0
 
@@ -65,18 +66,18 @@
         head, body = exchange.head, b"".join(exchange.body())
         ident = head.headers.get(b"request-id", b"").decode()
         asked = Asked(ident, head.method.decode(), head.target.decode(), head.headers, body, time.monotonic())
-        if self.cuts_kept and exchange.conn in self.used:
+        if self.cuts_kept and exchange.connection in self.used:
             exchange.answered = True
-            return exchange.conn.wire.reset()
-        self.used.add(exchange.conn)
+            return exchange.connection.stream.reset()
+        self.used.add(exchange.connection)
         self.asked.append(asked)
         self.hold.wait()
         raw = self.script(asked) if self.script is not None else None
         if raw is None:
             return exchange.respond(200, self.report, asked.made())
         exchange.answered = True
-        exchange.conn.send(raw)
-        exchange.conn.closing |= self.ends
+        exchange.connection.send(raw)
+        exchange.connection.closing |= self.ends
 
 
 class DiscoveryServer:
@@ -126,7 +127,7 @@
         if self.down:
             return exchange.respond(503, [])
         if not target.startswith("/catalog/members"):
-            raise BadMessage(404, "no such place")
+            raise HttpError(404, "no such place")
         if "stream=1" not in target:
             return exchange.respond(200, [], json.dumps(self.whole()).encode())
         queue: Queue[Any] = Queue()
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -20,7 +20,7 @@
 from fawnspool.days.day import Day
 from fawnspool.days.traffic import Op
 from fawnspool.model.node import NodeTraits
-from fawnspool.net.server import Exchange
+from fawnspool.net.server_connection import Exchange
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.rules.judge import Terms, Verdict, judge
 from fawnspool.rules.story import read
@@ -254,8 +254,8 @@
         self: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"", close: bool = False
     ) -> None:
         respond(self, status, headers, body, close)
-        if self.conn.server is run.rig.api.server:
-            self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        if self.connection.server is run.rig.api.server:
+            self.connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     Exchange.respond = twice  # type: ignore[method-assign]
     try:
@@ -277,8 +277,9 @@
 
 def test_a_head_that_goes_on_after_a_drain(rigs: Callable[..., Rig]) -> None:
     class SendsOn(PassThrough):
-        def _list(self, event: interface.EndpointUpdate) -> None:
-            super()._list(replace(event, entries=tuple(replace(e, phase=interface.Phase.READY) for e in event.entries)))
+        def _update_endpoints(self, event: interface.EndpointUpdate) -> list[interface.Action]:
+            ready = tuple(replace(e, phase=interface.Phase.READY) for e in event.entries)
+            return super()._update_endpoints(replace(event, entries=ready))
 
     run = Run(rigs(SendsOn, nodes=1))
     run.rig.head._withdrawn = lambda node: False  # type: ignore[method-assign]
