--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -25,7 +25,7 @@
 )
 from fawnspool.gateway.event_loop import DecisionModule
 from fawnspool.gateway.extent_directory import MapClient, Places, Source
-from fawnspool.gateway.gossip_runner import Sharing
+from fawnspool.gateway.gossip_runner import GossipRunner, SchedulerView
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
 from fawnspool.gateway.node_protocol import FawnspoolNodeProtocol
@@ -146,7 +146,7 @@
         self.probes = gevent.pool.Group()
         self.peers: PeerSocket | None = None
         self.leases: LeaseRunner | None = None
-        self.sharing: Sharing | None = None
+        self.gossip: GossipRunner | None = None
 
     def _make_recorder(self, settings: interface.Settings, module: DecisionModule) -> Recorder | None:
         head = self.config.head
@@ -206,33 +206,30 @@
         if self.config.duties is not None and self.peers is not None:
             self._start_leases(self.peers)
         if self.config.shared is not None and self.peers is not None:
-            self._start_sharing(self.peers)
+            self._start_gossip(self.peers)
 
     def _start_leases(self, peers: PeerSocket) -> None:
         config = self.config
         assert config.duties is not None
-        place = FleetPlace(config.head.number, config.head.heads, config.head.seed)
         view = GatewayView(nodes=lambda: self.endpoints.nodes, requests_in_flight=lambda: len(self.pending))
         map_client = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
-        self.leases = LeaseRunner(config.duties, place, Path(config.head.data), peers, self.log)
+        self.leases = LeaseRunner(config.duties, self._place_in_fleet(), Path(config.head.data), peers, self.log)
         self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
 
-    def _start_sharing(self, peers: PeerSocket) -> None:
-        head = self.config.head
+    def _start_gossip(self, peers: PeerSocket) -> None:
         assert self.config.shared is not None
-        self.sharing = Sharing(
-            self.config.shared,
-            head.number,
-            head.heads,
-            head.seed,
-            peers,
-            {number: name for name, number in self.volume_numbers.items()},
-            lambda: len(self.endpoints.nodes),
-            lambda: doubts(self.loop.module),
-            self.loop.post,
-            self.log,
+        view = SchedulerView(
+            volume_names={number: name for name, number in self.volume_numbers.items()},
+            listed_count=lambda: len(self.endpoints.nodes),
+            suspects=lambda: doubts(self.loop.module),
+            notify=self.loop.post,
         )
-        self.sharing.start()
+        self.gossip = GossipRunner(self.config.shared, self._place_in_fleet(), peers, view, self.log)
+        self.gossip.start()
+
+    def _place_in_fleet(self) -> FleetPlace:
+        head = self.config.head
+        return FleetPlace(head.number, head.heads, head.seed)
 
     def hand_over(self) -> None:
         """Give the leases of this gateway to others at once: the first step of a shutdown."""
@@ -243,8 +240,8 @@
         """End everything that `start` began, and write what is still to be written."""
         if self.leases is not None:
             self.leases.stop()
-        if self.sharing is not None:
-            self.sharing.stop()
+        if self.gossip is not None:
+            self.gossip.stop()
         self.probes.kill(block=False)
         self.endpoints.stop()
         self.places.stop()
@@ -295,9 +292,9 @@
                 op=request.operation_id,
             )
         self.accept(pending)
-        if self.sharing is not None:
+        if self.gossip is not None:
             plan = self.config.plan[pending.request.plan_index]
-            self.sharing.request(pending.request.volume, volume.heads, plan, request.units)
+            self.gossip.record_request(pending.request.volume, volume.heads, plan, request.units)
         return pending
 
     def _module_request(self, request: ObjectRequest) -> interface.Request:
@@ -320,8 +317,8 @@
         self, pending: ClientRequest, attempt: NodeAttempt, outcome: AttemptOutcome
     ) -> interface.Outcome:
         event = super()._attempt_ended(pending, attempt, outcome)
-        if self.sharing is not None:
-            self.sharing.outcome(event, pending.request.volume, pending.request.units)
+        if self.gossip is not None:
+            self.gossip.record_outcome(event, pending.request.volume, pending.request.units)
         return event
 
     # ------------------------------------------------------------ actions
@@ -366,7 +363,7 @@
 
     def shared_status(self) -> dict[str, Any] | None:
         """Return the state of gossip; None: this gateway takes no part in it."""
-        return None if self.sharing is None else self.sharing.status()
+        return None if self.gossip is None else self.gossip.status()
 
     def status(self) -> dict[str, Any]:
         """Return what the gateway thinks of each node, and how it fares itself."""
