--- a/fawnspool/api/answer_writer.py
+++ b/fawnspool/api/answer_writer.py
@@ -8,7 +8,7 @@
 from fawnspool.gateway.answer_reasons import reason_for_client
 from fawnspool.gateway.gateway import Gateway
 from fawnspool.gateway.request_state import AnswerKind, ClientRequest, NodeAnswer
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 
 JSON = (b"Content-Type", b"application/json")
 PROMETHEUS_TEXT = (b"Content-Type", b"text/plain; version=0.0.4")
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -30,11 +30,11 @@
 from fawnspool.gateway.gateway import Gateway, ObjectRequest
 from fawnspool.gateway.request_state import AnswerKind, ClientRequest, NodeAnswer, RequestBody
 from fawnspool.net.exceptions import HttpError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.http import MessageLimits
 from fawnspool.net.listener import parse_address
 from fawnspool.net.node_headers import MOVED_HEADER, object_target, parse_moved
 from fawnspool.net.server import Server, ServerCallbacks
-from fawnspool.net.server_connection import Exchange
 from fawnspool.net.server_options import ServerOptions
 
 Place = tuple[int, int]
--- a/fawnspool/api/request_reader.py
+++ b/fawnspool/api/request_reader.py
@@ -15,8 +15,8 @@
 from fawnspool.api.errors import BadRequestError, NotFoundError, UnavailableError
 from fawnspool.config.head import HeadConfig
 from fawnspool.net.exceptions import HttpError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.http import RequestHead
-from fawnspool.net.server_connection import Exchange
 
 MAX_KEY_BYTES = 300
 MAX_LISTED_KEYS = 1000
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -25,10 +25,11 @@
 from fawnspool.connections.states import CloseCause
 from fawnspool.net.admission_throttle import AdmissionThrottle
 from fawnspool.net.exceptions import HttpError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.http import RequestHead
 from fawnspool.net.lingering_close import LINGER_S
 from fawnspool.net.listener import bind, has_queued, listen, refuse_connections
-from fawnspool.net.server_connection import Exchange, ServerConnection
+from fawnspool.net.server_connection import ServerConnection
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -10,7 +10,7 @@
 import contextlib
 import math
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from http import HTTPStatus
 from typing import Protocol
 
@@ -18,10 +18,9 @@
 
 from fawnspool.connections.states import CloseCause, ConnectionEvent, ConnectionState, next_state, owed_status
 from fawnspool.net.admission_throttle import AdmissionThrottle
-from fawnspool.net.exceptions import AnsweredTwiceError, ClientDisconnectedError, HttpError
+from fawnspool.net.exceptions import ClientDisconnectedError, HttpError
+from fawnspool.net.exchange import JSON_HEADER, Exchange
 from fawnspool.net.http import (
-    BODILESS_STATUSES,
-    CONTINUE,
     END_OF_MESSAGE,
     MessageEvent,
     RequestHead,
@@ -35,8 +34,6 @@
 
 FLOOD_BYTES = 32_768  # unread behind a request being handled, past which an untrusted client counts as gone
 _HEAD_READ_BYTES = 65536
-_BODY_READ_BYTES = 262_144
-_JSON = (b"Content-Type", b"application/json")
 _OWED_REASONS = {
     HTTPStatus.REQUEST_TIMEOUT: "the request did not come whole in time",
     HTTPStatus.INTERNAL_SERVER_ERROR: "the request was cut short here",
@@ -89,144 +86,6 @@
         """A connection has ended."""
 
 
-class Exchange:
-    """One request and its one response.
-
-    Attributes
-    ----------
-    head
-        The request's head.
-    arrived_at
-        When the request's first bytes reached this host (monotonic seconds).
-    answered
-        Its response was given or has begun, or none is owed.
-    request_read
-        The request has been read to its end.
-    body_bytes
-        Bytes of the body read.
-    """
-
-    __slots__ = ("answered", "arrived_at", "body_bytes", "connection", "head", "request_read")
-
-    def __init__(self, connection: ServerConnection, head: RequestHead, arrived_at: float) -> None:
-        self.connection = connection
-        self.head = head
-        self.arrived_at = arrived_at
-        self.answered = False
-        self.request_read = False
-        self.body_bytes = 0
-
-    def body(self) -> Iterator[bytes]:
-        """Read the rest of the body, piece by piece; reading it slowly holds the client back.
-
-        Raises
-        ------
-        ClientDisconnectedError
-            Where the client left.
-        HttpError
-            Where the framing is in doubt.
-        TimeoutError
-            Where a piece takes too long.
-        """
-        connection = self.connection
-        if self.head.expects_continue and not self.answered and not self.body_bytes:
-            self.head.expects_continue = False
-            connection.send(CONTINUE)
-        while not self.request_read:
-            event = connection.next_event(_BODY_READ_BYTES)
-            if event is END_OF_MESSAGE:
-                self.request_read = True
-                connection.note_event(ConnectionEvent.REQUEST_COMPLETE)
-                return
-            assert isinstance(event, bytes)
-            self.body_bytes += len(event)
-            yield event
-
-    def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"", close: bool = False) -> None:
-        """Send the whole response. A client that has left meanwhile is no error.
-
-        Parameters
-        ----------
-        status, headers, body
-            Of the response; the body is not sent to HEAD.
-        close
-            The connection ends behind it in any case.
-        """
-        bodiless = self.head.method == b"HEAD" or status in BODILESS_STATUSES
-        self._send_response(status, headers, len(body), b"" if bodiless else body, close)
-
-    def respond_bare(self, status: int, headers: list[tuple[bytes, bytes]], length: int) -> None:
-        """Send the response to HEAD: `length` is what GET would send."""
-        self._send_response(status, headers, length, b"", close=False)
-
-    def _send_response(
-        self, status: int, headers: list[tuple[bytes, bytes]], length: int, body: bytes, close: bool
-    ) -> None:
-        last = self._begin_response() or close
-        self.connection.closing |= last
-        head = format_response_head(status, headers, length, last)
-        try:
-            self.connection.send(head + body if body else head)
-        except OSError:
-            self.connection.closing = True
-
-    def begin(self, status: int, headers: list[tuple[bytes, bytes]], length: int | None) -> None:
-        """Start a response whose body follows by `write`; `finish` ends it. Raises OSError as `write`."""
-        last = self._begin_response()
-        self.connection.closing |= last
-        self.connection.send(format_response_head(status, headers, length, last))
-
-    def write(self, piece: bytes | memoryview, deadline: float) -> None:
-        """Send a piece of the body. Raises OSError where the client has left or takes nothing until `deadline`."""
-        self.connection.stream.sendall(piece, deadline)
-
-    def finish(self, complete: bool) -> None:
-        """End the response that was begun; one that is not complete ends with its connection."""
-        self.connection.closing |= not complete
-
-    def abandon(self) -> None:
-        """Count the client as gone, so that no response is owed. One that only sent too much is told so."""
-        if self.connection.flooded:
-            self.connection.note_cause(CloseCause.BAD_MESSAGE)
-            body = format_error_body("bad-request", "too much came behind a request")
-            self.respond(400, [_JSON], body, close=True)
-            return
-        self.connection.note_cause(CloseCause.PEER_CLOSED)
-        self.answered = True
-        self.connection.closing = True
-
-    def client_left(self) -> bool:
-        """Tell whether the client closed its connection while its response is awaited.
-
-        An end is also seen behind bytes that follow the request; these are not read.
-        """
-        connection = self.connection
-        if connection.stream.closed:
-            return True
-        if self.request_read:
-            return connection.has_left()
-        return connection.stream.peer_left()
-
-    def _begin_response(self) -> bool:
-        """Mark the exchange as answered. Is this response the connection's last?"""
-        if self.answered:
-            raise AnsweredTwiceError
-        self.answered = True
-        complete = self.request_read or self._rest_has_come()
-        self.connection.note_event(ConnectionEvent.RESPONSE_BEGAN)
-        self.connection.request_cut = not complete
-        return not complete or not self.head.keep_alive or self.connection.must_end()
-
-    def _rest_has_come(self) -> bool:
-        """Tell whether the whole request has come already, so that the connection may go on."""
-        if self.head.length == 0:
-            events = self.connection.parser.events
-            if events and events[0] is END_OF_MESSAGE:
-                events.popleft()
-                self.request_read = True
-        return self.request_read
-
-
 class ServerConnection:
     """One client's connection.
 
@@ -477,7 +336,7 @@
                 self.note_cause(CloseCause.INTERNAL_ERROR)
             self._send_owed()
         if not exchange.answered and not self.closing:
-            exchange.respond(500, [_JSON], format_error_body("failed", "unanswered"), close=True)
+            exchange.respond(500, [JSON_HEADER], format_error_body("failed", "unanswered"), close=True)
         self.closing |= not exchange.request_read
 
     # ------------------------------------------------------------ its end
@@ -507,7 +366,7 @@
         self.request_cut = exchange is None or not exchange.request_read
         body = format_error_body(word, reason)
         with contextlib.suppress(OSError):
-            self.send(format_response_head(status, [_JSON], len(body), close=True) + body)
+            self.send(format_response_head(status, [JSON_HEADER], len(body), close=True) + body)
 
     def _close(self) -> None:
         try:
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -19,9 +19,10 @@
 from fawnspool.gateway.core import GatewayCore
 from fawnspool.gateway.request_state import AnswerKind, ClientRequest, RequestBody
 from fawnspool.net.exceptions import HttpError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.http import MessageLimits, RequestHead
 from fawnspool.net.server import Server, ServerCallbacks
-from fawnspool.net.server_connection import Exchange, ServerConnection
+from fawnspool.net.server_connection import ServerConnection
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.relay.node_client import MAX_BODY_BYTES, USUAL_BODY_BYTES
 from fawnspool.scheduling.interface import Idempotence, Request, RequestClass, Settings
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -26,7 +26,7 @@
 from fawnspool.extents.records import LOG_START, NO_SHARD, ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
 from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import MAGIC, Reader
 from fawnspool.standins.service import Service
 
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -33,6 +33,7 @@
 from fawnspool.extents.replicas import ReplicaResult, ReplicaRole
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
 from fawnspool.net.exceptions import ClientDisconnectedError, HttpError, RangeNotSatisfiableError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.node_headers import (
     MOVED_HEADER,
     AttemptHeader,
@@ -42,7 +43,6 @@
 )
 from fawnspool.net.ranges import etag_matches, parse_range
 from fawnspool.net.server import Server, ServerCallbacks
-from fawnspool.net.server_connection import Exchange
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.records.frames import Writer
 from fawnspool.standins.clients import lag_meter
--- a/fawnspool/standins/nodelist.py
+++ b/fawnspool/standins/nodelist.py
@@ -22,7 +22,7 @@
 from gevent.queue import Empty, Queue
 
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 from fawnspool.standins.service import Service
 
 _KEEP = 1000  # changes kept for a watch that comes back
--- a/fawnspool/standins/platform.py
+++ b/fawnspool/standins/platform.py
@@ -16,8 +16,8 @@
 from gevent.queue import Empty, Queue
 
 from fawnspool.net.exceptions import HttpError
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.server import Server
-from fawnspool.net.server_connection import Exchange
 
 BEAT_S = 2.0
 
--- a/fawnspool/standins/service.py
+++ b/fawnspool/standins/service.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.server import Server
-from fawnspool.net.server_connection import Exchange
 from fawnspool.net.server_options import ServerOptions
 
 
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -20,7 +20,7 @@
 from fawnspool.days.day import Day
 from fawnspool.days.traffic import Op
 from fawnspool.model.node import NodeTraits
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.rules.judge import Terms, Verdict, judge
 from fawnspool.rules.story import read
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -23,8 +23,8 @@
 
 from fawnspool.connections.shutdown import KILL_MARGIN_S, LAST_RESPONSES_S
 from fawnspool.connections.states import CloseCause, ConnectionState, owed_status
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.server import Server
-from fawnspool.net.server_connection import Exchange
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 from tests.e2e.relayrig import SETTINGS, RelayRig, headers, plain_sock, text
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,6 +27,7 @@
     RangeNotSatisfiableError,
     TrailingDataError,
 )
+from fawnspool.net.exchange import Exchange
 from fawnspool.net.http import END_OF_MESSAGE, MessageLimits, RequestHead, RequestParser, ResponseHead, ResponseParser
 from fawnspool.net.node_headers import (
     AttemptHeader,
@@ -38,7 +39,6 @@
 )
 from fawnspool.net.ranges import etag_matches, parse_range
 from fawnspool.net.server import Server
-from fawnspool.net.server_connection import Exchange
 from fawnspool.net.socket_stream import SocketStream, connect
 from fawnspool.net.timer_wheel import current_wheel
 from fawnspool.net.wakeup_event import WakeupEvent
