--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -282,7 +282,7 @@
             return super()._update_endpoints(replace(event, entries=ready))
 
     run = Run(rigs(SendsOn, nodes=1))
-    run.rig.head._is_withdrawn = lambda node: False  # type: ignore[method-assign]
+    run.rig.head.attempt_hooks = replace(run.rig.head.attempt_hooks, is_withdrawn=lambda node: False)
     for k in range(20):
         run.ask(k * 0.03)
 
