--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -20,7 +20,7 @@
 from fawnspool.days.day import Day
 from fawnspool.days.traffic import Op
 from fawnspool.model.node import NodeTraits
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import Reader, Writer
 from fawnspool.rules.judge import Terms, Verdict, judge
 from fawnspool.rules.story import read
@@ -282,7 +282,7 @@
             return super()._update_endpoints(replace(event, entries=ready))
 
     run = Run(rigs(SendsOn, nodes=1))
-    run.rig.head._is_withdrawn = lambda node: False  # type: ignore[method-assign]
+    run.rig.head.attempt_hooks = replace(run.rig.head.attempt_hooks, is_withdrawn=lambda node: False)
     for k in range(20):
         run.ask(k * 0.03)
 
