--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared by all tests: settings and heads built by hand, far from any site's figures."""
+"""Shared by all tests: settings and gateways built by hand, far from any site's figures."""
 
 from __future__ import annotations
 
@@ -33,6 +33,7 @@
     Timer,
     UpdateKind,
 )
+from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
 
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=40)
@@ -147,42 +148,41 @@
     return Settings(**(base | change))
 
 
-def entry(node: int, cell: int, phase: Phase = Phase.READY, started: float = 0.0, zone: int = 0) -> Endpoint:
-    return Endpoint(node, zone, 0, cell, phase, 1.0, started)
+def entry(node: int, shard: int, phase: Phase = Phase.READY, started: float = 0.0, zone: int = 0) -> Endpoint:
+    return Endpoint(node, zone, 0, shard, phase, 1.0, started)
 
 
-class Head:
-    """A controller with its clock, its timers and a ledger of what it did."""
+class GatewayDriver:
+    """A scheduler with its clock, its timers and a ledger of what it did."""
 
     def __init__(
         self, settings: Settings, nodes: int = 1, now: float = 100.0, seed: int = 1, live: bool = True
     ) -> None:
-        self.control = Scheduler(settings, seed)
+        self.scheduler = Scheduler(settings, seed)
         self.now = now
         self.timers: list[tuple[float, int]] = []
         self.sends: deque[tuple[float, Send]] = deque()
-        self.ends: dict[int, Action] = {}
-        self.tries: dict[int, int] = {}
-        self.logs: list[Action] = []
-        self.told: list[SendPeerMessage] = []
-        self.ids = 0
-        self.asked: dict[int, float] = {}  # units by request
-        rows = tuple(entry(10 + k, k) for k in range(nodes))
-        self.give(EndpointUpdate(UpdateKind.CACHED, 1, rows))
+        self.final_answers: dict[int, Action] = {}
+        self.attempts: dict[int, int] = {}
+        self.peer_messages: list[SendPeerMessage] = []
+        self.requests_made = 0
+        self.units: dict[int, float] = {}  # by request
+        rows = tuple(entry(10 + shard, shard) for shard in range(nodes))
+        self.handle(EndpointUpdate(UpdateKind.CACHED, 1, rows))
         if live:
-            self.give(EndpointUpdate(UpdateKind.SNAPSHOT, 2, rows))
+            self.handle(EndpointUpdate(UpdateKind.SNAPSHOT, 2, rows))
 
-    def give(self, event: Event) -> list[Action]:
-        actions = self.control.handle(self.now, event)
+    def handle(self, event: Event) -> list[Action]:
+        actions = self.scheduler.handle(self.now, event)
         for action in actions:
             if isinstance(action, Send):
                 self.sends.append((self.now, action))
-                self.tries[action.id] = self.tries.get(action.id, 0) + 1
+                self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
             elif isinstance(action, RejectRequest | FailRequest):
-                assert action.id not in self.ends, "two final answers"
-                self.ends[action.id] = action
+                assert action.id not in self.final_answers, "two final answers"
+                self.final_answers[action.id] = action
             elif isinstance(action, SendPeerMessage):
-                self.told.append(action)
+                self.peer_messages.append(action)
             elif isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_s, action.token))
         return actions
@@ -192,43 +192,63 @@
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.give(Timer(due[0][1]))
+            self.handle(Timer(due[0][1]))
         self.now = max(self.now, until)
 
-    def ask(
+    def request(
         self,
         volume: int = 1,
-        cell: int = 0,
+        shard: int = 0,
         units: float = 2.0,
         extent: int = 0,
-        cls: int = 0,
-        plan: int = 0,
-        heads: int = 1,
-        patience: float = 4.0,
-        repeat: bool = False,
+        class_index: int = 0,
+        plan_index: int = 0,
+        gateway_count: int = 1,
+        timeout_s: float = 4.0,
+        is_client_retry: bool = False,
     ) -> int:
-        self.ids += 1
-        self.asked[self.ids] = units
-        self.give(Request(self.ids, cls, plan, extent, patience, volume, units, cell, heads, repeat, False))
-        return self.ids
+        """A client's request comes; its number."""
+        self.requests_made += 1
+        ident = self.requests_made
+        self.units[ident] = units
+        self.handle(
+            Request(
+                ident,
+                class_index,
+                plan_index,
+                extent,
+                timeout_s,
+                volume,
+                units,
+                shard,
+                gateway_count,
+                is_client_retry,
+                False,
+            )
+        )
+        return ident
 
     def answer(
         self,
         ident: int,
         result: Result = Result.SERVED,
-        took: float = 0.05,
+        elapsed_s: float = 0.05,
         final: bool | None = None,
-        used: float | None = None,
-        kept: bool = False,
+        volume_usage: float | None = None,
+        reused_connection: bool = False,
     ) -> list[Action]:
-        node = next(s.node for _, s in reversed(self.sends) if s.id == ident)
-        last = result is Result.SERVED if final is None else final
-        return self.give(Outcome(ident, self.tries[ident] - 1, node, took, result, last, 0, used, None, kept))
-
-    def warm(self) -> Head:
+        """The last attempt of a request ends."""
+        node = next(send.node for _, send in reversed(self.sends) if send.id == ident)
+        is_final = result is Result.SERVED if final is None else final
+        attempt = self.attempts[ident] - 1
+        return self.handle(
+            Outcome(ident, attempt, node, elapsed_s, result, is_final, 0, volume_usage, None, reused_connection)
+        )
+
+    def warm(self) -> GatewayDriver:
         """One answer in good time from each node, so that none is unmeasured; the ledger starts after."""
-        for cell in list(self.control.node_queues):
-            ident = self.ask(99, cell=cell)
+        for shard in list(self.scheduler.node_queues):
+            ident = self.request(99, shard=shard)
             while ident not in self.sent():
                 self.run(self.now + 0.05)
             self.now += 0.05
@@ -236,13 +256,16 @@
         self.sends.clear()
         return self
 
+    def node_queue(self, shard: int = 0) -> NodeQueue:
+        return self.scheduler.node_queues[shard]
+
     def sent(self) -> list[int]:
-        return [s.id for _, s in self.sends]
+        return [send.id for _, send in self.sends]
 
 
 @pytest.fixture
-def head() -> Callable[..., Head]:
-    def build(nodes: int = 1, **change: Any) -> Head:
-        return Head(make_settings(**change), nodes)
+def make_gateway() -> Callable[..., GatewayDriver]:
+    def build(nodes: int = 1, **change: Any) -> GatewayDriver:
+        return GatewayDriver(make_settings(**change), nodes)
 
     return build
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -27,7 +27,7 @@
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry.counters import GatewayCounters
-from tests.conftest import Head, make_settings
+from tests.conftest import GatewayDriver, make_settings
 
 
 def make(name: str, settings: interface.Settings, seed: int) -> Scheduler:
@@ -38,7 +38,7 @@
 def life(path: Path) -> int:
     """Record a short life of a module; the number of its events."""
     settings = make_settings(has_peer_messages=True)
-    head = Head(settings, nodes=2)
+    head = GatewayDriver(settings, nodes=2)
     module = Scheduler(settings, 5)
     recorder = Recorder(path, "module", settings, 5, module_hash(module))
     events: list[tuple[float, interface.Event]] = [
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -4,20 +4,20 @@
 
 from collections.abc import Callable
 
-from tests.conftest import Head
+from tests.conftest import GatewayDriver
 from tests.test_mechanism import LONG
 
 
-def test_run_gets_one_place_more(head: Callable[..., Head]) -> None:
-    h = head(classes=LONG).warm()
-    h.control.node_queues[0].concurrency.limit = 2.0
-    run = [h.ask(1, extent=7, patience=60.0) for _ in range(4)]
-    assert h.sent() == run[:3]
+def test_run_gets_one_place_more(make_gateway: Callable[..., GatewayDriver]) -> None:
+    gateway = make_gateway(classes=LONG).warm()
+    gateway.node_queue().concurrency.limit = 2.0
+    run = [gateway.request(1, extent=7, timeout_s=60.0) for _ in range(4)]
+    assert gateway.sent() == run[:3]
 
 
-def test_others_keep_to_the_bound(head: Callable[..., Head]) -> None:
-    h = head(classes=LONG).warm()
-    h.control.node_queues[0].concurrency.limit = 2.0
-    ids = [h.ask(1, extent=7 + k, patience=60.0) for k in range(4)]
-    assert h.sent() == ids[:2]
-    assert head(classes=LONG).warm().control.node_queues[0].queue.run_length == 0
+def test_others_keep_to_the_limit(make_gateway: Callable[..., GatewayDriver]) -> None:
+    gateway = make_gateway(classes=LONG).warm()
+    gateway.node_queue().concurrency.limit = 2.0
+    ids = [gateway.request(1, extent=7 + k, timeout_s=60.0) for k in range(4)]
+    assert gateway.sent() == ids[:2]
+    assert make_gateway(classes=LONG).warm().node_queue().queue.run_length == 0
--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -21,7 +21,7 @@
     UpdateKind,
 )
 from fawnspool.scheduling.scheduler import Scheduler
-from tests.conftest import Head, entry
+from tests.conftest import GatewayDriver, entry
 
 ROOT = Path(__file__).parent.parent
 
@@ -247,10 +247,10 @@
         classes = orders(4, seed)
         s = read_tree(tree(made, classes, list(range(12))))
         for k, c in enumerate(s.classes):
-            h = Head(s)
-            ident = h.ask(1, cls=k, plan=1, patience=c.deadline_s)
-            h.answer(ident, Result.RESET)
-            assert h.tries[ident] == (1 if c.idempotence is Idempotence.NON_IDEMPOTENT else 2), c.name
+            gateway = GatewayDriver(s)
+            ident = gateway.request(1, class_index=k, plan_index=1, timeout_s=c.deadline_s)
+            gateway.answer(ident, Result.RESET)
+            assert gateway.attempts[ident] == (1 if c.idempotence is Idempotence.NON_IDEMPOTENT else 2), c.name
 
 
 def test_no_name_of_a_deployment_stands_in_the_program() -> None:
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -12,7 +12,7 @@
 from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.pending_request import PendingRequest
 from fawnspool.scheduling.scheduler import Scheduler
-from tests.conftest import Head, make_class, make_plan, make_settings
+from tests.conftest import GatewayDriver, make_class, make_plan, make_settings
 
 STEPS = st.lists(
     st.tuples(
@@ -53,8 +53,8 @@
     return load_shedding.forecast(node_queue, done_in_s, mean_units, scheduler._tokens, scheduler.now)
 
 
-def build() -> Head:
-    return Head(
+def build() -> GatewayDriver:
+    return GatewayDriver(
         make_settings(
             classes=(make_class(latency_objective_s=0.5),),
             plans=(make_plan(weight=2.0), make_plan(rate_limit=40.0, rate_limit_burst=32.0, rate_limit_tolerance=8.0)),
@@ -65,40 +65,46 @@
 
 @given(STEPS)
 def test_next_and_forecast_choose_as_the_long_way(steps: list[tuple[int, int, int, float, float]]) -> None:
-    h = build()
+    gateway = build()
     for volume, extent, units, patience, pause in steps:
-        h.run(h.now + pause)
-        h.ask(volume, cell=volume % 2, units=float(units), extent=extent, plan=volume % 2, patience=patience)
-        if h.sends and len(h.sends) % 3 == 0:
-            ident = h.sends[0][1].id
-            h.sends.rotate(-1)
-            if ident not in h.ends and ident in h.control.requests and h.control.requests[ident].has_open_attempt():
-                h.answer(ident, took=0.02)
-        for node_queue in h.control.node_queues.values():
-            assert next_request(h.control, node_queue) is long_way(h.control, node_queue)
-            if node_queue.queue.queued and all_are_in_time(h.control, node_queue):
-                assert all(done <= request.due_at + 1e-9 for request, done in forecast(h.control, node_queue))
+        gateway.run(gateway.now + pause)
+        gateway.request(
+            volume, shard=volume % 2, units=float(units), extent=extent, plan_index=volume % 2, timeout_s=patience
+        )
+        if gateway.sends and len(gateway.sends) % 3 == 0:
+            ident = gateway.sends[0][1].id
+            gateway.sends.rotate(-1)
+            if (
+                ident not in gateway.final_answers
+                and ident in gateway.scheduler.requests
+                and gateway.scheduler.requests[ident].has_open_attempt()
+            ):
+                gateway.answer(ident, elapsed_s=0.02)
+        for node_queue in gateway.scheduler.node_queues.values():
+            assert next_request(gateway.scheduler, node_queue) is long_way(gateway.scheduler, node_queue)
+            if node_queue.queue.queued and all_are_in_time(gateway.scheduler, node_queue):
+                assert all(done <= request.due_at + 1e-9 for request, done in forecast(gateway.scheduler, node_queue))
 
 
 def test_forecast_is_spared_where_all_is_early() -> None:
-    h = build()
-    node_queue = h.control.node_queues[0]
+    gateway = build()
+    node_queue = gateway.node_queue()
     node_queue.concurrency.limit = 1.0
     for _ in range(4):
-        h.ask(0, units=1.0, patience=60.0)
+        gateway.request(0, units=1.0, timeout_s=60.0)
     assert node_queue.queue.queued == 3 and node_queue.queue.queued_units == 3.0
-    assert all_are_in_time(h.control, node_queue)
+    assert all_are_in_time(gateway.scheduler, node_queue)
     node_queue.response_times.mean_s = 1.0
-    assert not all_are_in_time(h.control, node_queue)
+    assert not all_are_in_time(gateway.scheduler, node_queue)
 
 
 def test_earliest_due_is_looked_up_again_when_the_request_that_had_it_has_left() -> None:
-    h = build()
-    node_queue = h.control.node_queues[0]
-    h.ask(0, units=1.0, patience=60.0)
+    gateway = build()
+    node_queue = gateway.node_queue()
+    gateway.request(0, units=1.0, timeout_s=60.0)
     node_queue.queue.earliest_due_at = 0.0  # as if something long sent had been due earlier
     node_queue.concurrency.limit = 1.0
-    h.ask(0, units=1.0, patience=60.0)
+    gateway.request(0, units=1.0, timeout_s=60.0)
     node_queue.queue.earliest_due_at = 0.0
-    assert node_queue.queue.queued == 1 and all_are_in_time(h.control, node_queue)
-    assert node_queue.queue.earliest_due_at > h.now
+    assert node_queue.queue.queued == 1 and all_are_in_time(gateway.scheduler, node_queue)
+    assert node_queue.queue.earliest_due_at > gateway.now
