--- a/fawnspool/scheduling/admission.py
+++ b/fawnspool/scheduling/admission.py
@@ -39,8 +39,7 @@
     if pending.due_at <= now + check_interval_s:
         pending.rank = Rank.LATE
         pending.due_at = pending.expires_at
-    elif pending.plan.reserved_rate and limiter.reserve_units > 0:
-        limiter.reserve_units -= pending.request.units
+    elif pending.plan.reserved_rate and limiter.draw_reserve(pending.request.units):
         pending.rank = Rank.WITHIN_RESERVE
 
 
--- a/fawnspool/scheduling/fair_queue.py
+++ b/fawnspool/scheduling/fair_queue.py
@@ -160,6 +160,10 @@
         for volume in self.active.values():
             volume.start_tag += shift_s
 
+    def forget_active(self) -> None:
+        """Count no volume as active: nothing is queued or in flight."""
+        self.active.clear()
+
     def requests(self) -> list[PendingRequest]:
         """Return all that is queued, volume by volume."""
         return [pending for volume in self.active.values() for pending in volume.requests]
--- a/fawnspool/scheduling/node_queue.py
+++ b/fawnspool/scheduling/node_queue.py
@@ -45,7 +45,7 @@
         self.node = node
         self.concurrency.reset()
         self.response_times.mean_s = 0.0
-        self.slow_start.started_at = None
+        self.slow_start.assume_warm()
         self.health.reset(now)
         self.in_flight = {}
         self.queue.forget_service()
--- a/fawnspool/scheduling/outliers.py
+++ b/fawnspool/scheduling/outliers.py
@@ -76,6 +76,18 @@
         backoff_s = min(HALF_OPEN_MAX_BACKOFF_S, connect_timeout_s * 2.0**doublings)
         self.next_trial_at = now + backoff_s * random.uniform(HALF_OPEN_MIN_JITTER, 1.0)
 
+    def record_refused_connection(self) -> None:
+        """Note that it took no connection, so that it may be restarting."""
+        self.refused_connection = True
+
+    def record_first_send(self, now: float) -> None:
+        """Let its silence begin now, as nothing was in flight there before."""
+        self.last_answer_at = now
+
+    def schedule_trial(self, at: float) -> None:
+        """Let the next trial come at a time that others drew."""
+        self.next_trial_at = at
+
     def record_answer(self, now: float) -> None:
         """Forget all failures."""
         self.last_answer_at = now
--- a/fawnspool/scheduling/rate_limits.py
+++ b/fawnspool/scheduling/rate_limits.py
@@ -136,6 +136,29 @@
         self.reserve_units = min(reserve_depth, self.reserve_units + passed_s * reserved_rate)
         self.refilled_at = now
 
+    def record_queued(self, units: float) -> None:
+        """Count units as queued that have drawn nothing of the limit yet."""
+        self.queued_units += units
+
+    def record_unqueued(self, units: float) -> None:
+        """Count them as no longer queued."""
+        self.queued_units -= units
+
+    def draw(self, units: float) -> None:
+        """Draw units of the limit, for a first attempt."""
+        self.tokens -= units
+
+    def draw_reserve(self, units: float) -> bool:
+        """Draw units of the reserve if it holds any; they may take it below nothing."""
+        has_units = self.reserve_units > 0
+        if has_units:
+            self.reserve_units -= units
+        return has_units
+
+    def return_reserve(self, units: float) -> None:
+        """Give units of the reserve back, of a request that was never sent."""
+        self.reserve_units += units
+
 
 @dataclass(frozen=True, slots=True)
 class TransferResult:
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -233,13 +233,13 @@
         node_queue.queue.enqueue(pending, self.now, at_front)
         limiter = self._limiter(pending)
         if not pending.attempts:
-            limiter.queued_units += pending.request.units
+            limiter.record_queued(pending.request.units)
 
     def _dequeue(self, pending: PendingRequest, node_queue: NodeQueue) -> None:
         node_queue.queue.remove(pending)
         limiter = self._limiter(pending)
         if not pending.attempts:
-            limiter.queued_units -= pending.request.units
+            limiter.record_unqueued(pending.request.units)
 
     def _queue_of(self, pending: PendingRequest) -> NodeQueue | None:
         return None if pending.shard is None else self.node_queues[pending.shard]
@@ -281,10 +281,10 @@
         if pending.attempts:
             self.retries.budget.record_retry(self.now)
         else:
-            limiter.tokens -= units
+            limiter.draw(units)
         node_queue.slow_start.record_send(units)
         if not node_queue.in_flight:
-            node_queue.health.last_answer_at = self.now
+            node_queue.health.record_first_send(self.now)
         node_queue.in_flight[request_id, len(pending.attempts)] = self.now
         node_queue.queue.record_send(pending)
         write_within_s = self.retries.write_within_s(pending, self.now)
@@ -367,7 +367,7 @@
         is_silent = event.result is Result.TIMED_OUT and node_queue.health.last_answer_at <= attempt.sent_at
         if is_failure(event, is_silent):
             if event.result is Result.CONNECT_FAILED:
-                node_queue.health.refused_connection = True
+                node_queue.health.record_refused_connection()
             self._record_failures(node_queue, 1)
         elif event.result in ANSWERED:
             self._record_answer(node_queue)
@@ -406,7 +406,7 @@
     def _give_up(self, pending: PendingRequest) -> None:
         """Send the final answer at once: a rejection wherever one is allowed, with advice when to come again."""
         if pending.rank is Rank.WITHIN_RESERVE and not pending.attempts:
-            self._limiter(pending).reserve_units += pending.request.units
+            self._limiter(pending).return_reserve(pending.request.units)
         if self.retries.may_reject(pending):
             self.actions.append(RejectRequest(pending.request.id, self._retry_after_s(pending)))
         else:
@@ -469,10 +469,10 @@
             self._record_answer(node_queue)
         else:
             if event.refused_connection:
-                node_queue.health.refused_connection = True
+                node_queue.health.record_refused_connection()
             if node_queue.is_available():
                 self._record_failures(node_queue, FAILURES_TO_EJECT - node_queue.health.failures)
-            node_queue.health.next_trial_at = self.now + event.retry_delay_s
+            node_queue.health.schedule_trial(self.now + event.retry_delay_s)
         self._serve_queue(node_queue)
 
     # ------------------------------------------------------------ rate limits
@@ -519,7 +519,7 @@
         for node_queue in self._busy_by_shard():
             self._serve_queue(node_queue)
             if not node_queue.queue.queued and not node_queue.in_flight:
-                node_queue.queue.active.clear()
+                node_queue.queue.forget_active()
                 del self.busy[node_queue.shard]
         self.rate_limits.forget_idle_volumes(self.now)
         self.order.forget_pauses(self.now)
--- a/fawnspool/scheduling/slow_start.py
+++ b/fawnspool/scheduling/slow_start.py
@@ -41,6 +41,10 @@
         if self.started_at is None:
             self.started_at = now
 
+    def assume_warm(self) -> None:
+        """Another node serves the shard; the endpoint list tells of its start."""
+        self.started_at = None
+
     def record_listed_start(
         self, listed_at: float, now: float, is_cached: bool, supersedes: bool, settings: Settings
     ) -> None:
