--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -361,18 +361,6 @@
     def _send_peer_message(self, action: interface.SendPeerMessage) -> None:
         """Drop the message; an edge whose gateways talk to each other overrides this."""
 
-    # ------------------------------------------------------------ state for operators
-
-    def gauges(self) -> dict[str, dict[int, float]]:
-        """Bound, held and out by node, as the module has them (a baseline has none)."""
-        node_queues = getattr(self.loop.module, "node_queues", {}).values()
-        rows = [node_queue for node_queue in node_queues if node_queue.node is not None]
-        return {
-            "bound": {x.node: x.concurrency.limit for x in rows},
-            "held": {x.node: float(x.queue.queued) for x in rows},
-            "out": {x.node: float(len(x.in_flight)) for x in rows},
-        }
-
 
 def _first_request_id() -> int:
     """Numbers of a process that is started later are higher."""
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -33,7 +33,7 @@
 class DecisionModule(Protocol):
     """What chooses: the scheduler, or a baseline beside it."""
 
-    def handle(self, now: float, event: Any, /) -> list[interface.Action]:
+    def handle(self, now: float, event: interface.Event, /) -> list[interface.Action]:
         """Take one event at the monotonic time `now`, in seconds; return what is to be done."""
 
 
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -29,6 +29,7 @@
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
 from fawnspool.gateway.node_protocol import FawnspoolNodeProtocol
+from fawnspool.gateway.node_status import node_gauges, node_rows
 from fawnspool.gateway.observability import Observability
 from fawnspool.gateway.peer_channel import FleetPlace
 from fawnspool.gateway.peers import PeerSocket
@@ -43,7 +44,6 @@
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.decision_recording import Recorder, module_hash
 from fawnspool.scheduling import interface
-from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
 from fawnspool.telemetry.counters import GatewayCounters
@@ -53,6 +53,8 @@
 MAX_MAP_AGE_MS = 10**9  # also sent where the map was never whole
 _WRITING_METHODS = (b"PUT", b"DELETE")
 _OK = 200
+_MS_PER_S = 1000
+_US_PER_S = 1e6
 _NO_LIST_SERVICE = ("127.0.0.1", 0)
 POLICIES: dict[str, Callable[[interface.Settings, int], Any]] = {"module": Scheduler, "pass": PassThrough}
 
@@ -126,7 +128,9 @@
         self.file_writer = BackgroundWriter()
         self.started_at = time.monotonic()
         counters = GatewayCounters()
-        state = StateSources(self.gauges, lambda: self.places.status(), self.duty_status, self.shared_status)
+        state = StateSources(
+            lambda: node_gauges(self.loop.module), lambda: self.places.status(), self.duty_status, self.shared_status
+        )
         self.exporter = PrometheusExporter(counters, state)
         module = make_policy(config.head.policy, settings, config.head.seed)
         super().__init__(
@@ -280,7 +284,7 @@
             plan_name=volume.plan,
         )
         if age_s := self.places.behind_by():  # the client is told that its object's place may be old
-            pending.answer_headers = [(b"Fawn-Map-Age-Ms", b"%d" % min(age_s * 1000, MAX_MAP_AGE_MS))]
+            pending.answer_headers = [(b"Fawn-Map-Age-Ms", b"%d" % min(age_s * _MS_PER_S, MAX_MAP_AGE_MS))]
         if self.traces is not None:
             pending.span = self.traces.begin(
                 request.arrived_at,
@@ -368,33 +372,8 @@
     def status(self) -> dict[str, Any]:
         """Return what the gateway thinks of each node, and how it fares itself."""
         now = time.monotonic()
-        node_queues = {
-            node_queue.node: node_queue
-            for node_queue in getattr(self.loop.module, "node_queues", {}).values()
-            if node_queue.node is not None
-        }
-        nodes = []
-        for ident, known in sorted(self.endpoints.nodes.items()):
-            row: dict[str, Any] = {
-                "node": ident,
-                "address": f"{known.address[0]}:{known.address[1]}",
-                "zone": known.zone,
-                "cell": known.shard,
-                "listed": known.phase.value,
-            }
-            if (node_queue := node_queues.get(ident)) is not None:
-                row |= {
-                    "state": _node_state(node_queue),
-                    "bound": round(node_queue.concurrency.limit, 2),
-                    "held": node_queue.queue.queued,
-                    "out": len(node_queue.in_flight),
-                    "response_ms": round(node_queue.response_times.mean_s * 1000, 2),
-                    "wait_ms": round(node_queue.response_times.wait_s * 1000, 2),
-                    "bad_signs": node_queue.health.failures,
-                    "heard_s": round(now - node_queue.health.last_answer_at, 2),
-                }
-            nodes.append(row)
-        m = self.metrics
+        counters = self.metrics
+        last_heard_at = self.endpoints.last_heard_at
         return {
             "head": self.config.head.number,
             "policy": self.config.head.policy,
@@ -402,25 +381,16 @@
             "list": {
                 "version": self.endpoints.version,
                 "reachable": self.endpoints.reachable,
-                "heard_s": None
-                if self.endpoints.last_heard_at is None
-                else round(now - self.endpoints.last_heard_at, 2),
+                "heard_s": None if last_heard_at is None else round(now - last_heard_at, 2),
             },
             "in_hand": len(self.pending),
             "module": {
-                "events": m.module_events,
-                "errors": m.module_errors,
-                "us_per_event": round(m.module_seconds / max(1, m.module_events) * 1e6, 1),
+                "events": counters.module_events,
+                "errors": counters.module_errors,
+                "us_per_event": round(counters.module_seconds / max(1, counters.module_events) * _US_PER_S, 1),
             },
             "map": self.places.status(),
             "duties": self.duty_status(),
             "shared": self.shared_status(),
-            "nodes": nodes,
+            "nodes": node_rows(self.endpoints.nodes, self.loop.module),
         }
-
-
-def _node_state(node_queue: NodeQueue) -> str:
-    """Return what the scheduler makes of a node, in the words of the status page."""
-    if not node_queue.is_available():
-        return "trials only"
-    return "sound" if node_queue.slow_start.started_at is None else "may be cold"
