--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -29,7 +29,7 @@
 from fawnspool.gateway.peers import Peers
 from fawnspool.gateway.request_state import Attempt, Body, Pending
 from fawnspool.gateway.role_context import GatewayView, RoleContext
-from fawnspool.gossip.health_evidence import doubts
+from fawnspool.gossip.health_evidence import suspected_nodes
 from fawnspool.net.connection_pool import PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.listener import parse_address
@@ -151,7 +151,7 @@
             view = SchedulerView(
                 volume_names={n: name for name, n in self.numbers.items()},
                 listed_count=lambda: len(self.list.nodes),
-                suspects=lambda: doubts(self.loop.module),
+                suspects=lambda: suspected_nodes(self.loop.module),
                 notify=self.loop.tell,
             )
             self.gossip = GossipRunner(self.config.shared, self._place(), self.peers, view, self.log)
--- a/fawnspool/gossip/health_evidence.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -67,7 +67,7 @@
     return _VERDICTS.get(event.result)
 
 
-def doubts(module: Any) -> list[tuple[int, int]]:
+def suspected_nodes(module: Any) -> list[tuple[int, int]]:
     """Return the nodes at which a scheduler has work now, and failures in a row; a baseline keeps none."""
     report = getattr(module, "consecutive_failures", None)
     if report is not None:
--- a/fawnspool/model/between.py
+++ b/fawnspool/model/between.py
@@ -8,7 +8,7 @@
 from fawnspool.days.day import TroubleBlock
 from fawnspool.gossip.actions import GossipAction, SendGossip
 from fawnspool.gossip.agent import GossipAgent
-from fawnspool.gossip.health_evidence import MAX_ROWS_SENT, doubts
+from fawnspool.gossip.health_evidence import MAX_ROWS_SENT, suspected_nodes
 from fawnspool.gossip.messages import (
     LEADING_BYTE,
     EvidenceRow,
@@ -115,7 +115,8 @@
             self.head.do(0.0, self._do_tick)
 
     def _do_tick(self) -> None:
-        self._out(self.agent.run_round(self.world.engine.now, len(self.world.listed), doubts(self.head.module)))
+        suspects = suspected_nodes(self.head.module)
+        self._out(self.agent.run_round(self.world.engine.now, len(self.world.listed), suspects))
         self._again()
 
     def request(self, req: interface.Request) -> None:
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -1,5 +1,5 @@
-"""The program, doctored: `python -m tests.e2e.doctored HOW serve ...`. Each HOW breaks one thing that duties rest on;
-the judge must find it."""
+"""The program with a fault in it: `python -m tests.e2e.doctored HOW serve ...`. Each HOW breaks one thing that leases,
+limits or gossip rest on; the judge must find it."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from fawnspool.standins import moving
 
 
-class Stubborn(gevent.Greenlet):  # type: ignore[misc]
+class UnkillableGreenlet(gevent.Greenlet):  # type: ignore[misc]
     def kill(self, *args: Any, **more: Any) -> None:
-        """It goes on."""
+        """Go on."""
 
 
 def ignores_end() -> None:
     """A holder whose work heeds neither clock nor loss."""
     names = {n: getattr(gevent, n) for n in dir(gevent)}
-    lease_runner.gevent = SimpleNamespace(**names | {"spawn": Stubborn.spawn})  # type: ignore[attr-defined]
+    lease_runner.gevent = SimpleNamespace(**names | {"spawn": UnkillableGreenlet.spawn})  # type: ignore[attr-defined]
     held_lease.HeldLease.remaining_s = lambda self: 5.0  # type: ignore[method-assign]
     operator_requests = role_context.RoleContext.operator_requests
     last_requests: dict[str, str] = {}
@@ -54,11 +54,12 @@
 
 
 def no_token() -> None:
+    """A holder whose steps bear no token."""
     held_lease.HeldLease.stamp = lambda self: {}  # type: ignore[method-assign]
 
 
 def forgets_votes() -> None:
-    """A voter that takes its empty memory for all there is."""
+    """An acceptor that takes its empty memory for complete."""
     real = acceptor_log.AcceptorLog.__init__
 
     def init(self: Any, *args: Any) -> None:
@@ -69,7 +70,7 @@
 
 
 def votes_twice() -> None:
-    """A voter that gives its vote again while it stands, and calls heads all the while."""
+    """An acceptor that gives its vote again while it stands, and nominates gateways all the while."""
     vote = ballot.vote
 
     def vote_again(promise: Promise, requested: Ballot, *rest: Any) -> Any:
@@ -80,7 +81,7 @@
 
 
 def forgets_fence() -> None:
-    """A node that takes every token."""
+    """A node that admits every token."""
     real = moving.Gate.passes
 
     def passes(self: Any, query: dict[str, str], what: str) -> int | None:
@@ -91,7 +92,7 @@
 
 
 def full_disk() -> None:
-    """A voter whose disk is full from some seconds after its start on."""
+    """An acceptor whose disk is full from some seconds after its start on."""
     real, began = acceptor_log.AcceptorLog.persist, time.monotonic()
 
     def keep(self: Any, what: Any) -> None:
@@ -103,7 +104,7 @@
 
 
 def wrong_place() -> None:
-    """A holder that begins with what has moved already: now these, now those cells are to be drained for it."""
+    """A holder that begins with what has moved already, as the shards to be drained change for it all the time."""
     operator_requests = role_context.RoleContext.operator_requests
 
     def changing_requests(self: Any, lease: Any) -> dict[str, str] | None:
@@ -115,7 +116,7 @@
 
 
 def keeps_lent() -> None:
-    """A head that lends units of a limit and goes on using them."""
+    """A gateway that lends units of a limit and goes on using them."""
     real = RateLimits.handle_message
 
     def lends(self: Any, event: Any, now: float) -> Any:
@@ -132,7 +133,7 @@
 
 
 def late_units() -> None:
-    """A head that counts units however late they come, and fills up at once what it lent."""
+    """A gateway that counts units however late they come, and fills up at once what it lent."""
     rate_limits.TRANSFER_VALIDITY_FRACTION = 1e9  # type: ignore[misc]
     real = RateLimiter.refill
 
@@ -144,7 +145,7 @@
 
 
 def hearsay_alone() -> None:
-    """A head that believes whatever it hears of a node, before its own answers, and does not try it."""
+    """A gateway that believes whatever it hears of a node, before its own answers, and does not try it."""
 
     def weigh(self: Any, now: float, node: int, findings: Any) -> list[Any]:
         bad = [finding for finding in findings.by_origin.values() if finding.is_bad]
--- a/tests/lease_model.py
+++ b/tests/lease_model.py
@@ -369,22 +369,37 @@
     return candidate._replace(claim=Claim(claim.token, votes, claim.successor, successor_votes))
 
 
+def _acceptor_key(acceptor: AcceptorState) -> tuple[Any, ...]:
+    promise, floor, silent_until, responses = acceptor
+    return (
+        promise.token,
+        promise.incarnation,
+        promise.expires_at,
+        promise.released,
+        floor,
+        silent_until,
+        responses or (),
+    )
+
+
 def canonical(bounds: Bounds, state: State) -> State:
     """Of all states that differ by the acceptors' numbers alone, one; and without messages that can do nothing any
     more."""
+    by_order = [
+        (tuple(_renumbered_acceptor(state.acceptors[old], number) for old in order), number) for order, number in ORDERS
+    ]
+    keys = [tuple(_acceptor_key(acceptor) for acceptor in acceptors) for acceptors, _ in by_order]
+    least = min(keys)
     live = _live_messages(bounds, state)
     best: Any = None
-    for order, number in ORDERS:
-        acceptors = tuple(_renumbered_acceptor(state.acceptors[old], number) for old in order)
+    for (acceptors, number), key in zip(by_order, keys, strict=True):
+        if key != least:
+            continue  # the renumbered messages need not be looked at
         messages = tuple(sorted(_renumbered_message(message, number) for message in live))
         candidates = tuple(_renumbered_candidate(candidate, number) for candidate in state.candidates)
-        rows = tuple(
-            (p.token, p.incarnation, p.expires_at, p.released, floor, silent_until, responses or ())
-            for p, floor, silent_until, responses in acceptors
-        )
-        key = (rows, messages, tuple(candidate.claim or () for candidate in candidates))
-        if best is None or key < best[0]:
-            best = (key, acceptors, candidates, messages)
+        rest = (messages, tuple(candidate.claim or () for candidate in candidates))
+        if best is None or rest < best[0]:
+            best = (rest, acceptors, candidates, messages)
     _, acceptors, candidates, messages = best
     return state._replace(acceptors=acceptors, candidates=candidates, messages=messages)
 
