--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -15,7 +15,7 @@
 
 from fawnspool.config.head import PlanBlock, SharedBlock
 from fawnspool.gateway.peer_channel import FleetPlace, PeerChannel, PeerCodec
-from fawnspool.gateway.peers import Peers
+from fawnspool.gateway.peers import PeerSocket
 from fawnspool.gossip.actions import GossipAction, SendGossip
 from fawnspool.gossip.agent import GossipAgent
 from fawnspool.gossip.grow_only_counter import CountInterval
@@ -70,7 +70,9 @@
         The `shared` block of the settings.
     """
 
-    def __init__(self, config: SharedBlock, place: FleetPlace, peers: Peers, view: SchedulerView, log: Any) -> None:
+    def __init__(
+        self, config: SharedBlock, place: FleetPlace, peers: PeerSocket, view: SchedulerView, log: Any
+    ) -> None:
         self.view = view
         self.log = log
         settings = gossip_settings(config, place.gateway_count)
