--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -36,7 +36,7 @@
 from fawnspool.gateway.periodic_checks import Check
 from fawnspool.gateway.request_state import ClientRequest, NodeAttempt, RequestBody
 from fawnspool.gateway.role_context import GatewayView, RoleContext
-from fawnspool.gossip.health_evidence import doubts
+from fawnspool.gossip.health_evidence import suspected_nodes
 from fawnspool.net.connection_pool import PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 from fawnspool.net.listener import parse_address
@@ -225,7 +225,7 @@
         view = SchedulerView(
             volume_names={number: name for name, number in self.volume_numbers.items()},
             listed_count=lambda: len(self.endpoints.nodes),
-            suspects=lambda: doubts(self.loop.module),
+            suspects=lambda: suspected_nodes(self.loop.module),
             notify=self.loop.post,
         )
         self.gossip = GossipRunner(self.config.shared, self._place_in_fleet(), peers, view, self.log)
