--- a/benchmarks/extent_map.py
+++ b/benchmarks/extent_map.py
@@ -21,7 +21,7 @@
 
 from fawnspool.extents.map import ExtentMap, partition_of
 from fawnspool.extents.records import ExtentRecord, MapDelta, Stamp
-from fawnspool.gateway.map_store import read, write
+from fawnspool.gateway.map_store import load_map, save_map
 from fawnspool.standins.catalogue import Catalogue
 
 SHARDS = 64
@@ -123,13 +123,13 @@
     with TemporaryDirectory() as folder:
         path = Path(folder) / "map.rec"
         began = time.perf_counter()
-        write(path, m, time.time())
+        save_map(path, m, time.time())
         wrote = time.perf_counter() - began
         size = path.stat().st_size
         del m
         gc.collect()
         began = time.perf_counter()
-        found = read(Path(folder)).map
+        found = load_map(Path(folder)).map
         took = time.perf_counter() - began
     assert found is not None and len(found) == n
     print(f"| {n:,} | {size / 2**20:.0f} | {wrote:.2f} | {took:.2f} |", flush=True)
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -21,8 +21,9 @@
 import xxhash
 
 from fawnspool.config.head import HeadConfig
-from fawnspool.gateway.extent_directory import PlacesError
+from fawnspool.extents.records import ExtentWrite
 from fawnspool.gateway.gateway import Head
+from fawnspool.gateway.map_client import MapServiceError
 from fawnspool.gateway.request_state import Answer, Body, Kind, Pending
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.http import MessageLimits, RequestHead
@@ -257,7 +258,7 @@
     def _find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> tuple[int, int] | None:
         try:
             return self.head.places.find(volume, key, deadline, fresh)
-        except PlacesError as bad:
+        except MapServiceError as bad:
             raise ApiError(503, "no-catalogue", str(bad)) from None
 
     def _drain_body(self, exchange: Exchange) -> None:
@@ -274,7 +275,7 @@
             at = time.monotonic()
             place = self._find(volume, key, deadline, fresh)
             if fresh and place != went:
-                self.head.places.sent(False, at - began)
+                self.head.places.record_send(False, at - began)
             if place is None:
                 raise ApiError(404, "no-such-object", f"volume {volume!r} holds no {key!r}")
             went, began = place, at
@@ -298,7 +299,7 @@
             )
             gone = pending.kind is Kind.SERVED and pending.answer is not None and pending.answer.status == 404
             if not gone:
-                self.head.places.sent(True, 0.0)
+                self.head.places.record_send(True, 0.0)
             if not gone or fresh or time.monotonic() >= pending.deadline:
                 return self._finish(pending)
             self.head.finished(pending, "moved")  # the place was old: ask the catalogue, once
@@ -326,8 +327,8 @@
             self.head.finished(pending, "moved")
             to = parse_moved(answer.headers.get(MOVED_HEADER)) if answer.status == 421 else None
             if to is not None:
-                place = self.head.places.moved(volume, key, *to)
-            pause = self.head.places.stale.redirect_pause_s(
+                place = self.head.places.redirected(volume, key, *to)
+            pause = self.head.places.staleness.redirect_pause_s(
                 turn, to is not None, pending.deadline - time.monotonic(), once
             )
             if pause is None:
@@ -351,7 +352,7 @@
 
         def submit(p: tuple[int, int]) -> Pending:
             nonlocal sent_at
-            sent_at = self.head.places.generation(volume, key)
+            sent_at = self.head.places.generation_of(volume, key)
             return self._submit(exchange, volume, key, cls, method=b"PUT", body=body, cell=p[0], size=size)
 
         pending = self._followed(exchange, volume, key, place or (-1, 0), submit, cls, once=body.rest is not None)
@@ -361,9 +362,10 @@
             new = head.headers.get(b"if-none-match", b"").strip() == b"*"
             try:
                 until = pending.deadline + self.config.clients.answer_margin / 2
-                if not self.head.places.note(volume, key, pending.cell, exchange.body_bytes, new, until, sent_at):
+                write = ExtentWrite(volume, key, pending.cell, exchange.body_bytes, new, sent_at)
+                if not self.head.places.record_write(write, until):
                     pending.answer = Answer(412, {})
-            except PlacesError as bad:
+            except MapServiceError as bad:
                 self.head.log.error("written, but its place can't be noted", volume=volume, key=key, error=str(bad))
                 pending.kind = Kind.FAILED
         self._finish(pending)
@@ -412,8 +414,8 @@
         )
         if pending.kind is Kind.SERVED and pending.answer is not None and pending.answer.status in (204, 404):
             try:
-                self.head.places.drop(volume, key, pending.deadline + self.config.clients.answer_margin / 2)
-            except PlacesError as bad:
+                self.head.places.delete(volume, key, pending.deadline + self.config.clients.answer_margin / 2)
+            except MapServiceError as bad:
                 self.head.log.error("deleted, but its place still stands", volume=volume, key=key, error=str(bad))
         self._finish(pending)
 
@@ -426,8 +428,8 @@
         if not limit.isdigit() or not 1 <= int(limit) <= 1000:
             raise ApiError(400, "bad-query", "limit is a number from 1 to 1000")
         try:
-            keys, more = self.head.places.list(volume, asked.get("prefix", ""), asked.get("after", ""), int(limit))
-        except PlacesError as bad:
+            keys, more = self.head.places.list_keys(volume, asked.get("prefix", ""), asked.get("after", ""), int(limit))
+        except MapServiceError as bad:
             raise ApiError(503, "no-catalogue", str(bad)) from None
         out: dict[str, Any] = {"volume": volume, "objects": [{"key": k, "size": s} for k, s in keys]}
         if more:
--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -10,8 +10,8 @@
 import click
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
-from fawnspool.gateway.extent_directory import Held, MapClient, PlacesError, Wishes
 from fawnspool.gateway.lease_runner import lease_settings
+from fawnspool.gateway.map_client import LeaseHolder, MapClient, MapServiceError, OperatorRequests
 from fawnspool.gateway.role_context import PAUSE, RELEASE
 from fawnspool.net.listener import parse_address
 
@@ -28,9 +28,9 @@
         self.names = lease_settings(config.duties, config.head.heads).role_names
         self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
 
-    def wishes(self) -> Wishes:
+    def wishes(self) -> OperatorRequests:
         with reached():
-            return self.places.wishes()
+            return self.places.operator_requests()
 
     def named(self, name: str, kinds: bool = False) -> str:
         if name in self.names or (kinds and name in self.kinds):
@@ -40,18 +40,18 @@
             "`fawnspool duty list`"
         )
 
-    def rows(self, w: Wishes) -> list[dict[str, Any]]:
+    def rows(self, w: OperatorRequests) -> list[dict[str, Any]]:
         """One a duty. shown_s: since its holder showed its token to the map service last."""
-        held, now = {h.duty: h for h in w.holders}, time.time()
-        return [self._row(name, held.get(name), w.wishes, now) for name in self.names]
+        held, now = {h.role: h for h in w.holders}, time.time()
+        return [self._row(name, held.get(name), w.requests, now) for name in self.names]
 
-    def _row(self, name: str, h: Held | None, wishes: dict[str, str], now: float) -> dict[str, Any]:
+    def _row(self, name: str, h: LeaseHolder | None, wishes: dict[str, str], now: float) -> dict[str, Any]:
         paused = PAUSE + name in wishes or PAUSE + name.partition("/")[0] in wishes
         return {
             "duty": name,
-            "head": h.head if h else None,
+            "head": h.gateway_id if h else None,
             "token": h.token if h else None,
-            "shown_s": round(max(0.0, now - h.at), 1) if h else None,
+            "shown_s": round(max(0.0, now - h.shown_at), 1) if h else None,
             "paused": paused,
             "note": h.note if h else "",
         }
@@ -62,7 +62,7 @@
     """Ends the command where the map service is out of reach."""
     try:
         yield
-    except PlacesError as bad:
+    except MapServiceError as bad:
         fail(str(bad), UNREACHED)
 
 
@@ -111,19 +111,21 @@
     """Have its holder give it up, and wait until the next one shows a higher token."""
     duties = _Duties(config_file)
     name = duties.named(duty)
-    had = next((h for h in duties.wishes().holders if h.duty == name), None)
+    had = next((h for h in duties.wishes().holders if h.role == name), None)
     if had is None:
         fail(f"{name}: no head has shown a token for it, so there is nothing to release", BROKEN)
     with reached():
-        duties.places.wish(RELEASE + name, str(had.token))
+        duties.places.set_operator_request(RELEASE + name, str(had.token))
     end = time.monotonic() + within
     while time.monotonic() < end:
         time.sleep(0.1)
-        now = next((h for h in duties.wishes().holders if h.duty == name), None)
+        now = next((h for h in duties.wishes().holders if h.role == name), None)
         if now is not None and now.token > had.token:
             with reached():
-                duties.places.wish(RELEASE + name, None)
-            return click.echo(f"{name}: head {now.head} holds it, token {now.token}; before, head {had.head}")
+                duties.places.set_operator_request(RELEASE + name, None)
+            return click.echo(
+                f"{name}: head {now.gateway_id} holds it, token {now.token}; before, head {had.gateway_id}"
+            )
     fail(f"{name}: no other head has shown a token within {within:g} s; the wish stands until one does", BROKEN)
 
 
@@ -136,5 +138,5 @@
     duties = _Duties(config_file)
     name = duties.named(duty, kinds=True)
     with reached():
-        duties.places.wish(PAUSE + name, None if off else "")
+        duties.places.set_operator_request(PAUSE + name, None if off else "")
     click.echo(f"{name}: {'goes on' if off else 'is paused'}")
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -10,10 +10,10 @@
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, fail, load_gateway_config, print_json, table
 from fawnspool.extents.migration import MigrationStep
-from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.records import ExtentKey, ExtentRecord
 from fawnspool.gateway.endpoint_client import Told
-from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.map_client import MapClient, MapServiceError
+from fawnspool.gateway.migrator import Migrator
 from fawnspool.gateway.role_context import DRAIN
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
@@ -52,15 +52,15 @@
         if volume not in self.volumes:
             fail(f"there is no volume {volume!r}; known: {', '.join(sorted(self.volumes))}")
         try:
-            found = self.places.fact(volume, key)
-        except PlacesError as bad:
+            found = self.places.find_record(volume, key)
+        except MapServiceError as bad:
             fail(str(bad), UNREACHED)
         if found is None:
             fail(f"the map holds no {volume}/{key}", BROKEN)
         return found
 
-    def mover(self) -> Mover:
-        return Mover(self.nodes.get, self.places)
+    def mover(self) -> Migrator:
+        return Migrator(self.nodes.get, self.places)
 
 
 @click.group("extents", epilog=EXIT_CODES)
@@ -79,7 +79,7 @@
     fact, mover = fleet.fact(volume, key), fleet.mover()
     rows: list[dict[str, Any]] = []
     for cell in sorted(fleet.nodes):
-        seen = mover.look(cell, volume, key)
+        seen = mover.replicas.look(cell, ExtentKey(volume, key))
         rows.append(
             {"cell": cell, "role": "no answer"}
             if seen is None
@@ -124,7 +124,7 @@
     fleet.fact(volume, key)
     if to not in fleet.nodes:
         fail(f"cell {to} has no node in the list; cells with one: {', '.join(map(str, sorted(fleet.nodes)))}")
-    end = fleet.mover().move(volume, key, to, time.monotonic() + within)
+    end = fleet.mover().migrate(ExtentKey(volume, key), to, time.monotonic() + within)
     if end is MigrationStep.DONE:
         return click.echo(f"{volume}/{key} lies in cell {to}")
     if end is MigrationStep.SUPERSEDED:
@@ -152,32 +152,34 @@
     name = f"{DRAIN}{cell}"
     try:
         if cancel:
-            fleet.places.wish(name, None)
+            fleet.places.set_operator_request(name, None)
             return click.echo(f"cell {cell}: nothing more is moved out of it")
         if not status:
             if cell not in fleet.nodes:
                 fail(f"cell {cell} has no node in the list; there are {', '.join(map(str, sorted(fleet.nodes)))}")
-            fleet.places.wish(name, "")
-        w, (left, size) = fleet.places.wishes(), fleet.places.count(cell)
-    except PlacesError as bad:
+            fleet.places.set_operator_request(name, "")
+        w, (left, size) = fleet.places.operator_requests(), fleet.places.usage(cell)
+    except MapServiceError as bad:
         fail(str(bad), UNREACHED)
-    holders = [h for h in w.holders if h.duty.startswith("drain/")]
+    holders = [h for h in w.holders if h.role.startswith("drain/")]
     said = {
         "cell": cell,
-        "wanted": name in w.wishes,
+        "wanted": name in w.requests,
         "left": left,
         "left_bytes": size,
-        "holders": {h.duty: {"head": h.head, "token": h.token, "note": h.note} for h in holders},
+        "holders": {h.role: {"head": h.gateway_id, "token": h.token, "note": h.note} for h in holders},
     }
     if as_json:
         print_json(said)
     else:
-        heads = sorted({h.head for h in holders})
+        heads = sorted({h.gateway_id for h in holders})
         click.echo(
             f"cell {cell}: {'to be drained' if said['wanted'] else 'not to be drained'}, {left} extents left "
             f"({size} bytes); holders: {', '.join(f'head {h}' for h in heads) or 'none has shown itself yet'}"
         )
         if holders:
-            table("Shards", ["duty", "head", "token", "note"], [[h.duty, h.head, h.token, h.note] for h in holders])
+            table(
+                "Shards", ["duty", "head", "token", "note"], [[h.role, h.gateway_id, h.token, h.note] for h in holders]
+            )
     if status and left:
         raise SystemExit(BROKEN)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -25,10 +25,10 @@
 from fawnspool.days.worth import Served, Service, count
 from fawnspool.drill.fleet import DrillError, Process, free_ports, post
 from fawnspool.drill.links import Links, Weather
-from fawnspool.extents.records import LOG_START, ExtentRecord, MapDelta
+from fawnspool.extents.records import LOG_START, ExtentKey, ExtentRecord, MapDelta
 from fawnspool.extents.replicas import ReplicaRole
-from fawnspool.gateway.extent_directory import MapClient
-from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.map_client import MapClient
+from fawnspool.gateway.migrator import Migrator
 from fawnspool.gossip import messages
 from fawnspool.records.frames import Writer, rows_of
 from fawnspool.rules.duties import DutyFinding, judge_duties
@@ -519,7 +519,7 @@
         self._hear_flips()
         random, end = Random(f"{self.seed}-{x.name}"), time.monotonic() + x.length
         where = {c.cell: c for c in self.cells}
-        mover = Mover(
+        mover = Migrator(
             lambda k: ("127.0.0.1", where[k].process.port) if where[k].up else None,
             MapClient(self.catalogue.address, 0.5),
             0.5,
@@ -529,12 +529,12 @@
         moved = Counter[str]()
 
         def one(volume: str, key: str, to: int) -> None:
-            moved[mover.move(volume, key, to, time.monotonic() + 5.0).value] += 1
+            moved[mover.migrate(ExtentKey(volume, key), to, time.monotonic() + 5.0).value] += 1
 
         while time.monotonic() < end:
             for _ in range(max(1, round(x.size))):
                 volume = random.choice(names)
-                keys, _ = self.catalogue.catalogue.list(volume, "", "", 1000)
+                keys, _ = self.catalogue.catalogue.list_keys(volume, "", "", 1000)
                 if keys:
                     done.append(gevent.spawn(one, volume, random.choice(keys)[0], random.choice(cells).cell))
             gevent.sleep(x.every)
--- a/fawnspool/extents/migration.py
+++ b/fawnspool/extents/migration.py
@@ -10,10 +10,10 @@
 from enum import Enum
 
 from fawnspool.extents.object_replica import ReplicaCommand
+from fawnspool.extents.records import NO_GENERATION
 from fawnspool.extents.replicas import (
     MAX_WRITES_BEHIND_FENCE,
     NO_FENCE,
-    NO_GENERATION,
     NO_SUCCESSOR,
     ReplicaRole,
 )
--- a/fawnspool/extents/object_replica.py
+++ b/fawnspool/extents/object_replica.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from fawnspool.extents.records import NO_GENERATION
 from fawnspool.extents.replicas import (
     MAX_WRITES_BEHIND_FENCE,
     NO_FENCE,
-    NO_GENERATION,
     NO_SUCCESSOR,
     Replica,
     ReplicaResult,
--- a/fawnspool/extents/records.py
+++ b/fawnspool/extents/records.py
@@ -18,6 +18,14 @@
 import msgspec
 
 NO_SHARD = -1  # shard of a deleted extent, as stored and sent
+NO_GENERATION = -1  # of data that took part in no migration; below any generation
+
+
+class ExtentKey(NamedTuple):
+    """Name of an extent."""
+
+    volume: str
+    extent: str
 
 
 class LogPosition(NamedTuple):
@@ -88,6 +96,27 @@
     size: int = 0
 
 
+class ExtentWrite(NamedTuple):
+    """A write that left an extent at a shard.
+
+    Attributes
+    ----------
+    volume, extent, shard, size
+        The extent, where it is, and its size in bytes.
+    is_new
+        The extent must not exist at another shard.
+    generation
+        Generation of the record by which the write was sent, `NO_GENERATION` if there was none.
+    """
+
+    volume: str
+    extent: str
+    shard: int
+    size: int
+    is_new: bool = False
+    generation: int = NO_GENERATION
+
+
 def later(current: ExtentRecord | None, candidate: ExtentRecord) -> ExtentRecord:
     """Return the record that wins.
 
--- a/fawnspool/extents/replicas.py
+++ b/fawnspool/extents/replicas.py
@@ -23,10 +23,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from fawnspool.extents.records import NO_GENERATION
+
 MAX_WRITES_BEHIND_FENCE = 8  # the target may lack so many when the source is fenced; nobody is served until they come
 
 # Values of the stored rows and of the nodes' protocol for "none"; all are below any real value.
-NO_GENERATION = -1
 NO_SUCCESSOR = -1
 NO_FENCE = -1
 
--- a/fawnspool/extents/staleness.py
+++ b/fawnspool/extents/staleness.py
@@ -142,6 +142,7 @@
 
     def __init__(self, settings: StalenessSettings, partition_count: int, seed: int) -> None:
         self.settings = settings
+        self.seed = seed
         self.random = Random(f"{seed}-stale")
         self.partitions = [PartitionStatus() for _ in range(partition_count)]
         self.budget = LookupBudget(settings.service_calls_per_s, settings.gateway_count)
@@ -151,6 +152,10 @@
         self.pending_lookups: OrderedDict[tuple[str, str], float] = OrderedDict()
         self.lookups_denied = 0  # by the budget or a pause
 
+    def restarted(self, partition_count: int) -> Staleness:
+        """Return a new object for another map, with the same settings and seed."""
+        return Staleness(self.settings, partition_count, self.seed)
+
     # ------------------------------------------------------------ requests
 
     def stale_probability(self, now: float, partition: int) -> float:
--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -6,10 +6,11 @@
 from typing import Any
 
 from fawnspool.extents.migration import MigrationStep
-from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.records import ExtentKey, ExtentRecord
 from fawnspool.extents.replicas import NO_SUCCESSOR, ReplicaRole
 from fawnspool.gateway.held_lease import HeldLease
-from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.migrator import Migrator
+from fawnspool.gateway.replica_client import StepGuard
 from fawnspool.gateway.role_context import DRAIN, POLL_INTERVAL_S, RoleContext
 from fawnspool.leases.drain import MoveRateLimiter, RetrySchedule, target_shard
 from fawnspool.scheduling import interface
@@ -31,13 +32,12 @@
         self.moved_count = 0
         self._fenced_nodes: set[tuple[str, int]] = set()  # that have seen this holder's token
         self._reported_at = NEVER
-        self._mover = Mover(
+        self._migrator = Migrator(
             lambda shard: context.shard_addresses().get(shard),
             context.map_client,
             context.call_timeout_s,
-            taken=lambda step: lease.check(),
-            stamp=lease.stamp,
-            left=lambda: max(0.0, lease.remaining_s()),
+            StepGuard(lease.stamp, lambda: max(0.0, lease.remaining_s())),
+            before_step=lambda step: lease.check(),
         )
 
     def run(self) -> None:
@@ -77,7 +77,7 @@
 
     def _move(self, record: ExtentRecord, drained: set[int]) -> None:
         lease = self.lease
-        extent = (record.volume, record.extent)
+        extent = ExtentKey(record.volume, record.extent)
         if not self.retries.is_due(time.monotonic(), extent):
             return
         present = self.context.directory.map.find(*extent)  # a move, or a delete, may have come meanwhile
@@ -92,7 +92,7 @@
             self.retries.record_failure(time.monotonic(), extent)
             return
         deadline = time.monotonic() + min(lease.remaining_s(), MOVE_TIMEOUTS * self.context.call_timeout_s)
-        step = self._mover.move(record.volume, record.extent, target, deadline)
+        step = self._migrator.migrate(extent, target, deadline)
         lease.check()
         if step is MigrationStep.DONE:
             self.moved_count += 1
@@ -110,8 +110,11 @@
             self.lease.sleep(wait_s)
 
     def _record_failed_move(self, record: ExtentRecord, target: int) -> None:
-        extent = (record.volume, record.extent)
-        if self._mover.look(record.shard, *extent) is None and self._mover.look(target, *extent) is None:
+        extent = ExtentKey(record.volume, record.extent)
+        if (
+            self._migrator.replicas.look(record.shard, extent) is None
+            and self._migrator.replicas.look(target, extent) is None
+        ):
             self.lease.record_reachability(ANY_NODE, False)
             self.lease.check()
         self.retries.record_failure(time.monotonic(), extent)
@@ -127,14 +130,14 @@
         address = self.context.shard_addresses().get(shard)
         if address is None:
             return False
-        if address not in self._fenced_nodes and self._mover.raise_fence(shard):
+        if address not in self._fenced_nodes and self._migrator.replicas.show_token(shard):
             self._fenced_nodes.add(address)
         self.lease.check()
         return address in self._fenced_nodes
 
     def _target(self, record: ExtentRecord, drained: set[int]) -> int | None:
         """Return the shard that an extent moves to: a predecessor's if it has fenced the extent for it."""
-        seen = self._mover.look(record.shard, record.volume, record.extent)
+        seen = self._migrator.replicas.look(record.shard, ExtentKey(record.volume, record.extent))
         next_generation = record.stamp.generation + 1
         if (
             seen is not None
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -1,407 +1,356 @@
-"""Where extents lie, as this head knows it: its map, kept up by a watch of the map service.
+"""Where extents are, as this gateway knows it: its extent map, kept current by a watch of the map service.
 
-Carries out what `extents/staleness.py` decides of places that may be old, and what `extents/map.py` makes of what is
-told.
+Carries out what `extents/staleness.py` chooses for records that may be stale, and applies to `extents/map.py` what the
+watch, calls and nodes report.
 """
 
 from __future__ import annotations
 
+import contextlib
 import math
 import time
-from pathlib import Path
-from typing import Any, Protocol
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
 import gevent
-import msgspec
 
-from fawnspool.extents.map import ExtentMap, partition_of
-from fawnspool.extents.records import DeltaError, ExtentRecord, ExtentState, MapDelta, Stamp
-from fawnspool.extents.staleness import LookupChoice, MigrationObservation, Staleness, StalenessSettings
-from fawnspool.gateway.map_store import MapFile, read
-from fawnspool.gateway.watch_client import ListLink
-from fawnspool.leases.fencing import StaleTokenError
-from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
-from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
-from fawnspool.records.background_writer import BackgroundWriter
+from fawnspool.extents.map import ExtentMap, Partition, partition_of
+from fawnspool.extents.records import (
+    NO_GENERATION,
+    ExtentRecord,
+    ExtentState,
+    ExtentWrite,
+    LogPosition,
+    MapDelta,
+    Stamp,
+)
+from fawnspool.extents.staleness import LookupChoice, MigrationObservation, Staleness
+from fawnspool.gateway.map_client import KeyPage, MapClient, MapServiceError, MapSource
+from fawnspool.gateway.map_store import MapCheckpoint
+from fawnspool.gateway.map_watch import MapWatch
 
-SILENT_BEATS = 2.5  # of a watch, in its beats, before it counts as broken
-LARGE = 1000  # facts in one delta after which others get their turn
-SHARDS_MOST = 4096
+MAX_PARTITIONS = 4096
+STALE_HEARTBEATS = 2  # the map counts as stale after so many heartbeat intervals without one
 
 
-class PlacesError(Exception):
-    """The map service can't be asked now."""
+class PartitionCountError(ValueError):
+    """The service named an impossible number of partitions."""
 
+    def __init__(self, count: int) -> None:
+        super().__init__(f"a map of {count} shards")
 
-class Source(Protocol):
-    """What knows all places: the service over HTTP, or one in this process."""
 
-    def fact(self, volume: str, key: str) -> ExtentRecord | None: ...
+class ExtentLocation(NamedTuple):
+    """Where an extent is, and its size in bytes."""
 
-    def note(
-        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[ExtentRecord, bool]: ...
+    shard: int
+    size: int
 
-    def drop(self, volume: str, key: str) -> ExtentRecord | None: ...
 
-    def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]: ...
+class ExtentDirectory:
+    """Finds extents, from the map or by asking the map service. Call `start` before the first `find`.
 
-
-class MapClient:
-    """Calls of the map service, each within a deadline (monotonic). Raises PlacesError where it is out of reach."""
-
-    def __init__(
-        self, address: tuple[str, int], timeout: float, pool: ConnectionPool | None = None, deadline: float = math.inf
-    ) -> None:
-        self.pool, self.timeout, self.deadline = (
-            pool or ConnectionPool(address, PoolOptions(256, timeout, 30.0)),
-            timeout,
-            deadline,
-        )
-
-    def until(self, deadline: float) -> MapClient:
-        return MapClient(self.pool.address, self.timeout, self.pool, deadline)
-
-    def _call(self, target: bytes, kind: Any, **asked: Any) -> tuple[int, Any]:
-        try:
-            status, body = call(
-                self.pool,
-                b"POST",
-                target,
-                min(self.deadline, time.monotonic() + self.timeout),
-                msgspec.msgpack.encode(asked),
-            )
-            if status.code == 403:
-                refused = msgspec.msgpack.decode(body, type=_Refused)
-                raise StaleTokenError(refused.fenced, refused.newest)
-            if status.code not in (200, 404, 409):
-                raise PlacesError(f"the map service answered {status.code}")
-            return status.code, None if status.code == 404 else msgspec.msgpack.decode(body, type=kind)
-        except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
-            raise PlacesError(f"the catalogue can't be reached: {bad or type(bad).__name__}") from None
-
-    def fact(self, volume: str, key: str) -> ExtentRecord | None:
-        found: ExtentRecord | None = self._call(b"/find", ExtentRecord, volume=volume, key=key)[1]
-        return found
-
-    def note(
-        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[ExtentRecord, bool]:
-        status, stands = self._call(
-            b"/put", ExtentRecord, volume=volume, key=key, cell=cell, size=size, new=new, generation=generation
-        )
-        return stands, status == 200
-
-    def drop(self, volume: str, key: str) -> ExtentRecord | None:
-        gone: ExtentRecord | None = self._call(b"/drop", ExtentRecord | None, volume=volume, key=key)[1]
-        return gone
-
-    def flip(self, volume: str, key: str, cell: int, generation: int, **stamp: Any) -> ExtentRecord | None:
-        """stamp: of a duty, see `leases/fencing.py`. Raises StaleTokenError."""
-        holds: ExtentRecord | None = self._call(
-            b"/flip", ExtentRecord, volume=volume, key=key, cell=cell, generation=generation, **stamp
-        )[1]
-        return holds
-
-    def fence(self, note: str, **stamp: Any) -> None:
-        """Show a token, and say how the duty fares. Raises StaleTokenError."""
-        self._call(b"/fence", dict, note=note, **stamp)
-
-    def wish(self, name: str, value: str | None) -> None:
-        self._call(b"/wish", dict, name=name, value=value)
-
-    def wishes(self) -> Wishes:
-        """What operators want, and who showed a token last."""
-        out: Wishes = self._call(b"/wishes", Wishes)[1]
-        return out
-
-    def count(self, cell: int) -> tuple[int, int]:
-        """Extents and bytes that lie in a cell."""
-        out: tuple[int, int] = self._call(b"/count", tuple[int, int], cell=cell)[1]
-        return out
-
-    def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]:
-        _, out = self._call(b"/list", _Listed, volume=volume, prefix=prefix, after=after, limit=limit)
-        return out.keys, out.more
-
-
-class _Listed(msgspec.Struct):
-    keys: list[tuple[str, int]]
-    more: bool
-
-
-class _Refused(msgspec.Struct):
-    fenced: str
-    newest: int
-
-
-class Held(msgspec.Struct):
-    """Who showed a duty's token at the map service last, and when by its wall clock."""
-
-    duty: str
-    token: int
-    head: int
-    at: float
-    note: str = ""
-
-
-class Wishes(msgspec.Struct):
-    wishes: dict[str, str]
-    holders: list[Held]
-
-
-class _Shards(msgspec.Struct):
-    shards: int
-
-
-class _MapLink(ListLink):
-    """The watch; what it says goes to `Places`."""
-
-    line_most = 64 << 20  # a snapshot of one shard is one line
-
-    def __init__(self, address: tuple[str, int], timeout: float, beat: float, places: Places, log: Any) -> None:
-        super().__init__(address, timeout, SILENT_BEATS * beat, lambda event: None, log)
-        self.places = places
-        self.first = True
-
-    def watch_target(self) -> bytes:
-        self.first = True
-        told = ",".join(f"{e}.{v}" for e, v in (s.complete_to for s in self.places.map.partitions))
-        return b"/watch?told=" + told.encode()
-
-    def beat(self) -> None:
-        self.places.beaten()
-
-    def take(self, data: bytes) -> None:
-        try:
-            if self.first:
-                self.first = False
-                return self.places.begins(msgspec.json.decode(data, type=_Shards).shards)
-            delta = msgspec.json.decode(data, type=MapDelta)
-            self.places.told(delta)
-        except (msgspec.MsgspecError, DeltaError) as bad:
-            raise ValueError(str(bad)) from None
-        if len(delta.records) >= LARGE:
-            gevent.sleep(0)
-
-    def _failed(self, bad: Exception) -> None:
-        self.reachable = False
-        self.log.warning("map service out of reach: the last good map holds", error=str(bad) or type(bad).__name__)
-        gevent.spawn_later(self.places.lost(), self.places.watch)
-
-
-class Places:
-    """`address` None: the service is in this process and asked each time. `start` before the first `find`."""
+    Parameters
+    ----------
+    source
+        The map service: a `MapClient`, whose service is also watched, or one in this process, which is asked each time.
+    staleness
+        Chooses when a record counts as stale; made for one partition.
+    log
+        Logger.
+    watching
+        False: no watch is held, and a known record is used until a node reports otherwise.
+    checkpoint
+        Files of the map, if it is to be saved.
+    """
 
     def __init__(
         self,
-        source: Any,
-        terms: StalenessSettings,
-        seed: int,
+        source: MapSource,
+        staleness: Staleness,
         log: Any,
         *,
-        address: tuple[str, int] | None = None,
-        timeout: float = 0.5,
-        folder: Path | None = None,
-        behind: BackgroundWriter | None = None,
-        follow: bool = True,
+        watching: bool = True,
+        checkpoint: MapCheckpoint | None = None,
     ) -> None:
-        self.follow = follow  # False: no watch, and what is known is sent to until a node says otherwise
-        self.source, self.terms, self.seed, self.log = source, terms, seed, log
+        self.source = source
+        self.staleness = staleness
+        self.log = log
+        self.watching = watching
+        self.checkpoint = checkpoint
+        self.watch = self._watch_of(source) if isinstance(source, MapClient) else None
         self.map = ExtentMap.empty(1)
-        self.stale = Staleness(terms, 1, seed)
-        self.link = _MapLink(address, timeout, terms.heartbeat_interval_s, self, log) if address is not None else None
-        self.file = MapFile(folder, behind, self._unsaved) if folder is not None and behind is not None else None
-        self.folder = folder
-        self.hits = self.asked = self.wrong = 0
-        self.stopped = False
-        self.last: list[float] = [0.0]  # when a shard was last told something (monotonic)
+        self.cached_answers = 0
+        self.lookups = 0
+        self.misdirected_sends = 0
+        self._stopped = False
+        self._notified_at: list[float] = [0.0]  # by partition, monotonic
+
+    def _watch_of(self, client: MapClient) -> MapWatch:
+        heartbeat_interval_s = self.staleness.settings.heartbeat_interval_s
+        return MapWatch(client.address, client.timeout_s, heartbeat_interval_s, self, self.log)
 
     def start(self) -> None:
-        """Take the saved map, then watch."""
-        if self.folder is not None and self.file is not None:
-            saved = read(self.folder)
-            if saved.why:
-                self.log.error("the saved map does not read", error=saved.why, used=saved.map is not None)
-            if saved.map is not None:
-                self._shards(len(saved.map.partitions))
-                self.map = saved.map
-                if saved.whole_at > 0:
-                    self.stale.restored(time.monotonic(), max(0.0, time.time() - saved.whole_at))
-                self.log.info("saved map", extents=len(self.map), age_s=round(self.age(), 1))
-        self.watch()
+        """Load the saved map, then watch the service."""
+        if self.checkpoint is not None:
+            self._load(self.checkpoint)
+        self.open_watch()
+
+    def _load(self, checkpoint: MapCheckpoint) -> None:
+        saved = checkpoint.load()
+        if saved.problem:
+            self.log.error("saved_map_unreadable", error=saved.problem, used=saved.map is not None)
+        if saved.map is None:
+            return
+        self._reset(len(saved.map.partitions))
+        self.map = saved.map
+        if saved.complete_at > 0:
+            age_s = max(0.0, time.time() - saved.complete_at)
+            self.staleness.restored(time.monotonic(), age_s)
+        self.log.info("saved_map_loaded", extents=len(self.map), age_s=round(self.age_s(), 1))
 
     def stop(self) -> None:
-        self.stopped = True
-        if self.link is not None:
-            self.link.stop()
-        if self.file is not None:
-            self.file.close()
+        """End the watch and close the files."""
+        self._stopped = True
+        if self.watch is not None:
+            self.watch.stop()
+        if self.checkpoint is not None:
+            self.checkpoint.close()
+
+    # ------------------------------------------------------------ state
+
+    def age_s(self) -> float:
+        """Return the seconds since the map was last known to be complete; infinite if it never was."""
+        if self.watch is None:
+            return 0.0
+        return self.staleness.age_s(time.monotonic())
+
+    def stale_for_s(self) -> float:
+        """Return the map's age if its watch has missed heartbeats, and 0 if the map is current."""
+        age_s = self.age_s()
+        return age_s if age_s > STALE_HEARTBEATS * self.staleness.settings.heartbeat_interval_s else 0.0
 
-    def watch(self) -> None:
-        if self.link is not None and self.follow and not self.stopped:
-            self.link.watch(True)
+    def reachable(self) -> bool:
+        """Does the map service answer, as far as is known?"""
+        return self.watch is None or self.watch.reachable
 
-    def age(self) -> float:
-        """Seconds since the map was last known whole; inf: never."""
-        return 0.0 if self.link is None else self.stale.age_s(time.monotonic())
+    def status(self) -> dict[str, Any]:
+        """Return the figures of the status page and the metrics."""
+        age_s = self.age_s()
+        return {
+            "extents": len(self.map),
+            "shards": len(self.map.partitions),
+            "reachable": self.reachable(),
+            "age_s": round(age_s, 2) if age_s < math.inf else None,
+            "hits": self.cached_answers,
+            "asked": self.lookups,
+            "wrong_sends": self.misdirected_sends,
+            "not_asked": self.staleness.lookups_denied,
+        }
 
-    def reachable(self) -> bool:
-        return self.link is None or self.link.reachable
-
-    def behind_by(self) -> float:
-        """The age where it is worth telling: the watch has missed its beats. 0: the map is up to date."""
-        age = self.age()
-        return age if age > 2 * self.terms.heartbeat_interval_s else 0.0
-
-    # ------------------------------------------------------------ what the watch says
-
-    def _shards(self, count: int) -> None:
-        self.map, self.stale = ExtentMap.empty(count), Staleness(self.terms, count, self.seed)
-        self.last = [time.monotonic()] * count
-
-    def begins(self, count: int) -> None:
-        if not 1 <= count <= SHARDS_MOST:
-            raise ValueError(f"a map of {count} shards")
-        if count != len(self.map.partitions):  # another map: of the one held nothing can be joined
-            self._shards(count)
-            if self.file is not None:
-                self.file.keep.discard_checkpoint()
-
-    def told(self, delta: MapDelta) -> None:
-        old, now = self.map, time.monotonic()
-        self.map = old.apply(delta)
-        moves = (
-            sum(had.shard != f.shard for f in delta.records if (had := old.find(f.volume, f.extent)) is not None)
-            if not delta.is_snapshot
-            else 0
-        )
-        shard = self.map.partitions[delta.partition]
-        span, self.last[delta.partition] = now - self.last[delta.partition], now
-        self.stale.notified(
-            now,
-            delta.partition,
-            shard.gap is None,
-            MigrationObservation(moves, len(shard.records), 0.0 if delta.is_snapshot else span),
-        )
-        if self.map is not old and self.file is not None:
-            self.file.told(delta, self.map)
-
-    def beaten(self) -> None:
-        """The watch stands and has nothing to tell: what was told holds."""
-        now = time.monotonic()
-        for number, shard in enumerate(self.map.partitions):
-            self.stale.notified(now, number, shard.gap is None)
-        if self.file is not None:
-            self.file.whole(self.map)
+    # ------------------------------------------------------------ notifications of the watch
 
-    def lost(self) -> float:
-        """The watch ended: seconds until the next."""
-        return self.stale.watch_lost(time.monotonic())
+    def open_watch(self) -> None:
+        """Watch the service, unless this directory does not watch or was stopped."""
+        if self.watch is not None and self.watching and not self._stopped:
+            self.watch.watch(True)
 
-    def _unsaved(self, why: str) -> None:
-        self.log.error("the map can't be saved: a restart will ask the service for more", error=why)
+    def positions(self) -> Sequence[LogPosition]:
+        """Return up to where each partition is complete."""
+        return [partition.complete_to for partition in self.map.partitions]
 
-    # ------------------------------------------------------------ requests
+    def watch_began(self, partition_count: int) -> None:
+        """Note the number of partitions; if it is another one, nothing of the present map can be used.
 
-    def find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> tuple[int, int] | None:
-        """(cell, size in bytes), or None: there is no such object. Raises PlacesError."""
-        found = None if fresh or self.link is None else self.map.find(volume, key)
-        if found is None:  # not known here: it may have come into being a moment ago
-            found = self._ask(volume, key, deadline)
-            return None if found is None else (found.shard, found.size)
+        Raises
+        ------
+        PartitionCountError
+            If it is impossible.
+        """
+        if not 1 <= partition_count <= MAX_PARTITIONS:
+            raise PartitionCountError(partition_count)
+        if partition_count == len(self.map.partitions):
+            return
+        self._reset(partition_count)
+        if self.checkpoint is not None:
+            self.checkpoint.policy.discard_checkpoint()
+
+    def _reset(self, partition_count: int) -> None:
+        self.map = ExtentMap.empty(partition_count)
+        self.staleness = self.staleness.restarted(partition_count)
+        self._notified_at = [time.monotonic()] * partition_count
+
+    def delta_received(self, delta: MapDelta) -> None:
+        """Apply a delta.
+
+        Raises
+        ------
+        DeltaError
+            If it contradicts itself or the map.
+        """
         now = time.monotonic()
-        do = self.stale.choose(now, self.map, volume, key, deadline - now) if self.follow else LookupChoice.USE_RECORD
-        if do is LookupChoice.LOOK_UP_CONCURRENTLY:
-            gevent.spawn(self._ask_quietly, volume, key, now + self.stale.settings.min_backoff_s)
-        elif do is LookupChoice.LOOK_UP_FIRST:
-            came, answer = self._ask_quietly(volume, key, now + self.stale.lookup_timeout_s(deadline - now))
-            if came:
-                return None if answer is None else (answer.shard, answer.size)
-        self.hits += 1
-        return found.shard, found.size
-
-    def _ask(self, volume: str, key: str, deadline: float) -> ExtentRecord | None:
-        self.asked += 1
-        began, shard = time.monotonic(), partition_of(volume, len(self.map.partitions))
-        try:
-            found: ExtentRecord | None = self._until(deadline).fact(volume, key)
-        except PlacesError:
-            self.stale.lookup_failed(time.monotonic(), shard, volume, key)
-            raise
+        previous = self.map
+        self.map = previous.apply(delta)
+        partition = self.map.partitions[delta.partition]
+        span_s = now - self._notified_at[delta.partition]
+        self._notified_at[delta.partition] = now
+        observed = _migrations_in(delta, previous, partition, span_s)
+        self.staleness.notified(now, delta.partition, partition.gap is None, observed)
+        self._save(delta, previous)
+
+    def heartbeat_received(self) -> None:
+        """Note that the watch stands: all that was received still holds."""
         now = time.monotonic()
-        self.stale.lookup_answered(volume, key, now - began)
-        if found is not None:
-            self._hint(found)
-        return found
+        for number, partition in enumerate(self.map.partitions):
+            self.staleness.notified(now, number, partition.gap is None)
+        if self.checkpoint is not None:
+            self.checkpoint.mark_complete(self.map)
 
-    def _ask_quietly(self, volume: str, key: str, deadline: float) -> tuple[bool, ExtentRecord | None]:
-        """Did an answer come, and which; if not, the last good map holds."""
-        try:
-            return True, self._ask(volume, key, deadline)
-        except PlacesError:
-            return False, None
+    def watch_lost(self) -> float:
+        """Note that the watch ended; return the seconds until the next."""
+        return self.staleness.watch_lost(time.monotonic())
 
-    def _until(self, deadline: float) -> Source:
-        source: Source = self.source if self.link is None else self.source.until(deadline)
-        return source
+    # ------------------------------------------------------------ requests
 
-    def _hint(self, fact: ExtentRecord) -> None:
-        """What a call told, joined like any fact: the watch will say it too."""
-        if self.link is None:
+    def find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
+        """Return where an extent is, or None if there is none.
+
+        Parameters
+        ----------
+        volume, key
+            The extent.
+        deadline
+            Monotonic time by which the request ends.
+        fresh
+            Ask the service, whatever the map says.
+
+        Raises
+        ------
+        MapServiceError
+            If the service has to be asked and can't be.
+        """
+        record = None if fresh or self.watch is None else self.map.find(volume, key)
+        if record is None:  # unknown to the map: it may have been created a moment ago
+            return _location(self._look_up(volume, key, deadline))
+        now = time.monotonic()
+        choice = self._choose(now, volume, key, deadline)
+        if choice is LookupChoice.LOOK_UP_CONCURRENTLY:
+            min_backoff_s = self.staleness.settings.min_backoff_s
+            gevent.spawn(self._look_up_quietly, volume, key, now + min_backoff_s)
+        elif choice is LookupChoice.LOOK_UP_FIRST:
+            timeout_s = self.staleness.lookup_timeout_s(deadline - now)
+            with contextlib.suppress(MapServiceError):  # without an answer the last good map holds
+                return _location(self._look_up(volume, key, now + timeout_s))
+        self.cached_answers += 1
+        return _location(record)
+
+    def _choose(self, now: float, volume: str, key: str, deadline: float) -> LookupChoice:
+        if not self.watching:
+            return LookupChoice.USE_RECORD
+        return self.staleness.choose(now, self.map, volume, key, deadline - now)
+
+    def _look_up(self, volume: str, key: str, deadline: float) -> ExtentRecord | None:
+        self.lookups += 1
+        began_at = time.monotonic()
+        partition = partition_of(volume, len(self.map.partitions))
+        try:
+            record = self._source_until(deadline).find_record(volume, key)
+        except MapServiceError:
+            self.staleness.lookup_failed(time.monotonic(), partition, volume, key)
+            raise
+        self.staleness.lookup_answered(volume, key, time.monotonic() - began_at)
+        if record is not None:
+            self._merge(record)
+        return record
+
+    def _look_up_quietly(self, volume: str, key: str, deadline: float) -> None:
+        with contextlib.suppress(MapServiceError):
+            self._look_up(volume, key, deadline)
+
+    def _source_until(self, deadline: float) -> MapSource:
+        if isinstance(self.source, MapClient):
+            return self.source.with_deadline(deadline)
+        return self.source
+
+    def _merge(self, record: ExtentRecord) -> None:
+        """Merge a record that a call or a node reported; the watch will report it too."""
+        if self.watch is None:
             return
-        old, self.map = self.map, self.map.merge_record(fact)
-        if self.map is not old and self.file is not None:
-            self.file.told(fact, self.map)
-
-    def sent(self, right: bool, cost: float) -> None:
-        """A send found its extent, or not, after `cost` seconds."""
-        self.wrong += not right
-        self.stale.record_send(right, cost)
-
-    def generation(self, volume: str, key: str) -> int:
-        """Of the place that the map has; -1: none."""
-        found = self.map.find(volume, key)
-        return -1 if found is None else found.stamp.generation
-
-    def moved(self, volume: str, key: str, cell: int, generation: int) -> tuple[int, int]:
-        """A node said where the extent went: (cell, size). The service's own word on that generation will be later."""
-        had = self.map.find(volume, key)
-        self.wrong += 1
-        size = 0 if had is None else had.size
-        self._hint(ExtentRecord(volume, key, cell, Stamp(generation, 0, 0), ExtentState.ACTIVE, size))
-        return cell, size
-
-    def note(
-        self, volume: str, key: str, cell: int, size: int, new: bool, deadline: float, generation: int = -1
-    ) -> bool:
-        """A write left the object there, sent to the place of that generation; False: with `new`, another one came
-        first. Raises PlacesError."""
-        had = self.map.find(volume, key)
-        if had is not None and (had.shard, had.size) == (cell, size) and not self.behind_by():
+        previous = self.map
+        self.map = previous.merge_record(record)
+        self._save(record, previous)
+
+    def _save(self, change: MapDelta | ExtentRecord, previous: ExtentMap) -> None:
+        if self.map is not previous and self.checkpoint is not None:
+            self.checkpoint.save_change(change, self.map)
+
+    def record_send(self, found: bool, lost_s: float) -> None:
+        """Note that a send found its extent, or did not and lost so many seconds."""
+        if not found:
+            self.misdirected_sends += 1
+        self.staleness.record_send(found, lost_s)
+
+    def generation_of(self, volume: str, key: str) -> int:
+        """Return the generation of the map's record, or `NO_GENERATION`."""
+        record = self.map.find(volume, key)
+        return NO_GENERATION if record is None else record.stamp.generation
+
+    def redirected(self, volume: str, key: str, shard: int, generation: int) -> ExtentLocation:
+        """Note that a node redirected a request; return where the extent went.
+
+        The service's own record of that generation will be later than this one.
+        """
+        record = self.map.find(volume, key)
+        size = 0 if record is None else record.size
+        self.misdirected_sends += 1
+        self._merge(ExtentRecord(volume, key, shard, Stamp(generation, 0, 0), ExtentState.ACTIVE, size))
+        return ExtentLocation(shard, size)
+
+    def record_write(self, write: ExtentWrite, deadline: float) -> bool:
+        """Note a write; `deadline` is the monotonic time by which the call ends.
+
+        Returns
+        -------
+        bool
+            False if the extent must be new, and another write came first.
+
+        Raises
+        ------
+        MapServiceError
+            If the service can't be asked.
+        """
+        current = self.map.find(write.volume, write.extent)
+        is_known = current is not None and (current.shard, current.size) == (write.shard, write.size)
+        if is_known and not self.stale_for_s():
             return True
-        stands, taken = self._until(deadline).note(volume, key, cell, size, new, generation)
-        self._hint(stands)
-        return taken
-
-    def drop(self, volume: str, key: str, deadline: float) -> None:
-        """Raises PlacesError."""
-        gone = self._until(deadline).drop(volume, key)
-        if gone is not None:
-            self._hint(gone)
-
-    def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]:
-        return self.source.list(volume, prefix, after, limit)  # type: ignore[no-any-return]
-
-    def status(self) -> dict[str, Any]:
-        age = self.age()
-        return {
-            "extents": len(self.map),
-            "shards": len(self.map.partitions),
-            "reachable": self.reachable(),
-            "age_s": round(age, 2) if age < math.inf else None,
-            "hits": self.hits,
-            "asked": self.asked,
-            "wrong_sends": self.wrong,
-            "not_asked": self.stale.lookups_denied,
-        }
+        record, accepted = self._source_until(deadline).record_write(write)
+        self._merge(record)
+        return accepted
+
+    def delete(self, volume: str, key: str, deadline: float) -> None:
+        """Delete an extent from the map; raises MapServiceError."""
+        tombstone = self._source_until(deadline).delete(volume, key)
+        if tombstone is not None:
+            self._merge(tombstone)
+
+    def list_keys(self, volume: str, prefix: str, after: str, limit: int) -> KeyPage:
+        """Return the keys of a volume in order; raises MapServiceError."""
+        return self.source.list_keys(volume, prefix, after, limit)
+
+
+def _location(record: ExtentRecord | None) -> ExtentLocation | None:
+    return None if record is None else ExtentLocation(record.shard, record.size)
+
+
+def _migrations_in(
+    delta: MapDelta, previous: ExtentMap, partition: Partition, span_s: float
+) -> MigrationObservation | None:
+    """Return how many extents a delta moved to another shard; a snapshot does not show that."""
+    if delta.is_snapshot:
+        return None
+    migrations = 0
+    for record in delta.records:
+        known = previous.find(record.volume, record.extent)
+        if known is not None and known.shard != record.shard:
+            migrations += 1
+    return MigrationObservation(migrations, len(partition.records), span_s)
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -17,14 +17,16 @@
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig
 from fawnspool.config.scheduler_settings import scheduler_settings
-from fawnspool.extents.staleness import StalenessSettings
+from fawnspool.extents.staleness import Staleness, StalenessSettings
 from fawnspool.gateway.attempts import AttemptOutcome
 from fawnspool.gateway.core import Core
 from fawnspool.gateway.endpoint_client import FixedList, ListClient, Row
-from fawnspool.gateway.extent_directory import MapClient, Places, Source
+from fawnspool.gateway.extent_directory import ExtentDirectory
 from fawnspool.gateway.gossip_runner import Sharing
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
+from fawnspool.gateway.map_client import MapClient, MapSource
+from fawnspool.gateway.map_store import MapCheckpoint
 from fawnspool.gateway.node_protocol import NodeSpeech
 from fawnspool.gateway.peer_channel import FleetPlace
 from fawnspool.gateway.peers import Peers
@@ -68,7 +70,7 @@
 class Head(Core):
     """One head of a host. `start` before `submit`; `stop` ends all."""
 
-    def __init__(self, config: HeadConfig, *, source: Source | None = None, rows: list[Row] | None = None) -> None:
+    def __init__(self, config: HeadConfig, *, source: MapSource | None = None, rows: list[Row] | None = None) -> None:
         h, c = config.head, config
         self.config, settings = config, scheduler_settings(config)
         self.classes = {k.name: n for n, k in enumerate(c.class_)}
@@ -110,30 +112,29 @@
                 self.log,
                 self.behind,
             )
-        self.places = (
-            Places(source, StalenessSettings(gateway_count=h.heads), h.seed, self.log)
-            if source is not None
-            else self._places(config)
-        )
+        self.places = self._extent_directory(config, source)
         self.peers: Peers | None = None
         self.leases: LeaseRunner | None = None
         self.sharing: Sharing | None = None
 
-    def _places(self, config: HeadConfig) -> Places:
-        k = config.catalogue
-        where = parse_address(k.address)
-        return Places(
-            MapClient(where, k.call_timeout),
-            StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=k.peak),
-            config.head.seed,
+    def _extent_directory(self, config: HeadConfig, source: MapSource | None) -> ExtentDirectory:
+        service = config.catalogue
+        if source is not None:
+            settings = StalenessSettings(gateway_count=config.head.heads)
+            return ExtentDirectory(source, Staleness(settings, 1, config.head.seed), self.log)
+        settings = StalenessSettings(gateway_count=config.head.heads, service_calls_per_s=service.peak)
+        return ExtentDirectory(
+            MapClient(parse_address(service.address), service.call_timeout),
+            Staleness(settings, 1, config.head.seed),
             self.log,
-            address=where,
-            timeout=k.call_timeout,
-            folder=Path(config.head.data),
-            behind=self.behind,
-            follow=k.watch,
+            watching=service.watch,
+            checkpoint=MapCheckpoint(Path(config.head.data), self.behind, self._map_not_saved),
         )
 
+    def _map_not_saved(self, problem: str) -> None:
+        """The map's file lags: a restart will ask the map service for more."""
+        self.log.error("map_save_failed", error=problem)
+
     def start(self) -> None:
         h = self.config.head
         if self.config.peer and h.peer_listen:
@@ -254,7 +255,7 @@
             self.config.class_[cls].name,
             block.plan,
         )
-        if age := self.places.behind_by():  # the place may be old: the client is told
+        if age := self.places.stale_for_s():  # the place may be old: the client is told
             pending.said = [(b"Fawn-Map-Age-Ms", b"%d" % min(age * 1000, AGE_MOST_MS))]
         if self.traces is not None:
             pending.span = self.traces.begin(
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -1,12 +1,14 @@
-"""The head's last good map on disk: a whole one, and behind it what was told since.
+"""The gateway's last good extent map on disk: a full map, and a log of what was received after it.
 
-    map.rec        [0, form, shards, time], then for each shard [1, shard, told, ahead, floor] and rows [2, facts], each
-                   fact a tuple, and [3] at the end; written beside and renamed
-    map.log.rec    rows [4, delta], [5, fact that a call or a node told], [6, time]: until when the map was whole
+    map.rec        a HEADER row, then for each partition a PARTITION row and RECORDS rows, and an END row; written
+                   beside and renamed
+    map.log.rec    DELTA rows, RECORD rows (from a call or a node's redirect), and COMPLETE rows: until when the map
+                   was complete
 
-Both are frames with checksums (`records/frames.py`). A kill leaves the old whole map or the new one; a log that is
-older than its map changes nothing, as facts are joined whatever order they come in. All writing is done behind the
-loop's back. A disk that takes nothing costs the file, never a request: the next start asks the service for more.
+Both are files of frames with checksums (`records/frames.py`); the codes of their rows are `RowKind`. A kill leaves the
+old full map or the new one. A log that is older than its map changes nothing, as records are joined whatever order they
+come in. All writing is done by a background thread. A disk that takes nothing costs the checkpoint and never a request:
+the next start then asks the map service for more.
 """
 
 from __future__ import annotations
@@ -17,7 +19,8 @@
 import os
 import time
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
+from enum import IntEnum
 from pathlib import Path
 from typing import Any
 
@@ -30,190 +33,296 @@
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Reader, Writer
 
-FORM = 1
-PIECE = 1000  # facts in one frame
-_FACT_BYTES = 120  # of a fact in the queue, roughly
-_STATES = {s.value: s for s in ExtentState}
+MAP_FILE = "map.rec"
+LOG_FILE = "map.log.rec"
+FORMAT_VERSION = 1
+RECORDS_PER_ROW = 1000
+RECORD_MEMORY_BYTES = 120  # of a record that waits to be written, roughly
+_STATES = {state.value: state for state in ExtentState}  # faster than the enum's own lookup
+
+
+class RowKind(IntEnum):
+    """First element of each row, and what follows it."""
+
+    HEADER = 0  # format version, number of partitions, time until which the map was complete
+    PARTITION = 1  # number, position, pending ranges, snapshot floors
+    RECORDS = 2  # records of the partition, each an array of its fields
+    END = 3  # nothing
+    DELTA = 4  # a delta
+    RECORD = 5  # one record
+    COMPLETE = 6  # time until which the map was complete
 
 
 @dataclass(frozen=True)
-class Saved:
-    """What a start found. whole_at: Unix time until which the map was whole, 0: unknown; why: what did not read."""
+class SavedMap:
+    """What a start found on disk.
+
+    Attributes
+    ----------
+    map
+        The map, or None if there is none that can be used.
+    complete_at
+        Time until which the map was complete, seconds since 1970; 0 if unknown.
+    problem
+        What could not be read; "" if all could.
+    """
 
     map: ExtentMap | None = None
-    whole_at: float = 0.0
-    why: str = ""
+    complete_at: float = 0.0
+    problem: str = ""
+
 
+class MapFormatError(ValueError):
+    """A file holds no map, or one in another format."""
 
-def read(folder: Path) -> Saved:
-    """The last good map below `folder`; never raises for what lies there."""
-    found, at, why = None, 0.0, ""
+    def __init__(self, path: Path, fault: str) -> None:
+        super().__init__(f"{path.name}: {fault}")
+
+
+def load_map(folder: Path) -> SavedMap:
+    """Return the last good map in a folder; never raises for what is in it."""
     try:
-        with _uncollected():
-            found, at, why = _whole(folder / "map.rec")
+        with _garbage_collection_paused():
+            saved = _load_full_map(folder / MAP_FILE)
     except FileNotFoundError:
-        return Saved()
-    except Exception as bad:  # a file of another make: nothing of it is used
-        return Saved(why=f"map.rec: {bad}")
-    if found is None:
-        return Saved(why=why)
-    try:
-        reader = Reader(folder / "map.log.rec")
-        for kind, value in reader:
-            if kind == 4:
-                found = found.apply(msgspec.convert(value, MapDelta))
-            elif kind == 5:
-                found = found.merge_record(msgspec.convert(value, ExtentRecord))
-            elif kind == 6:
-                at = max(at, float(value))
-        why = reader.torn
-    except FileNotFoundError:
-        pass
-    except Exception as bad:  # whatever a damaged log holds: what was read up to there stands
-        why = f"map.log.rec: {bad}"
-    return Saved(found, at, why)
+        return SavedMap()
+    except Exception as error:  # a file of another make: nothing of it is used
+        return SavedMap(problem=f"{MAP_FILE}: {error}")
+    if saved.map is None:
+        return saved
+    return _replay_log(folder / LOG_FILE, saved.map, saved.complete_at)
 
 
 @contextlib.contextmanager
-def _uncollected() -> Iterator[None]:
-    """Without the collector: all that is read stays, and looking through a million facts again and again took longer
-    than reading them."""
-    was = gc.isenabled()
+def _garbage_collection_paused() -> Iterator[None]:
+    """Pause the garbage collector, which took longer to visit a million records than it took to read them."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
-def _whole(path: Path) -> tuple[ExtentMap | None, float, str]:
+def _load_full_map(path: Path) -> SavedMap:
     reader = Reader(path)
     rows = iter(reader)
-    head = next(rows, None)
-    if head is None or head[0] != 0:
-        raise ValueError(f"{path.name}: {reader.torn or 'holds no map'}")
-    if head[1] != FORM:
-        raise ValueError(f"{path.name}: of form {head[1]}, this program reads {FORM}")
-    shards, at = [Partition()] * int(head[2]), float(head[3])
-    here, table, state = -1, Map[RecordKey, ExtentRecord]().mutate(), Partition()
+    header = next(rows, None)
+    if header is None or header[0] != RowKind.HEADER:
+        raise MapFormatError(path, reader.torn or "holds no map")
+    if header[1] != FORMAT_VERSION:
+        raise MapFormatError(path, f"of form {header[1]}, this program reads {FORMAT_VERSION}")
+    partitions = _PartitionBuilder(int(header[2]))
+    complete_at = float(header[3])
     for row in rows:
-        if row[0] == 2:
-            for volume, extent, cell, generation, epoch, version, how, size in row[1]:
-                table[volume, extent] = ExtentRecord(
-                    volume, extent, cell, Stamp(generation, epoch, version), _STATES[how], size
-                )
-            continue
-        if here >= 0:
-            shards[here] = Partition(table.finish(), state.complete_to, state.pending_ranges, state.snapshot_floors)
-        if row[0] == 3:
-            return ExtentMap(tuple(shards)), at, ""
-        here, table, state = (
-            int(row[1]),
-            Map[RecordKey, ExtentRecord]().mutate(),
-            msgspec.convert({"told": row[2], "ahead": row[3], "floor": row[4]}, _State).shard(),
-        )
-    return None, 0.0, f"{path.name}: {reader.torn or 'its end is missing'}"
+        if row[0] == RowKind.RECORDS:
+            partitions.add_records(row[1])
+        elif row[0] == RowKind.END:
+            return SavedMap(partitions.finish(), complete_at)
+        else:
+            partitions.begin(row)
+    return SavedMap(problem=f"{path.name}: {reader.torn or 'its end is missing'}")
+
 
+class _PartitionRow(msgspec.Struct):
+    """The part of a PARTITION row that follows the number, by the attributes' former names."""
 
-class _State(msgspec.Struct):
     told: tuple[int, int]
     ahead: tuple[tuple[int, int], ...]
     floor: tuple[tuple[int, int], ...]
 
-    def shard(self) -> Partition:
+    def partition(self, records: Map[RecordKey, ExtentRecord]) -> Partition:
         return Partition(
-            complete_to=LogPosition(*self.told),
-            pending_ranges=tuple(VersionRange(*row) for row in self.ahead),
-            snapshot_floors=tuple(LogPosition(*row) for row in self.floor),
+            records,
+            LogPosition(*self.told),
+            tuple(VersionRange(*versions) for versions in self.ahead),
+            tuple(LogPosition(*position) for position in self.floor),
         )
 
 
-def write(path: Path, m: ExtentMap, whole_at: float) -> None:
-    """The whole map, beside and renamed. Raises OSError."""
+class _PartitionBuilder:
+    """Builds a map from the rows of its file."""
+
+    def __init__(self, partition_count: int) -> None:
+        self._partitions = [Partition()] * partition_count
+        self._number: int | None = None  # partition being read
+        self._row: _PartitionRow | None = None
+        self._records = Map[RecordKey, ExtentRecord]().mutate()
+
+    def begin(self, row: list[Any]) -> None:
+        self._end_partition()
+        self._number = int(row[1])
+        self._records = Map[RecordKey, ExtentRecord]().mutate()
+        self._row = msgspec.convert({"told": row[2], "ahead": row[3], "floor": row[4]}, _PartitionRow)
+
+    def add_records(self, rows: list[Any]) -> None:
+        records = self._records
+        for volume, extent, shard, generation, epoch, version, state, size in rows:
+            stamp = Stamp(generation, epoch, version)
+            records[volume, extent] = ExtentRecord(volume, extent, shard, stamp, _STATES[state], size)
+
+    def finish(self) -> ExtentMap:
+        self._end_partition()
+        return ExtentMap(tuple(self._partitions))
+
+    def _end_partition(self) -> None:
+        if self._number is not None and self._row is not None:
+            self._partitions[self._number] = self._row.partition(self._records.finish())
+
+
+def _replay_log(path: Path, extent_map: ExtentMap, complete_at: float) -> SavedMap:
+    """Return the map after the log; of a damaged log, after what was read of it."""
+    saved = SavedMap(extent_map, complete_at)
+    try:
+        reader = Reader(path)
+        for kind, value in reader:
+            saved = _replay_row(saved, kind, value)
+    except FileNotFoundError:
+        return saved
+    except Exception as error:  # whatever a damaged log holds
+        return replace(saved, problem=f"{LOG_FILE}: {error}")
+    return replace(saved, problem=reader.torn)
+
+
+def _replay_row(saved: SavedMap, kind: int, value: Any) -> SavedMap:
+    if saved.map is None:
+        return saved
+    if kind == RowKind.DELTA:
+        return replace(saved, map=saved.map.apply(msgspec.convert(value, MapDelta)))
+    if kind == RowKind.RECORD:
+        return replace(saved, map=saved.map.merge_record(msgspec.convert(value, ExtentRecord)))
+    if kind == RowKind.COMPLETE:
+        return replace(saved, complete_at=max(saved.complete_at, float(value)))
+    return saved
+
+
+def save_map(path: Path, extent_map: ExtentMap, complete_at: float) -> None:
+    """Write a full map beside `path`, and rename it.
+
+    Raises
+    ------
+    OSError
+        If the disk does not take it.
+    """
     draft = path.with_suffix(".draft")
     writer = Writer(draft)
     try:
-        writer.put([0, FORM, len(m.partitions), whole_at])
-        for number, shard in enumerate(m.partitions):
-            writer.add([1, number, shard.complete_to, shard.pending_ranges, shard.snapshot_floors])
-            piece = list[Any]()
-            for f in shard.records.values():
-                s = f.stamp
-                piece.append((f.volume, f.extent, f.shard, s.generation, s.epoch, s.version, f.state.value, f.size))
-                if len(piece) == PIECE:
-                    writer.put([2, piece])
-                    piece = []
-            writer.put([2, piece])
-        writer.put([3])
+        writer.put([RowKind.HEADER, FORMAT_VERSION, len(extent_map.partitions), complete_at])
+        for number, partition in enumerate(extent_map.partitions):
+            _write_partition(writer, number, partition)
+        writer.put([RowKind.END])
         os.fsync(writer.fd)
     finally:
         writer.close()
-    os.replace(draft, path)
-
-
-class MapFile:
-    """Keeps the file up to what the head holds. `log(text)`: what went wrong."""
-
-    def __init__(self, folder: Path, behind: BackgroundWriter, log: Callable[[str], None]) -> None:
-        self.folder, self.behind, self.log = folder, behind, log
-        self.keep = CheckpointPolicy()
-        self.writer: Writer | None = None
-        self.problem = ""  # set by the thread
-
-    def told(self, value: MapDelta | ExtentRecord, m: ExtentMap) -> None:
-        """`m` is the map with it."""
-        count = len(value.records) if isinstance(value, MapDelta) else 1
-        self._append([4 if isinstance(value, MapDelta) else 5, value], count, m)
-
-    def whole(self, m: ExtentMap) -> None:
-        """The map is whole now; noted now and then."""
-        if self.keep.complete_mark_due(time.monotonic()):
-            self._append([6, time.time()], 1, m)
-
-    def _append(self, row: list[Any], count: int, m: ExtentMap) -> None:
-        if self.problem:
-            self.log(self.problem)
-            self.problem = ""
-            self.keep.write_failed(time.monotonic())
-        what = self.keep.next_action(time.monotonic(), count, len(m))
-        if what is CheckpointAction.SKIP:
+    draft.replace(path)
+
+
+def _write_partition(writer: Writer, number: int, partition: Partition) -> None:
+    position = (partition.complete_to, partition.pending_ranges, partition.snapshot_floors)
+    writer.add([RowKind.PARTITION, number, *position])
+    rows = list[Any]()
+    for record in partition.records.values():
+        rows.append(_record_row(record))
+        if len(rows) == RECORDS_PER_ROW:
+            writer.put([RowKind.RECORDS, rows])
+            rows = []
+    writer.put([RowKind.RECORDS, rows])
+
+
+def _record_row(record: ExtentRecord) -> tuple[Any, ...]:
+    stamp = record.stamp
+    position = (stamp.generation, stamp.epoch, stamp.version)
+    return (record.volume, record.extent, record.shard, *position, record.state.value, record.size)
+
+
+class MapCheckpoint:
+    """Keeps the files up to the map that the gateway has.
+
+    Parameters
+    ----------
+    folder
+        Where the files are.
+    background
+        Thread that writes.
+    report_problem
+        Is given the text of a failure.
+    """
+
+    def __init__(self, folder: Path, background: BackgroundWriter, report_problem: Callable[[str], None]) -> None:
+        self.folder = folder
+        self.background = background
+        self.report_problem = report_problem
+        self.policy = CheckpointPolicy()
+        self.problem: str | None = None  # set by the thread
+        self._log_writer: Writer | None = None  # used by the thread alone
+
+    def load(self) -> SavedMap:
+        """Return the last good map."""
+        return load_map(self.folder)
+
+    def save_change(self, change: MapDelta | ExtentRecord, extent_map: ExtentMap) -> None:
+        """Save a change; `extent_map` is the map after it."""
+        if isinstance(change, MapDelta):
+            self._append([RowKind.DELTA, change], len(change.records), extent_map)
+        else:
+            self._append([RowKind.RECORD, change], 1, extent_map)
+
+    def mark_complete(self, extent_map: ExtentMap) -> None:
+        """Save that the map is complete now; done only now and then."""
+        if self.policy.complete_mark_due(time.monotonic()):
+            self._append([RowKind.COMPLETE, time.time()], 1, extent_map)
+
+    def close(self) -> None:
+        """Close the files after what is still to be written."""
+        self.background.put(self._close_log)
+
+    def _append(self, row: list[Any], record_count: int, extent_map: ExtentMap) -> None:
+        if self.problem is not None:
+            self._report(self.problem)
+            self.problem = None
+        action = self.policy.next_action(time.monotonic(), record_count, len(extent_map))
+        if action is CheckpointAction.SKIP:
             return
-        if what is CheckpointAction.FULL_MAP:
-            work, size = functools.partial(self._write_whole, m, time.time()), 0  # it shares the map's memory
+        if action is CheckpointAction.FULL_MAP:
+            # The immutable map shares its memory with the gateway's, so that no size is counted.
+            accepted = self.background.put(functools.partial(self._write_full_map, extent_map, time.time()))
         else:
-            work, size = functools.partial(self._write_row, row), count * _FACT_BYTES
-        if not self.behind.put(work, size):
-            self.log("the disk is too slow")
-            self.keep.write_failed(time.monotonic())
+            size = record_count * RECORD_MEMORY_BYTES
+            accepted = self.background.put(functools.partial(self._write_row, row), size)
+        if not accepted:
+            self._report("the disk is too slow")
+
+    def _report(self, problem: str) -> None:
+        self.report_problem(problem)
+        self.policy.write_failed(time.monotonic())
 
-    # ------------------------------------------------------------ in the thread
+    # ------------------------------------------------------------ in the background thread
 
-    def _write_whole(self, m: ExtentMap, at: float) -> None:
+    def _write_full_map(self, extent_map: ExtentMap, complete_at: float) -> None:
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
-            write(self.folder / "map.rec", m, at)
-            if self.writer is not None:
-                self.writer.close()
-            self.writer = Writer(self.folder / "map.log.rec")
-        except OSError as bad:
-            self._failed(bad)
+            save_map(self.folder / MAP_FILE, extent_map, complete_at)
+            self._close_log()
+            self._log_writer = Writer(self.folder / LOG_FILE)
+        except OSError as error:
+            self._write_failed(error)
 
     def _write_row(self, row: list[Any]) -> None:
-        if self.writer is None:
-            return  # the whole map that goes before could not be written
+        if self._log_writer is None:
+            return  # the full map that goes before could not be written
         try:
-            self.writer.put(row)
-        except OSError as bad:
-            self._failed(bad)
-
-    def _failed(self, bad: OSError) -> None:
-        if self.writer is not None:
-            self.writer.buffer.clear()
-            self.writer.close()
-            self.writer = None
-        self.problem = bad.strerror or str(bad)
-
-    def close(self) -> None:
-        """After what was handed over before."""
-        self.behind.put(lambda: self.writer.close() if self.writer is not None else None)
+            self._log_writer.put(row)
+        except OSError as error:
+            self._write_failed(error)
+
+    def _write_failed(self, error: OSError) -> None:
+        if self._log_writer is not None:
+            self._log_writer.buffer.clear()
+            self._log_writer.close()
+            self._log_writer = None
+        self.problem = error.strerror or str(error)
+
+    def _close_log(self) -> None:
+        if self._log_writer is not None:
+            self._log_writer.close()
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -1,17 +1,16 @@
-"""Carries out moves: looks at both nodes and the map, takes the step that `extents/migration.py` finds, looks again.
+"""Carries out migrations: looks at both nodes and the map, takes the step that `extents/migration.py` finds, repeats.
 
-It keeps nothing that it needs: one that was killed is resumed by calling `move` again, here or elsewhere.
+A migrator keeps no state that it needs: the migration of one that was killed is resumed by calling `migrate` again,
+here or elsewhere.
 """
 
 from __future__ import annotations
 
+import contextlib
 import time
 from collections.abc import Callable
-from typing import Any
-from urllib.parse import urlencode
 
 import gevent
-import msgspec
 
 from fawnspool.extents.migration import (
     Migration,
@@ -21,173 +20,172 @@
     poll_pause_s,
     required_notice,
 )
-from fawnspool.extents.records import ExtentRecord
+from fawnspool.extents.object_replica import ReplicaCommand
+from fawnspool.extents.records import ExtentKey, ExtentRecord
 from fawnspool.extents.replicas import ReplicaRole
-from fawnspool.gateway.extent_directory import MapClient, PlacesError
-from fawnspool.leases.fencing import StaleTokenError
-from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
-from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
-
-_BAD = (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError, PlacesError)
-
-
-class _Refused(msgspec.Struct):
-    fenced: str
-    newest: int
-
-
-class _Told(msgspec.Struct):
-    role: str
-    generation: int
-    position: int
-    to: int
-    fence: int
-    kept: bool
-
-
-class Mover:
-    """`where(cell)`: the address of the node that serves a cell, None: there is none now. taken(step): called before
-    each step, for whoever wants to see or to stop it. stamp(): the duty, token, who and head that each step bears; it
-    raises where the duty is not held any more. left(): seconds that a call may take at most."""
+from fawnspool.gateway.map_client import MapClient, MapServiceError
+from fawnspool.gateway.replica_client import CALL_ERRORS, NodeAddress, ReplicaClient, StepGuard
+from fawnspool.net.exceptions import ConnectError
+
+DEFAULT_TIMEOUT_S = 2.0
+_RETRYABLE_ERRORS = (*CALL_ERRORS, MapServiceError)
+_FINAL_STEPS = (MigrationStep.DONE, MigrationStep.SUPERSEDED)
+
+
+class Migrator:
+    """Migrates extents from node to node while they are read and written.
+
+    Parameters
+    ----------
+    node_address
+        Returns the address of the node that serves a shard, or None if there is none now.
+    map_client
+        The map service.
+    timeout_s
+        Longest duration of a call to a node.
+    guard
+        The lease that each step is subject to; by default none.
+    before_step
+        Called before each step, to observe it or to raise and so prevent it.
+    """
 
     def __init__(
         self,
-        where: Callable[[int], tuple[str, int] | None],
-        places: MapClient,
-        timeout: float = 2.0,
-        taken: Callable[[MigrationStep], None] = lambda step: None,
-        stamp: Callable[[], dict[str, Any]] = dict,
-        left: Callable[[], float] = lambda: float("inf"),
+        node_address: NodeAddress,
+        map_client: MapClient,
+        timeout_s: float = DEFAULT_TIMEOUT_S,
+        guard: StepGuard | None = None,
+        before_step: Callable[[MigrationStep], None] = lambda step: None,
     ) -> None:
-        self.where, self.places, self.timeout, self.taken = where, places, timeout, taken
-        self.stamp, self.left = stamp, left
-        self.pools: dict[tuple[str, int], ConnectionPool] = {}
+        self.map_client = map_client
+        self.guard = guard or StepGuard()
+        self.replicas = ReplicaClient(node_address, timeout_s, self.guard)
+        self.before_step = before_step
 
-    def move(
-        self, volume: str, extent: str, to: int, deadline: float, undo: bool = False, last: Migration | None = None
+    def migrate(
+        self, key: ExtentKey, target: int, deadline: float, undo: bool = False, begun: Migration | None = None
     ) -> MigrationStep:
-        """Bring the extent to a cell, or give that up where that is still safe: DONE, LOST (another move has won, or
-        there is nothing to move), or WAIT where the deadline (monotonic) came first. last: a move that was begun."""
-        move, looks = last, 0
+        """Migrate an extent to a shard, or give that up where it is still safe.
+
+        Parameters
+        ----------
+        key, target
+            The extent and the shard.
+        deadline
+            Monotonic time by which this call returns.
+        undo
+            Give the migration up.
+        begun
+            A migration that was begun earlier; by default it is found from the map.
+
+        Returns
+        -------
+        MigrationStep
+            DONE, SUPERSEDED (another migration has won, or there is nothing to migrate), or WAIT if the deadline came
+            first.
+
+        Raises
+        ------
+        StaleTokenError
+            If a place has seen a newer token than the guard's.
+        """
+        migration = begun
+        polls_without_step = 0
         while time.monotonic() < deadline:
             step = MigrationStep.WAIT
-            try:
-                if move is None:
-                    fact = self.places.fact(volume, extent)
-                    if fact is None:
+            with contextlib.suppress(*_RETRYABLE_ERRORS):  # a node or the service is away: look again
+                if migration is None:
+                    record = self.map_client.find_record(*key)
+                    if record is None:
                         return MigrationStep.SUPERSEDED
-                    if fact.shard == to:
-                        if self._serves(volume, extent, fact):
-                            return MigrationStep.DONE
-                        raise ConnectError("its node is away or unsure")
-                    move = Migration(fact.shard, to, fact.stamp.generation + 1)
-                step = self._once(move, volume, extent, undo)
-            except _BAD:
-                pass  # a node or the service is away: look again
-            if step in (MigrationStep.DONE, MigrationStep.SUPERSEDED):
+                    if record.shard == target:
+                        self._confirm_owner(key, record)
+                        return MigrationStep.DONE
+                    migration = Migration(record.shard, target, record.stamp.generation + 1)
+                step = self._take_next_step(migration, key, undo)
+            if step in _FINAL_STEPS:
                 return step
             if step is MigrationStep.WAIT:
-                gevent.sleep(max(0.0, min(poll_pause_s(looks), deadline - time.monotonic())))
-            looks = looks + 1 if step is MigrationStep.WAIT else 0
+                pause_s = min(poll_pause_s(polls_without_step), deadline - time.monotonic())
+                gevent.sleep(max(0.0, pause_s))
+                polls_without_step += 1
+            else:
+                polls_without_step = 0
         return MigrationStep.WAIT
 
-    def _serves(self, volume: str, extent: str, fact: ExtentRecord) -> bool:
-        """Does the node serve what the map says lies there? One that is unsure is told."""
-        seen = self.look(fact.shard, volume, extent)
-        if seen is not None and seen.role is ReplicaRole.UNCONFIRMED:
-            return self._step(fact.shard, volume, extent, "confirm", fact.stamp.generation, mine=True)
-        return seen is not None and seen.role is ReplicaRole.OWNER
-
-    def _once(self, move: Migration, volume: str, extent: str, undo: bool) -> MigrationStep:
-        fact = self.places.fact(volume, extent)
-        mapped = move.generation if fact is None else fact.stamp.generation  # deleted: nobody needs the flip
-        source, dest = self.look(move.source, volume, extent), self.look(move.target, volume, extent)
-        if fact is not None and (tell := required_notice(move, source, dest, mapped, fact.shard)) is not None:
-            self._step(tell.shard, volume, extent, tell.command.value, tell.generation, mine=tell.is_owner)
-            return MigrationStep.COPY
-        step = next_step(move, source, dest, mapped, undo)
-        if fact is None and step is MigrationStep.SUPERSEDED:
+    def _confirm_owner(self, key: ExtentKey, record: ExtentRecord) -> None:
+        """Check that the node serves what the map says is there; one that is unconfirmed is told.
+
+        Raises
+        ------
+        ConnectError
+            If it does not serve it.
+        """
+        report = self.replicas.look(record.shard, key)
+        if report is not None and report.role is ReplicaRole.UNCONFIRMED:
+            generation = record.stamp.generation
+            serves = self.replicas.send_command(record.shard, key, ReplicaCommand.CONFIRM, generation, mine=True)
+        else:
+            serves = report is not None and report.role is ReplicaRole.OWNER
+        if not serves:
+            raise _not_serving()
+
+    def _take_next_step(self, migration: Migration, key: ExtentKey, undo: bool) -> MigrationStep:
+        record = self.map_client.find_record(*key)
+        source = self.replicas.look(migration.source, key)
+        target = self.replicas.look(migration.target, key)
+        # A deleted extent needs no update of the map.
+        map_generation = migration.generation if record is None else record.stamp.generation
+        if record is not None:
+            notice = required_notice(migration, source, target, map_generation, record.shard)
+            if notice is not None:
+                self.replicas.send_command(notice.shard, key, notice.command, notice.generation, mine=notice.is_owner)
+                return MigrationStep.COPY
+        step = next_step(migration, source, target, map_generation, undo)
+        if record is None and step is MigrationStep.SUPERSEDED:
             return step
-        self.taken(step)
-        self._take(step, move, volume, extent, source)
+        self.before_step(step)
+        self._take(step, migration, key, source)
         return step
 
-    def _take(
-        self, step: MigrationStep, move: Migration, volume: str, extent: str, source: ReplicaReport | None
-    ) -> None:
-        g = move.generation
-        if step is MigrationStep.BEGIN_FILLING:
-            self._step(move.target, volume, extent, "fill", g)
-        elif step in (MigrationStep.COPY, MigrationStep.CATCH_UP):
-            self._copy(move, volume, extent)
-        elif step is MigrationStep.FENCE:
-            self._step(move.source, volume, extent, "close", g, to=move.target)
-        elif step is MigrationStep.ACTIVATE:
-            assert source is not None
-            self._step(move.target, volume, extent, "open", g, fence=source.fence_position)
+    def _take(self, step: MigrationStep, migration: Migration, key: ExtentKey, source: ReplicaReport | None) -> None:
+        if step in (MigrationStep.COPY, MigrationStep.CATCH_UP):
+            self.replicas.copy_object(migration, key)
         elif step is MigrationStep.UPDATE_MAP:
-            self._flip(volume, extent, move.target, g)
+            self._update_map(key, migration.target, migration.generation)
+        elif step in (MigrationStep.FENCE, MigrationStep.DISCARD_SOURCE, MigrationStep.REACTIVATE):
+            self._command_source(step, migration, key)
+        else:
+            self._command_target(step, migration, key, source)
+
+    def _command_source(self, step: MigrationStep, migration: Migration, key: ExtentKey) -> None:
+        shard = migration.source
+        generation = migration.generation
+        if step is MigrationStep.FENCE:
+            self.replicas.send_command(shard, key, ReplicaCommand.FENCE, generation, to=migration.target)
         elif step is MigrationStep.DISCARD_SOURCE:
-            self._step(move.source, volume, extent, "forget", g)
-        elif step is MigrationStep.CANCEL:
-            self._step(move.target, volume, extent, "cancel", g)
-        elif step is MigrationStep.REACTIVATE and self._step(move.source, volume, extent, "reopen", g):
-            self._flip(volume, extent, move.source, g + 1)
+            self.replicas.send_command(shard, key, ReplicaCommand.DISCARD_DATA, generation)
+        elif self.replicas.send_command(shard, key, ReplicaCommand.REACTIVATE, generation):
+            self._update_map(key, shard, generation + 1)
 
-    def _flip(self, volume: str, extent: str, cell: int, generation: int) -> None:
-        stamp = self.stamp()
-        self.places.until(time.monotonic() + self.left()).flip(volume, extent, cell, generation, **stamp)
+    def _command_target(
+        self, step: MigrationStep, migration: Migration, key: ExtentKey, source: ReplicaReport | None
+    ) -> None:
+        shard = migration.target
+        generation = migration.generation
+        if step is MigrationStep.BEGIN_FILLING:
+            self.replicas.send_command(shard, key, ReplicaCommand.BEGIN_FILLING, generation)
+        elif step is MigrationStep.ACTIVATE and source is not None:
+            fence = source.fence_position
+            self.replicas.send_command(shard, key, ReplicaCommand.ACTIVATE, generation, fence=fence)
+        elif step is MigrationStep.CANCEL:
+            self.replicas.send_command(shard, key, ReplicaCommand.CANCEL, generation)
 
-    def raise_fence(self, cell: int) -> bool:
-        """Show the token to a cell's node. Raises StaleTokenError."""
-        try:
-            return self._call(cell, b"POST", "/-/fence", "", "", effect=True)[0] == 200
-        except _BAD:
-            return False
+    def _update_map(self, key: ExtentKey, shard: int, generation: int) -> None:
+        token = self.guard.fencing_token()
+        map_client = self.map_client.with_deadline(time.monotonic() + self.guard.remaining_s())
+        map_client.record_migration(key.volume, key.extent, shard, generation, **token)
 
-    # ------------------------------------------------------------ nodes
 
-    def _call(
-        self,
-        cell: int,
-        method: bytes,
-        place: str,
-        volume: str,
-        extent: str,
-        body: bytes = b"",
-        effect: bool = False,
-        **more: int,
-    ) -> tuple[int, bytes]:
-        where = self.where(cell)
-        if where is None:
-            raise ConnectError(f"cell {cell} has no node")
-        pool = self.pools.setdefault(where, ConnectionPool(where, PoolOptions(8, self.timeout, 10.0)))
-        stamp = self.stamp() if effect else {}  # after every wait, and just before the step leaves
-        target = f"{place}?{urlencode({'volume': volume, 'key': extent, **more, **stamp})}".encode()
-        status, data = call(pool, method, target, time.monotonic() + min(self.timeout, self.left()), body)
-        if status.code == 403:
-            told = msgspec.json.decode(data, type=_Refused)
-            raise StaleTokenError(told.fenced, told.newest)
-        return status.code, data
-
-    def look(self, cell: int, volume: str, extent: str) -> ReplicaReport | None:
-        """The node's side of the extent; None: it does not answer."""
-        try:
-            code, data = self._call(cell, b"GET", "/-/extent", volume, extent)
-            if code != 200:
-                return None
-            t = msgspec.json.decode(data, type=_Told)
-            return ReplicaReport(ReplicaRole(t.role), t.generation, t.position, t.to, t.fence, t.kept)
-        except (*_BAD, ValueError):
-            return None
-
-    def _step(self, cell: int, volume: str, extent: str, step: str, generation: int, **more: int) -> bool:
-        asked = msgspec.json.encode({"step": step, "generation": generation, **more})
-        return self._call(cell, b"POST", "/-/extent", volume, extent, asked, effect=True)[0] == 200
-
-    def _copy(self, move: Migration, volume: str, extent: str) -> None:
-        code, data = self._call(move.source, b"GET", "/-/extent/data", volume, extent)
-        if code == 200:
-            self._call(
-                move.target, b"PUT", "/-/extent/data", volume, extent, data, effect=True, generation=move.generation
-            )
+def _not_serving() -> ConnectError:
+    return ConnectError("its node is away or unsure")
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -14,9 +14,10 @@
 import gevent
 
 from fawnspool.extents.records import ExtentRecord
-from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError, Wishes
+from fawnspool.gateway.extent_directory import ExtentDirectory
 from fawnspool.gateway.held_lease import HeldLease
 from fawnspool.gateway.lease_runner import LeaseRunner
+from fawnspool.gateway.map_client import MapClient, MapServiceError, OperatorRequests
 from fawnspool.leases.drain import partition_of
 from fawnspool.scheduling import interface
 
@@ -50,17 +51,17 @@
         Calls the map service.
     """
 
-    def __init__(self, directory: Places, map_client: MapClient, view: GatewayView, log: Any) -> None:
+    def __init__(self, directory: ExtentDirectory, map_client: MapClient, view: GatewayView, log: Any) -> None:
         self.directory = directory
         self.map_client = map_client
         self.view = view
         self.log = log
-        self._requests: Wishes | None = None  # None: the map service does not say
+        self._requests: OperatorRequests | None = None  # None: the map service does not say
 
     @property
     def call_timeout_s(self) -> float:
         """Seconds that a call to a node or the map service may take."""
-        return self.map_client.timeout
+        return self.map_client.timeout_s
 
     # ------------------------------------------------------------ operators' requests
 
@@ -84,22 +85,22 @@
                     runner.release(lease.name)
             gevent.sleep(interval_s if self._requests is not None else interval_s / 8)
 
-    def _fetch_requests(self, timeout_s: float) -> Wishes | None:
+    def _fetch_requests(self, timeout_s: float) -> OperatorRequests | None:
         try:
-            return self.map_client.until(time.monotonic() + timeout_s).wishes()
-        except PlacesError:
+            return self.map_client.with_deadline(time.monotonic() + timeout_s).operator_requests()
+        except MapServiceError:
             return None
 
     def _is_to_be_released(self, lease: HeldLease) -> bool:
         if self._requests is None:
             return False
-        last_token = self._requests.wishes.get(RELEASE + lease.name)
+        last_token = self._requests.requests.get(RELEASE + lease.name)
         return last_token is not None and lease.token <= int(last_token)
 
     def operator_requests(self, lease: HeldLease) -> dict[str, str] | None:
         """Return operators' requests by name; None while the map service does not answer."""
         lease.check()
-        return None if self._requests is None else self._requests.wishes
+        return None if self._requests is None else self._requests.requests
 
     def is_paused(self, lease: HeldLease, requests: dict[str, str]) -> bool:
         """Return whether operators paused the role or its kind."""
@@ -119,8 +120,8 @@
         """
         stamp = lease.stamp()
         try:
-            self.map_client.until(time.monotonic() + lease.remaining_s()).fence(note, **stamp)
-        except PlacesError:
+            self.map_client.with_deadline(time.monotonic() + lease.remaining_s()).show_token(note, **stamp)
+        except MapServiceError:
             lease.record_reachability(MAP_SERVICE, False)
             lease.check()
             return False
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -23,7 +23,16 @@
 
 from fawnspool.extents.change_log import CatchUpMethod, ChangeLogState
 from fawnspool.extents.map import partition_of
-from fawnspool.extents.records import LOG_START, NO_SHARD, ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
+from fawnspool.extents.records import (
+    LOG_START,
+    NO_SHARD,
+    ExtentRecord,
+    ExtentState,
+    ExtentWrite,
+    LogPosition,
+    MapDelta,
+    Stamp,
+)
 from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server_connection import Exchange
@@ -103,7 +112,7 @@
         raw = txn.get(_fact_key(partition_of(volume, self.shards), volume, extent), db=self.facts)
         return msgspec.msgpack.decode(raw, type=ExtentRecord) if raw else None
 
-    def fact(self, volume: str, extent: str) -> ExtentRecord | None:
+    def find_record(self, volume: str, extent: str) -> ExtentRecord | None:
         """What holds of an extent; None: there is none."""
         with self.env.begin() as txn:
             found = self._fact(txn, volume, extent)
@@ -155,15 +164,13 @@
 
     def find(self, volume: str, key: str) -> tuple[int, int] | None:
         """(cell, size in bytes) or None."""
-        found = self.fact(volume, key)
+        found = self.find_record(volume, key)
         return None if found is None else (found.shard, found.size)
 
-    def note(
-        self, volume: str, key: str, cell: int, size: int, new: bool = False, generation: int = -1
-    ) -> tuple[ExtentRecord, bool]:
-        """A write left the extent there: (what holds now, was it taken?). With `new` the first place stands.
-        generation: that of the place to which the write was sent, -1: it had none. Where a move has overtaken it, the
-        move took the write along: only its size is noted."""
+    def record_write(self, write: ExtentWrite) -> tuple[ExtentRecord, bool]:
+        """A write left the extent there: (what holds now, was it taken?). Of a new one the first place stands. Where a
+        move has overtaken the write, the move took it along: only its size is noted."""
+        volume, key, cell, size, new, generation = write
         stands: list[ExtentRecord] = []
 
         def choose(had: ExtentRecord | None, stamp: Stamp) -> ExtentRecord | None:
@@ -182,10 +189,10 @@
 
     def put(self, volume: str, key: str, cell: int, size: int, new: bool = False) -> tuple[int, int] | None:
         """None: noted. With `new`, the place that was there before it and stands."""
-        stands, taken = self.note(volume, key, cell, size, new)
+        stands, taken = self.record_write(ExtentWrite(volume, key, cell, size, new))
         return None if taken else (stands.shard, stands.size)
 
-    def drop(self, volume: str, key: str) -> ExtentRecord | None:
+    def delete(self, volume: str, key: str) -> ExtentRecord | None:
         """The extent is deleted. Its tombstone, or None where there was nothing."""
         return self._change(
             volume,
@@ -211,7 +218,7 @@
                 )
             ),
         )
-        return self.fact(volume, key)
+        return self.find_record(volume, key)
 
     # ------------------------------------------------------------ duties
 
@@ -295,7 +302,7 @@
             out.append(MapDelta(shard, epoch, min(after, upto), upto, tuple(f for f in rows if f.stamp.epoch == epoch)))
         return out
 
-    def list(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]:
+    def list_keys(self, volume: str, prefix: str, after: str, limit: int) -> tuple[list[tuple[str, int]], bool]:
         """Keys in order with their sizes, and whether there are more."""
         shard, out = partition_of(volume, self.shards), list[tuple[str, int]]()
         first = _fact_key(shard, volume, max(prefix, after))
@@ -415,18 +422,20 @@
         if path == "/count":
             return 200, c.count(a["cell"])
         if path == "/find":
-            found = c.fact(a["volume"], a["key"])
+            found = c.find_record(a["volume"], a["key"])
             return (200, found) if found is not None else (404, {})
         if path == "/put":
-            stands, taken = c.note(a["volume"], a["key"], a["cell"], a["size"], a["new"], a.get("generation", -1))
+            stands, taken = c.record_write(
+                ExtentWrite(a["volume"], a["key"], a["cell"], a["size"], a["new"], a.get("generation", -1))
+            )
             return 200 if taken else 409, stands
         if path == "/drop":
-            return 200, c.drop(a["volume"], a["key"])
+            return 200, c.delete(a["volume"], a["key"])
         if path == "/flip":
             holds = c.flip(a["volume"], a["key"], a["cell"], a["generation"])
             return (200, holds) if holds is not None else (404, {})
         if path == "/list":
-            keys, more = c.list(a["volume"], a["prefix"], a["after"], a["limit"])
+            keys, more = c.list_keys(a["volume"], a["prefix"], a["after"], a["limit"])
             return 200, {"keys": keys, "more": more}
         return 404, {}
 
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -14,12 +14,13 @@
 from gevent import socket
 
 from fawnspool.extents import checkpointing
-from fawnspool.extents.map import ExtentMap
-from fawnspool.extents.records import LOG_START
-from fawnspool.extents.staleness import StalenessSettings
+from fawnspool.extents.map import ExtentMap, Partition
+from fawnspool.extents.records import LOG_START, ExtentWrite
+from fawnspool.extents.staleness import Staleness, StalenessSettings
 from fawnspool.gateway import map_store
-from fawnspool.gateway.extent_directory import MapClient, Places, PlacesError
-from fawnspool.gateway.map_store import read, write
+from fawnspool.gateway.extent_directory import ExtentDirectory
+from fawnspool.gateway.map_client import MapClient, MapServiceError
+from fawnspool.gateway.map_store import MapCheckpoint, load_map, save_map
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Writer
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
@@ -29,29 +30,23 @@
 logs.set_up("none")
 
 
-class Heads:
-    """A map service and heads' sides of it."""
+class Gateways:
+    """A map service, and the extent directories of gateways that watch it."""
 
-    def __init__(self, tmp: Path, catalogue: Catalogue | None = None) -> None:
-        self.tmp, self.made = tmp, list[Places]()
+    def __init__(self, folder: Path, catalogue: Catalogue | None = None) -> None:
+        self.folder = folder
+        self.directories = list[ExtentDirectory]()
         self.service = CatalogueServer(("127.0.0.1", 0), catalogue or Catalogue(shards=4))
         self.catalogue = self.service.catalogue
 
-    def head(self, name: str = "", gateway_count: int = 1, **terms: float) -> Places:
-        behind = BackgroundWriter()
-        at = self.service.address
-        made = Places(
-            MapClient(at, 0.3),
-            StalenessSettings(gateway_count=gateway_count, **terms),
-            len(self.made),
-            logs.get(),
-            address=at,
-            timeout=0.3,
-            folder=self.tmp / name if name else None,
-            behind=behind,
-        )
+    def directory(self, folder: str = "", settings: StalenessSettings | None = None) -> ExtentDirectory:
+        """Start a gateway's directory; one with a folder saves its map there."""
+        staleness = Staleness(settings or StalenessSettings(), 1, len(self.directories))
+        checkpoint = MapCheckpoint(self.folder / folder, BackgroundWriter(), lambda problem: None) if folder else None
+        client = MapClient(self.service.address, 0.3)
+        made = ExtentDirectory(client, staleness, logs.get(), checkpoint=checkpoint)
         made.start()
-        self.made.append(made)
+        self.directories.append(made)
         return made
 
     def replace(self, catalogue: Catalogue) -> None:
@@ -61,14 +56,14 @@
         self.service.start()
 
     def close(self) -> None:
-        for places in self.made:
-            places.stop()
+        for directory in self.directories:
+            directory.stop()
         self.service.stop()
 
 
 @pytest.fixture
-def heads(tmp_path: Path) -> Iterator[Heads]:
-    made = Heads(tmp_path)
+def gateways(tmp_path: Path) -> Iterator[Gateways]:
+    made = Gateways(tmp_path)
     yield made
     made.close()
 
@@ -77,88 +72,89 @@
     return time.monotonic() + 2
 
 
-def cell(places: Places, key: str) -> int | None:
+def cell(places: ExtentDirectory, key: str) -> int | None:
     found = places.map.find("v", key)
     return None if found is None else found.shard
 
 
-def test_all_heads_hear_of_a_change_and_send_without_asking(heads: Heads) -> None:
-    heads.catalogue.put("v", "old", 1, 10)
-    a, b = heads.head(), heads.head()
+def test_all_heads_hear_of_a_change_and_send_without_asking(gateways: Gateways) -> None:
+    gateways.catalogue.put("v", "old", 1, 10)
+    a, b = gateways.directory(), gateways.directory()
     wait_for(lambda: cell(a, "old") == cell(b, "old") == 1)
-    assert a.note("v", "new", 2, 5, False, soon())
+    assert a.record_write(ExtentWrite("v", "new", 2, 5), soon())
     wait_for(lambda: cell(b, "new") == 2)
-    heads.catalogue.flip("v", "old", 3, 1)
+    gateways.catalogue.flip("v", "old", 3, 1)
     wait_for(lambda: cell(a, "old") == cell(b, "old") == 3)
-    asked = heads.service.calls
+    asked = gateways.service.calls
     assert [b.find("v", k, soon()) for k in ("old", "new") for _ in range(50)] == [(3, 10)] * 50 + [(2, 5)] * 50
-    assert heads.service.calls == asked and b.hits == 100 and b.behind_by() == 0
-    a.drop("v", "new", soon())
+    assert gateways.service.calls == asked and b.cached_answers == 100 and b.stale_for_s() == 0
+    a.delete("v", "new", soon())
     assert a.find("v", "new", soon()) is None
     wait_for(lambda: cell(b, "new") is None)
-    assert b.list("v", "", "", 10) == ([("old", 10)], False)
+    assert b.list_keys("v", "", "", 10) == ([("old", 10)], False)
 
 
-def test_what_the_map_does_not_hold_is_asked_for_and_the_first_of_two_stands(heads: Heads) -> None:
-    a = heads.head()
+def test_what_the_map_does_not_hold_is_asked_for_and_the_first_of_two_stands(gateways: Gateways) -> None:
+    a = gateways.directory()
     wait_for(a.reachable)
-    assert a.find("v", "none", soon()) is None and a.asked == 1
-    heads.catalogue.put("v", "k", 4, 1)
+    assert a.find("v", "none", soon()) is None and a.lookups == 1
+    gateways.catalogue.put("v", "k", 4, 1)
     assert a.find("v", "k", soon()) == (4, 1)
-    assert not a.note("v", "k", 2, 1, True, soon()) and a.find("v", "k", soon()) == (4, 1)
+    assert not a.record_write(ExtentWrite("v", "k", 2, 1, is_new=True), soon()) and a.find("v", "k", soon()) == (4, 1)
 
 
-def test_a_service_that_is_away_leaves_the_last_good_map_and_says_so(heads: Heads) -> None:
-    a = heads.head(heartbeat_interval_s=0.1)
-    heads.catalogue.put("v", "k", 1, 1)
+def test_a_service_that_is_away_leaves_the_last_good_map_and_says_so(gateways: Gateways) -> None:
+    a = gateways.directory(settings=StalenessSettings(heartbeat_interval_s=0.1))
+    gateways.catalogue.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
-    heads.service.gone()
-    wait_for(lambda: not a.reachable() and a.behind_by() > 0.2)
+    gateways.service.gone()
+    wait_for(lambda: not a.reachable() and a.stale_for_s() > 0.2)
     assert a.find("v", "k", soon()) == (1, 1) and a.status()["reachable"] is False
-    with pytest.raises(PlacesError):
+    with pytest.raises(MapServiceError):
         a.find("v", "other", soon())
-    heads.catalogue.flip("v", "k", 2, 1)  # moved while nobody was told
-    heads.service.start()
+    gateways.catalogue.flip("v", "k", 2, 1)  # moved while nobody was told
+    gateways.service.start()
     wait_for(lambda: cell(a, "k") == 2)
-    wait_for(lambda: a.behind_by() == 0)
+    wait_for(lambda: a.stale_for_s() == 0)
 
 
-def test_heads_that_lost_the_service_come_back_spread(heads: Heads) -> None:
+def test_heads_that_lost_the_service_come_back_spread(gateways: Gateways) -> None:
     """40 heads, 20 calls a second borne: their watches come back over two seconds and more, not at once."""
-    made = [heads.head(gateway_count=40, service_calls_per_s=20.0) for _ in range(40)]
+    settings = StalenessSettings(gateway_count=40, service_calls_per_s=20.0)
+    made = [gateways.directory(settings=settings) for _ in range(40)]
     wait_for(lambda: all(p.reachable() for p in made))
-    pauses = sorted(p.stale.watch_lost(time.monotonic()) for p in made)
+    pauses = sorted(p.staleness.watch_lost(time.monotonic()) for p in made)
     assert pauses[0] >= 2.0 and pauses[-1] - pauses[0] > 2.0
     assert max(sum(x <= p < x + 1 for p in pauses) for x in pauses) <= 25
 
 
 def test_a_restored_service_is_followed_and_its_heads_keep_what_it_never_knew(tmp_path: Path) -> None:
-    heads = Heads(tmp_path, Catalogue(tmp_path / "map", 4))
+    gateways = Gateways(tmp_path, Catalogue(tmp_path / "map", 4))
     try:
-        a = heads.head()
-        heads.catalogue.put("v", "k", 1, 1)
-        heads.catalogue.backup(tmp_path / "hour-ago")
-        heads.catalogue.flip("v", "k", 2, 1)
-        heads.catalogue.put("v", "young", 3, 1)
+        a = gateways.directory()
+        gateways.catalogue.put("v", "k", 1, 1)
+        gateways.catalogue.backup(tmp_path / "hour-ago")
+        gateways.catalogue.flip("v", "k", 2, 1)
+        gateways.catalogue.put("v", "young", 3, 1)
         wait_for(lambda: (cell(a, "k"), cell(a, "young")) == (2, 3))
-        heads.replace(Catalogue(tmp_path / "hour-ago"))
-        heads.catalogue.put("v", "after", 5, 1)
+        gateways.replace(Catalogue(tmp_path / "hour-ago"))
+        gateways.catalogue.put("v", "after", 5, 1)
         wait_for(lambda: cell(a, "after") == 5)
         assert (cell(a, "k"), cell(a, "young")) == (2, 3)  # the move holds: data decide
     finally:
-        heads.close()
+        gateways.close()
 
 
-def test_another_number_of_shards_is_another_map(heads: Heads) -> None:
-    a = heads.head("disk")
-    heads.catalogue.put("v", "k", 1, 1)
-    wait_for(lambda: cell(a, "k") == 1 and read(heads.tmp / "disk").map is not None)
+def test_another_number_of_shards_is_another_map(gateways: Gateways) -> None:
+    a = gateways.directory("disk")
+    gateways.catalogue.put("v", "k", 1, 1)
+    wait_for(lambda: cell(a, "k") == 1 and load_map(gateways.folder / "disk").map is not None)
     other = Catalogue(shards=7)
     other.put("v", "z", 2, 1)
-    heads.replace(other)
+    gateways.replace(other)
     wait_for(lambda: cell(a, "z") == 2)
     assert cell(a, "k") is None and len(a.map.partitions) == 7
-    wait_for(lambda: len(read(heads.tmp / "disk").map.partitions) == 7)  # type: ignore[union-attr]
+    wait_for(lambda: len(load_map(gateways.folder / "disk").map.partitions) == 7)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -173,15 +169,15 @@
         b'{"shards": 4}\n{"shard": 0, "epoch": 0, "after": 2, "upto": 1, "facts": []}',
     ],
 )
-def test_a_watch_that_says_what_can_t_be_ends_and_changes_nothing(heads: Heads, line: bytes) -> None:
-    a = heads.head()
-    heads.catalogue.put("v", "k", 1, 1)
+def test_a_watch_that_says_what_can_t_be_ends_and_changes_nothing(gateways: Gateways, line: bytes) -> None:
+    a = gateways.directory()
+    gateways.catalogue.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
-    heads.service.gone()
+    gateways.service.gone()
     held, told = a.map, list[bytes]()
     liar = socket.socket()
     liar.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    liar.bind(heads.service.address)
+    liar.bind(gateways.service.address)
     liar.listen()
     liar.settimeout(5)
     try:
@@ -197,35 +193,35 @@
 
 
 @pytest.mark.parametrize("query", ["told=1.1", "told=a.b,1.1,1.1,1.1", "told=-1.0,0.0,0.0,0.0", "", "other=1"])
-def test_a_watch_that_does_not_read_harms_nobody(heads: Heads, query: str) -> None:
-    heads.catalogue.put("v", "k", 1, 1)
-    sock = socket.create_connection(heads.service.address, timeout=5)
+def test_a_watch_that_does_not_read_harms_nobody(gateways: Gateways, query: str) -> None:
+    gateways.catalogue.put("v", "k", 1, 1)
+    sock = socket.create_connection(gateways.service.address, timeout=5)
     sock.sendall(f"GET /watch?{query} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
     assert sock.recv(20).startswith((b"HTTP/1.1 400", b"HTTP/1.1 200"))
     sock.close()
-    a = heads.head()
+    a = gateways.directory()
     wait_for(lambda: cell(a, "k") == 1)
 
 
 # ---------------------------------------------------------------- on disk
 
 
-def test_a_restarted_head_serves_from_its_file_and_says_how_old_it_is(heads: Heads) -> None:
-    a = heads.head("disk")
+def test_a_restarted_head_serves_from_its_file_and_says_how_old_it_is(gateways: Gateways) -> None:
+    a = gateways.directory("disk")
     for k in range(30):
-        heads.catalogue.put("v", f"x{k}", k % 4, 1)
+        gateways.catalogue.put("v", f"x{k}", k % 4, 1)
     wait_for(lambda: len(a.map) == 30)
     a.stop()
-    assert a.file is not None and a.file.behind.close()
-    heads.service.gone()
-    b = heads.head("disk")  # the service is away as it starts
+    assert a.checkpoint is not None and a.checkpoint.background.close()
+    gateways.service.gone()
+    b = gateways.directory("disk")  # the service is away as it starts
     assert [b.find("v", f"x{k}", soon()) for k in range(30)] == [(k % 4, 1) for k in range(30)]
-    assert 0 <= b.age() < 30 and b.status()["age_s"] is not None
-    heads.catalogue.flip("v", "x1", 9, 1)
-    heads.service.start()
-    before = heads.service.calls
+    assert 0 <= b.age_s() < 30 and b.status()["age_s"] is not None
+    gateways.catalogue.flip("v", "x1", 9, 1)
+    gateways.service.start()
+    before = gateways.service.calls
     wait_for(lambda: cell(b, "x1") == 9)
-    assert heads.service.calls > before and b.map.partitions[0].gap is None
+    assert gateways.service.calls > before and b.map.partitions[0].gap is None
 
 
 def saved(folder: Path, count: int = 2500, more: int = 5) -> ExtentMap:
@@ -237,7 +233,7 @@
         for delta in c.since(k, LOG_START):
             m = m.apply(delta)
     folder.mkdir(parents=True)
-    write(folder / "map.rec", m, time.time() - 60)
+    save_map(folder / "map.rec", m, time.time() - 60)
     writer = Writer(folder / "map.log.rec")
     for k in range(more):
         c.put("v0", f"y{k}", 1, 1)
@@ -251,6 +247,10 @@
     return m
 
 
+def position(partition: Partition) -> tuple[Any, ...]:
+    return partition.complete_to, partition.pending_ranges, partition.snapshot_floors
+
+
 def same(a: ExtentMap | None, b: ExtentMap) -> bool:
     def table(m: ExtentMap) -> dict[tuple[str, str], Any]:
         return {(f.volume, f.extent): f for f in m.records()}
@@ -258,16 +258,15 @@
     return (
         a is not None
         and table(a) == table(b)
-        and [(s.complete_to, s.pending_ranges, s.snapshot_floors) for s in a.partitions]
-        == [(s.complete_to, s.pending_ranges, s.snapshot_floors) for s in b.partitions]
+        and [position(s) for s in a.partitions] == [position(s) for s in b.partitions]
     )
 
 
 def test_a_file_gives_back_what_was_saved(tmp_path: Path) -> None:
     m = saved(tmp_path / "d")
-    found = read(tmp_path / "d")
-    assert same(found.map, m) and found.why == "" and 6 < time.time() - found.whole_at < 20
-    assert read(tmp_path / "none") == map_store.Saved()
+    found = load_map(tmp_path / "d")
+    assert same(found.map, m) and found.problem == "" and 6 < time.time() - found.complete_at < 20
+    assert load_map(tmp_path / "none") == map_store.SavedMap()
 
 
 def test_a_torn_log_is_read_up_to_its_tear_at_every_byte(tmp_path: Path) -> None:
@@ -276,7 +275,7 @@
     data, sizes = log.read_bytes(), set[int]()
     for cut in range(8, len(data)):
         log.write_bytes(data[:cut])
-        found = read(tmp_path / "d")
+        found = load_map(tmp_path / "d")
         assert found.map is not None and 20 <= len(found.map) <= len(m)
         sizes.add(len(found.map))
     assert sizes == {20, 21, 22, 23}
@@ -300,54 +299,54 @@
                 "empty": b"",
             }[damage]
         )
-    found = read(tmp_path / "d")
-    assert found.map is None and "map.rec" in found.why
+    found = load_map(tmp_path / "d")
+    assert found.map is None and "map.rec" in found.problem
 
 
 def test_a_disk_that_takes_nothing_costs_the_file_and_is_tried_again(
-    heads: Heads, monkeypatch: pytest.MonkeyPatch
+    gateways: Gateways, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    a = heads.head("disk")
+    a = gateways.directory("disk")
     problems: list[str] = []
-    assert a.file is not None
-    a.file.log = problems.append
+    assert a.checkpoint is not None
+    a.checkpoint.report_problem = problems.append
     monkeypatch.setattr(checkpointing, "RETRY_DELAY_S", 0.05)
-    real = map_store.write
+    real = map_store.save_map
 
     def full(path: Path, m: Any, at: float) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(map_store, "write", full)
-    a.file.keep.discard_checkpoint()
-    heads.catalogue.put("v", "a", 1, 1)
-    wait_for(lambda: cell(a, "a") == 1 and a.file is not None and a.file.problem)
-    heads.catalogue.put("v", "b", 2, 1)
+    monkeypatch.setattr(map_store, "save_map", full)
+    a.checkpoint.policy.discard_checkpoint()
+    gateways.catalogue.put("v", "a", 1, 1)
+    wait_for(lambda: cell(a, "a") == 1 and a.checkpoint is not None and a.checkpoint.problem)
+    gateways.catalogue.put("v", "b", 2, 1)
     wait_for(lambda: problems == ["No space left on device"])
     assert a.find("v", "b", soon()) == (2, 1)
-    monkeypatch.setattr(map_store, "write", real)
+    monkeypatch.setattr(map_store, "save_map", real)
     time.sleep(0.1)
-    heads.catalogue.put("v", "c", 3, 1)
-    wait_for(lambda: same(read(heads.tmp / "disk").map, a.map))
+    gateways.catalogue.put("v", "c", 3, 1)
+    wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
 
 
-def test_the_log_does_not_outgrow_the_map(heads: Heads, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_log_does_not_outgrow_the_map(gateways: Gateways, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(checkpointing, "MIN_LOG_CAPACITY", 50)
-    a = heads.head("disk")
+    a = gateways.directory("disk")
     wait_for(a.reachable)
     for n in range(400):
-        heads.catalogue.put("v", "x", n, n)
+        gateways.catalogue.put("v", "x", n, n)
         gevent.sleep(0.001)
     wait_for(lambda: cell(a, "x") == 399)
-    wait_for(lambda: same(read(heads.tmp / "disk").map, a.map))
-    assert (heads.tmp / "disk" / "map.log.rec").stat().st_size < 60 * 200
+    wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
+    assert (gateways.folder / "disk" / "map.log.rec").stat().st_size < 60 * 200
 
 
-def test_what_a_call_told_is_saved_too(heads: Heads) -> None:
-    a = heads.head("disk")
+def test_what_a_call_told_is_saved_too(gateways: Gateways) -> None:
+    a = gateways.directory("disk")
     wait_for(a.reachable)
-    heads.catalogue.watchers.clear()  # the watch says nothing more
-    assert a.note("v", "k", 2, 5, False, soon()) and a.note("v", "l", 3, 5, False, soon())
-    wait_for(lambda: same(read(heads.tmp / "disk").map, a.map))
+    gateways.catalogue.watchers.clear()  # the watch says nothing more
+    assert a.record_write(ExtentWrite("v", "k", 2, 5), soon()) and a.record_write(ExtentWrite("v", "l", 3, 5), soon())
+    wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
     assert len(a.map) == 2
 
 
@@ -375,33 +374,27 @@
         return made, int(made.stdout.readline().rpartition(":")[2])
 
     process, port = start(0)
-    places = Places(
-        MapClient(("127.0.0.1", port), 2.0),
-        StalenessSettings(),
-        1,
-        logs.get(),
-        address=("127.0.0.1", port),
-        timeout=2.0,
-    )
+    map_client = MapClient(("127.0.0.1", port), 2.0)
+    places = ExtentDirectory(map_client, Staleness(StalenessSettings(), 1, 1), logs.get())
     try:
         places.start()
         wait_for(places.reachable)
         for k in range(200):
-            assert places.note("v", f"x{k}", k % 7, k, False, soon())
+            assert places.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
         gevent.spawn_later(0.05, process.kill)
         done = 200
-        with pytest.raises(PlacesError):
+        with pytest.raises(MapServiceError):
             for k in range(200, 100_000):
-                places.note("v", f"x{k}", k % 7, k, False, soon())
+                places.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
                 done += 1
         process.wait()
         process, _ = start(port)
         again = MapClient(("127.0.0.1", port), 2.0)
         for k in range(done):
-            fact = again.fact("v", f"x{k}")
+            fact = again.find_record("v", f"x{k}")
             assert fact is not None and fact.shard == k % 7
         wait_for(places.reachable)
-        assert again.flip("v", "x0", 9, 1) is not None
+        assert again.record_migration("v", "x0", 9, 1) is not None
         wait_for(lambda: cell(places, "x0") == 9)
     finally:
         places.stop()
@@ -430,11 +423,11 @@
         rig.catalogue.catalogue.watchers.clear()
         rig.catalogue.catalogue.flip("v", "k", there, 1)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
-        assert (got.status, got.data) == (200, b"bytes") and rig.head.places.wrong == 1
+        assert (got.status, got.data) == (200, b"bytes") and rig.head.places.misdirected_sends == 1
         got = c.ask("GET", "/v1/volumes/v/objects/k")  # once it was told, no send goes wrong
-        assert got.data == b"bytes" and rig.head.places.wrong == 1
+        assert got.data == b"bytes" and rig.head.places.misdirected_sends == 1
         rig.catalogue.gone()
-        wait_for(lambda: rig.head.places.behind_by() > 0, 10)
+        wait_for(lambda: rig.head.places.stale_for_s() > 0, 10)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
         assert got.data == b"bytes" and int(got.getheader("Fawn-Map-Age-Ms")) > 1000
         status = rig.head.status()["map"]
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -15,9 +15,10 @@
 from fawnspool.cli.main import main
 from fawnspool.config.render import render
 from fawnspool.extents.migration import Migration, MigrationStep
+from fawnspool.extents.records import ExtentKey
 from fawnspool.extents.replicas import ReplicaRole
-from fawnspool.gateway.extent_directory import MapClient
-from fawnspool.gateway.migrator import Mover
+from fawnspool.gateway.map_client import MapClient
+from fawnspool.gateway.migrator import Migrator
 from fawnspool.net.node_headers import AttemptHeader
 from fawnspool.rules.story import read as read_story
 from fawnspool.rules.wrong import wrong_sends
@@ -26,6 +27,7 @@
 
 logs.set_up("none")
 PLACE = "/v1/volumes/v/objects/"
+KEY = ExtentKey("v", "k")
 
 
 class Killed(BaseException):
@@ -39,14 +41,15 @@
     made.stop()
 
 
-def mover(rig: Rig, until: MigrationStep | None = None) -> Mover:
+def mover(rig: Rig, until: MigrationStep | None = None) -> Migrator:
     """One that is killed just before a step."""
 
-    def taken(step: MigrationStep) -> None:
+    def die(step: MigrationStep) -> None:
         if step is until:
             raise Killed
 
-    return Mover(lambda cell: rig.nodes[cell].address, MapClient(rig.catalogue.address, 1.0), 1.0, taken)
+    map_client = MapClient(rig.catalogue.address, 1.0)
+    return Migrator(lambda shard: rig.nodes[shard].address, map_client, 1.0, before_step=die)
 
 
 def soon(seconds: float = 5.0) -> float:
@@ -79,23 +82,23 @@
     at = put(rig, body=b"x" * 5000)
     tag = rig.nodes[at].store.find("v", "k").etag  # type: ignore[union-attr]
     for to in ((at + 1) % 3, (at + 2) % 3, at):
-        assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
+        assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
         assert owners(rig) == [to] and read(rig) == b"x" * 5000
         assert rig.nodes[to].store.find("v", "k").etag == tag  # type: ignore[union-attr]
-    assert mover(rig).move("v", "k", at, soon()) is MigrationStep.DONE  # it lies there
-    assert mover(rig).move("v", "none", 1, soon()) is MigrationStep.SUPERSEDED
+    assert mover(rig).migrate(KEY, at, soon()) is MigrationStep.DONE  # it lies there
+    assert mover(rig).migrate(ExtentKey("v", "none"), 1, soon()) is MigrationStep.SUPERSEDED
     assert [n.store.find("v", "k") is not None for n in rig.nodes] == [k == at for k in range(3)]
 
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
-    assert read(rig) == b"first" and rig.head.places.wrong == 1
-    assert read(rig) == b"first" and rig.head.places.wrong == 1  # once told, it knows
+    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1
+    assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
     assert got.status == 200 and read(rig) == b"second" and owners(rig) == [(at + 1) % 3]
-    assert rig.catalogue.catalogue.fact("v", "k").stamp.generation == 1  # type: ignore[union-attr]
+    assert rig.catalogue.catalogue.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -115,21 +118,20 @@
     to = (at + 1) % 3
     seen: list[MigrationStep] = []
     dies = mover(rig, until)
-    stop = dies.taken
+    die = dies.before_step
 
     def write_late(step: MigrationStep) -> None:
-        if (
-            step is MigrationStep.FENCE and MigrationStep.FENCE not in seen
-        ):  # a write between the copy and the fence: to catch up
+        # A write between the copy and the fence, so that there is something to catch up.
+        if step is MigrationStep.FENCE and MigrationStep.FENCE not in seen:
             assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
         seen.append(step)
-        stop(step)
+        die(step)
 
-    dies.taken = write_late
+    dies.before_step = write_late
     with pytest.raises(Killed):
-        dies.move("v", "k", to, soon())
+        dies.migrate(KEY, to, soon())
     assert len(owners(rig)) <= 1
-    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == (b"late" if MigrationStep.FENCE in seen else b"first")
 
 
@@ -155,19 +157,19 @@
             if step is until:
                 raise Killed
 
-        dies.taken = late
+        dies.before_step = late
     with pytest.raises(Killed):
-        dies.move("v", "k", to, soon())
-    assert mover(rig).move("v", "k", to, soon(), undo=True, last=Migration(at, to, 1)) is MigrationStep.SUPERSEDED
+        dies.migrate(KEY, to, soon())
+    assert mover(rig).migrate(KEY, to, soon(), undo=True, begun=Migration(at, to, 1)) is MigrationStep.SUPERSEDED
     assert owners(rig) == [at] and read(rig) == (b"late" if until is MigrationStep.CATCH_UP else b"first")
     assert rig.client().ask("PUT", PLACE + "k", b"after").status == 200 and read(rig) == b"after"
-    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE and read(rig) == b"after"
+    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE and read(rig) == b"after"
 
 
 def test_two_movers_of_one_extent_cannot_both_win(rig: Rig) -> None:
     at = put(rig)
     a, b = (at + 1) % 3, (at + 2) % 3
-    jobs = [gevent.spawn(mover(rig).move, "v", "k", to, soon(3)) for to in (a, b)]
+    jobs = [gevent.spawn(mover(rig).migrate, KEY, to, soon(3)) for to in (a, b)]
     gevent.joinall(jobs, timeout=10)
     ends = [job.value for job in jobs]
     assert ends.count(MigrationStep.DONE) == 1 and MigrationStep.SUPERSEDED in ends
@@ -201,7 +203,7 @@
 
     jobs = [gevent.spawn(write), gevent.spawn(look), gevent.spawn(look)]
     for n in range(1, 31):
-        assert mover(rig).move("v", "k", (at + n) % 3, soon()) is MigrationStep.DONE
+        assert mover(rig).migrate(KEY, (at + n) % 3, soon()) is MigrationStep.DONE
         gevent.sleep(0.02)
     done = True
     gevent.joinall(jobs, timeout=10, raise_error=True)
@@ -214,10 +216,10 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.FENCE).move("v", "k", to, soon())
+        mover(rig, MigrationStep.FENCE).migrate(KEY, to, soon())
     assert rig.client().ask("DELETE", PLACE + "k").status == 204
     assert rig.client().ask("GET", PLACE + "k").status == 404
-    mover(rig).move("v", "k", to, soon(1), last=Migration(at, to, 1))
+    mover(rig).migrate(KEY, to, soon(1), begun=Migration(at, to, 1))
     assert rig.client().ask("GET", PLACE + "k").status == 404 and owners(rig) == []
     assert rig.client().ask("PUT", PLACE + "k", b"again").status == 201 and read(rig) == b"again"
 
@@ -229,7 +231,7 @@
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
     assert got.status == 200
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert rig.client().ask("PUT", PLACE + "k", b"third").status == 200
     got = rig.client().ask("PUT", PLACE + "k", b"second", **key)  # its client never saw the first answer
     assert got.status == 200 and got.getheader("ETag") == tag and read(rig) == b"third"
@@ -239,7 +241,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.ACTIVATE).move("v", "k", to, soon())  # fenced, and its data are still there
+        mover(rig, MigrationStep.ACTIVATE).migrate(KEY, to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
@@ -248,7 +250,7 @@
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     got: Any = rig.client().ask("GET", PLACE + "k", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"  # it does not know whether it serves
-    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"first"
 
 
@@ -268,7 +270,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.UPDATE_MAP).move("v", "k", to, soon())  # open, and the map does not know yet
+        mover(rig, MigrationStep.UPDATE_MAP).migrate(KEY, to, soon())  # open, and the map does not know yet
     if noted:
         assert rig.client().ask("PUT", PLACE + "k", b"at the new one").status == 200
     else:
@@ -277,14 +279,14 @@
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
     assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
-    assert mover(rig).move("v", "k", to, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"at the new one"
 
 
 def test_a_node_that_forgot_takes_no_write_of_what_may_lie_elsewhere(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
@@ -294,7 +296,7 @@
 def test_an_older_copy_that_comes_late_changes_nothing(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.FENCE).move("v", "k", (at + 1) % 3, soon())
+        mover(rig, MigrationStep.FENCE).migrate(KEY, (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), rig.nodes[(at + 1) % 3]
     old: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
@@ -312,14 +314,14 @@
     drained = max(range(3), key=list(cells.values()).count)
     mine = [key for key in keys if cells[key] == drained]
     m = mover(rig)
-    jobs = [gevent.spawn(m.move, "v", key, (drained + 1) % 3, soon(20)) for key in mine]
+    jobs = [gevent.spawn(m.migrate, ExtentKey("v", key), (drained + 1) % 3, soon(20)) for key in mine]
     gevent.joinall(jobs, timeout=30)
     assert mine and all(job.value is MigrationStep.DONE for job in jobs)
     assert not [key for key in mine if rig.nodes[drained].store.find("v", key)]
     assert all(read(rig, key) == key.encode() for key in keys)
     wait_for(lambda: all(rig.head.places.map.find("v", key).shard != drained for key in mine))  # type: ignore[union-attr]
-    wrong = rig.head.places.wrong
-    assert all(read(rig, key) == key.encode() for key in keys) and rig.head.places.wrong == wrong
+    wrong = rig.head.places.misdirected_sends
+    assert all(read(rig, key) == key.encode() for key in keys) and rig.head.places.misdirected_sends == wrong
 
 
 def test_a_body_that_came_once_is_refused_clearly_where_its_extent_has_moved(tmp_path: Path) -> None:
@@ -327,7 +329,7 @@
     try:
         at = put(rig)
         rig.catalogue.catalogue.watchers.clear()
-        assert mover(rig).move("v", "k", 1 - at, soon()) is MigrationStep.DONE
+        assert mover(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         got: Any = rig.client().ask("PUT", PLACE + "k", b"y" * 50_000)
         assert got.status == 503 and json.loads(got.data)["error"] == "moving" and got.getheader("Retry-After")
         assert rig.client().ask("PUT", PLACE + "k", b"y" * 50_000).status == 200
@@ -366,7 +368,7 @@
     writer = Client(rig.address)
     writer.sock.sendall(f"PUT {PLACE}k HTTP/1.1\r\nHost: t\r\nContent-Length: 6\r\n\r\nsec".encode())
     gevent.sleep(0.05)
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert (
         rig.nodes[at].store.find("v", "k") is None and "answering" in rig.nodes[at].server.states()
     )  # still being read
@@ -379,7 +381,7 @@
 def test_a_request_that_keeps_an_order_is_not_sent_on_behind_later_ones(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).move("v", "k", (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"
     assert rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"}).status == 200
@@ -391,9 +393,9 @@
     try:
         at = put(rig)
         assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
-        assert mover(rig).move("v", "k", 1 - at, soon()) is MigrationStep.DONE
+        assert mover(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
-            assert read(rig) == b"first" and rig.head.places.wrong == 1
+            assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1
     finally:
         rig.stop()
 
@@ -424,7 +426,7 @@
 def test_bytes_that_were_spoilt_on_the_way_are_not_taken(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.COPY).move("v", "k", (at + 1) % 3, soon())
+        mover(rig, MigrationStep.COPY).migrate(KEY, (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), Client(rig.nodes[(at + 1) % 3].address)
     got: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     bad = bytearray(got.data)
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -10,9 +10,10 @@
 import gevent
 import pytest
 
+from fawnspool.extents.records import ExtentWrite
 from fawnspool.gateway.endpoint_client import ListClient
-from fawnspool.gateway.extent_directory import MapClient, PlacesError
 from fawnspool.gateway.greenlet_pool import Workers
+from fawnspool.gateway.map_client import MapClient, MapServiceError
 from fawnspool.gateway.peers import Peers
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import Writer
@@ -136,19 +137,19 @@
     path = tmp_path / "places.lmdb"
     server = CatalogueServer(("127.0.0.1", 0), Catalogue(path))
     client = MapClient(server.address, 0.5)
-    assert client.fact("v", "a") is None
-    stands, taken = client.note("v", "a", 3, 100)
-    assert taken and (stands.shard, stands.size) == (3, 100) and client.note("v", "b/1", 1, 5)[1]
-    stands, taken = client.note("v", "a", 4, 100, new=True)
+    assert client.find_record("v", "a") is None
+    stands, taken = client.record_write(ExtentWrite("v", "a", 3, 100))
+    assert taken and (stands.shard, stands.size) == (3, 100) and client.record_write(ExtentWrite("v", "b/1", 1, 5))[1]
+    stands, taken = client.record_write(ExtentWrite("v", "a", 4, 100, is_new=True))
     assert not taken and (stands.shard, stands.size) == (3, 100)  # another came first, and stands
-    assert client.note("v", "a", 4, 200)[1]
-    assert client.drop("v", "b/1") is not None and client.drop("v", "b/1") is None
-    assert client.list("v", "", "", 10) == ([("a", 200)], False)
-    with pytest.raises(PlacesError, match="can't be reached"):
-        client.until(time.monotonic() - 1).fact("v", "a")
+    assert client.record_write(ExtentWrite("v", "a", 4, 200))[1]
+    assert client.delete("v", "b/1") is not None and client.delete("v", "b/1") is None
+    assert client.list_keys("v", "", "", 10) == ([("a", 200)], False)
+    with pytest.raises(MapServiceError, match="can't be reached"):
+        client.with_deadline(time.monotonic() - 1).find_record("v", "a")
     server.stop()
-    with pytest.raises(PlacesError, match="can't be reached"):
-        client.fact("v", "a")
+    with pytest.raises(MapServiceError, match="can't be reached"):
+        client.find_record("v", "a")
     server.catalogue.close()
     again = Catalogue(path)
     assert again.find("v", "a") == (4, 200) and again.find("v", "b/1") is None
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -11,7 +11,7 @@
 
 from fawnspool.extents.change_log import MIN_LOG_CAPACITY, CatchUpMethod, ChangeLogState
 from fawnspool.extents.map import ExtentMap
-from fawnspool.extents.records import LOG_START, ExtentState, LogPosition
+from fawnspool.extents.records import LOG_START, ExtentState, ExtentWrite, LogPosition
 from fawnspool.standins.catalogue import Catalogue
 
 
@@ -22,7 +22,7 @@
 def held(c: Catalogue) -> dict[str, int]:
     return {
         f.extent: f.shard for k in range(c.shards) for d in c.since(k, LOG_START) if d.is_snapshot for f in d.records
-    } or {key: c.find("v", key)[0] for key, _ in c.list("v", "", "", 1000)[0]}  # type: ignore[index]
+    } or {key: c.find("v", key)[0] for key, _ in c.list_keys("v", "", "", 1000)[0]}  # type: ignore[index]
 
 
 def catch_up(m: ExtentMap, c: Catalogue) -> tuple[ExtentMap, int]:
@@ -41,7 +41,7 @@
     m, count = catch_up(ExtentMap.empty(1), c)
     assert count == 50 and content(m) == held(c)
     c.put("v", "x7", 9, 1)
-    c.drop("v", "x8")
+    c.delete("v", "x8")
     m, count = catch_up(m, c)
     assert count == 2 and content(m)["x7"] == 9 and "x8" not in content(m)
     assert catch_up(m, c)[1] == 0
@@ -56,7 +56,7 @@
     c = Catalogue(shards=1)
     c.put("v", "kept", 1, 1)
     behind, _ = catch_up(ExtentMap.empty(1), c)
-    c.drop("v", "kept")
+    c.delete("v", "kept")
     for n in range(MIN_LOG_CAPACITY + 50):
         c.put("v", "x", n, n)
     assert c.past[0].change_count <= MIN_LOG_CAPACITY and c.past[0].truncated_at > (0, 0)
@@ -70,12 +70,12 @@
     c = Catalogue(shards=1)
     c.put("v", "a", 1, 1)
     c.flip("v", "a", 2, 5)
-    c.drop("v", "a")
+    c.delete("v", "a")
     old, _ = catch_up(ExtentMap.empty(1), c)  # holds the tombstone, at generation 5
     for n in range(MIN_LOG_CAPACITY + 50):
         c.put("v", "x", n, n)
     c.put("v", "a", 3, 1)
-    fact = c.fact("v", "a")
+    fact = c.find_record("v", "a")
     assert fact is not None and fact.stamp.generation == 6
     for delta in c.since(0, LOG_START):
         old = old.apply(delta)
@@ -100,11 +100,15 @@
     c = Catalogue(shards=1)
     c.put("v", "a", 1, 7)
     c.flip("v", "a", 2, 1)
-    fact, taken = c.note("v", "a", 1, 9, generation=0)  # acknowledged by the old node before its fence
+    fact, taken = c.record_write(
+        ExtentWrite("v", "a", 1, 9, generation=0)
+    )  # acknowledged by the old node before its fence
     assert taken and (fact.shard, fact.size, fact.stamp.generation) == (2, 9, 1)
-    fact, _ = c.note("v", "a", 2, 11, generation=1)
+    fact, _ = c.record_write(ExtentWrite("v", "a", 2, 11, generation=1))
     assert (fact.shard, fact.size) == (2, 11)
-    fact, _ = c.note("v", "a", 0, 12, generation=2)  # sent on by the old node, before its flip is told
+    fact, _ = c.record_write(
+        ExtentWrite("v", "a", 0, 12, generation=2)
+    )  # sent on by the old node, before its flip is told
     assert (fact.shard, fact.stamp.generation) == (0, 2) and c.flip("v", "a", 0, 2) == fact
     c.close()
 
@@ -114,17 +118,17 @@
     c = Catalogue(tmp_path / "map", 1, lambda: clock[0])
     for k in range(4):
         c.put("v", f"x{k}", 0, 1)
-    c.drop("v", "x3")
+    c.delete("v", "x3")
     early, _ = catch_up(ExtentMap.empty(1), c)
     c.backup(tmp_path / "old")
     c.put("v", "later", 5, 1)
     c.flip("v", "x0", 7, 1)
-    c.drop("v", "x1")
+    c.delete("v", "x1")
     late, _ = catch_up(early, c)
     c.close()
     clock[0] = 2000
     r = Catalogue(tmp_path / "old", 1, lambda: clock[0])
-    r.drop("v", "x2")
+    r.delete("v", "x2")
     r.put("v", "x1", 3, 1)
     late, _ = catch_up(late, r)
     early, few = catch_up(early, r)
@@ -191,9 +195,9 @@
         if what < 0.4:
             c.put(random.choice("vw"), key, random.randrange(9), random.randrange(3))
         elif what < 0.55:
-            c.drop("v", key)
+            c.delete("v", key)
         elif what < 0.7:
-            now = c.fact("v", key)
+            now = c.find_record("v", key)
             c.flip("v", key, random.randrange(9), (now.stamp.generation if now else 0) + random.randrange(3))
         elif what < 0.8:
             c.past = [p.with_new_epoch(0) for p in c.past]
@@ -203,7 +207,7 @@
     for m in heads:
         m, _ = catch_up(m, c)
         for volume in "vw":
-            said = {k: c.find(volume, k) for k, _ in c.list(volume, "", "", 100)[0]}
+            said = {k: c.find(volume, k) for k, _ in c.list_keys(volume, "", "", 100)[0]}
             mine = {
                 f.extent: (f.shard, f.size)
                 for f in m.records()
--- a/tests/test_former_formats.py
+++ b/tests/test_former_formats.py
@@ -91,9 +91,9 @@
 
 
 def test_a_map_of_the_former_build_is_read_whole_with_its_log() -> None:
-    saved = map_store.read(FORMATS / "map")
+    saved = map_store.load_map(FORMATS / "map")
     assert saved.map is not None
-    assert (saved.why, saved.whole_at) == ("", 1_764_000_100.0)
+    assert (saved.problem, saved.complete_at) == ("", 1_764_000_100.0)
     found = {
         record.extent: (
             record.shard,
