--- a/fawnspool/cli/replay.py
+++ b/fawnspool/cli/replay.py
@@ -8,8 +8,9 @@
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, fail, print_json
 from fawnspool.gateway.gateway import make_policy
-from fawnspool.records.decision_recording import open_recording, replay
+from fawnspool.records.decision_recording import open_recording
 from fawnspool.records.frames import RecordingError
+from fawnspool.records.replay import replay
 
 
 @click.command("replay", epilog=EXIT_CODES)
@@ -25,18 +26,18 @@
     if as_json:
         print_json(
             {
-                "equal": not came.differs,
+                "equal": came.difference is None,
                 "events": came.events,
                 "actions": came.actions,
-                "differs": came.differs,
+                "differs": came.difference or "",
                 "torn": came.torn,
-                "module": first.module,
+                "module": first.header.module,
             }
         )
     else:
-        click.echo(f"{came.events} events, {came.actions} actions: {'DIFFERENT' if came.differs else 'equal'}")
-        if came.differs:
-            click.echo(came.differs)
+        click.echo(f"{came.events} events, {came.actions} actions: {'DIFFERENT' if came.difference else 'equal'}")
+        if came.difference:
+            click.echo(came.difference)
         if came.torn:
             click.echo(f"read up to the tear: {came.torn}")
-    sys.exit(BROKEN if came.differs else 0)
+    sys.exit(BROKEN if came.difference else 0)
--- a/fawnspool/cli/rules.py
+++ b/fawnspool/cli/rules.py
@@ -11,7 +11,7 @@
 from fawnspool.config.schema import ConfigError, load
 from fawnspool.days.day import Day, check
 from fawnspool.days.terms import terms_of
-from fawnspool.records.frames import Reader, RecordingError
+from fawnspool.records.frames import FrameReader, RecordingError
 from fawnspool.rules.judge import judge
 from fawnspool.rules.story import read
 
@@ -37,7 +37,7 @@
         fail(f"{recording}: holds no .rec files")
     rows, torn = [], []
     for path in files:
-        reader = Reader(path)
+        reader = FrameReader(path)
         try:
             rows += [r for r in reader if isinstance(r, dict) and "k" in r]
         except RecordingError as bad:
--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -13,7 +13,7 @@
 from fawnspool.cli.common import EXIT_CODES, fail
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.listener import parse_address
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.meter import MeterClient, MeterServer
 from fawnspool.standins.node import NodeServer
@@ -107,7 +107,7 @@
             seed=seed,
             zone=zone,
             load_fields=tuple(load_fields.split(",")),
-            record=Writer(record, keep=True) if record else None,
+            record=FrameWriter(record, append=True) if record else None,
             groups=Path(groups) if groups else None,
             meter=client.use if client else None,
             served=client.served if client else None,
--- a/fawnspool/drill/clients.py
+++ b/fawnspool/drill/clients.py
@@ -12,7 +12,7 @@
 from fawnspool.config.schema import load
 from fawnspool.days.day import Day, check
 from fawnspool.days.traffic import held_objects, make
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.clients import Clients, lag_meter
 
 
@@ -20,7 +20,7 @@
     """Play the script named in the spec; see fawnspool.drill.play."""
     spec = msgspec.json.decode(spec_file.read_bytes())
     day, seed = load(spec["day"], Day, check), int(spec["seed"])
-    record = Writer(spec["record"])
+    record = FrameWriter(spec["record"])
 
     def note(kind: str, t: float | None = None, **more: Any) -> None:
         record.put({"k": kind, "t": time.monotonic() if t is None else t, **more})
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -30,7 +30,7 @@
 from fawnspool.gateway.map_client import MapClient
 from fawnspool.gateway.migrator import Migrator
 from fawnspool.gossip import messages
-from fawnspool.records.frames import Writer, rows_of
+from fawnspool.records.frames import FrameWriter, rows_of
 from fawnspool.rules.duties import DutyFinding, judge_duties
 from fawnspool.rules.judge import Verdict, judge
 from fawnspool.rules.shared import SharedFinding, judge_shared
@@ -102,7 +102,7 @@
                 shutil.rmtree(old)
             else:
                 old.unlink(missing_ok=True)
-        self.record = Writer(folder / "drill.rec")
+        self.record = FrameWriter(folder / "drill.rec")
         self.events: list[tuple[float, str]] = []
         self.start = 0.0
         self.numbers = 100
--- a/fawnspool/gateway/acceptor_log.py
+++ b/fawnspool/gateway/acceptor_log.py
@@ -17,7 +17,7 @@
 from fawnspool.leases.actions import AcceptorMemory, PersistVotes
 from fawnspool.leases.ballot import Ballot
 from fawnspool.leases.settings import LeaseSettings
-from fawnspool.records.frames import Reader, RecordingError, Writer
+from fawnspool.records.frames import FrameReader, FrameWriter, RecordingError
 
 FILE_NAME = "votes.rec"
 MAX_OUTDATED_ROWS = 10_000  # beyond two a role; with more the file is rewritten at a start
@@ -78,14 +78,14 @@
         self.settings = settings
         self.sync = sync
         self.missing_reason = ""
-        self._writer: Writer | None = None
+        self._writer: FrameWriter | None = None
         self.memory = self._read()
 
     def _read(self) -> AcceptorMemory | None:
         if not self.path.exists():
             self.missing_reason = "there is no file"
             return None
-        reader = Reader(self.path)
+        reader = FrameReader(self.path)
         stored = _StoredVotes()
         try:
             for row in reader:
@@ -107,7 +107,7 @@
 
     def _rewrite(self, memory: AcceptorMemory) -> AcceptorMemory:
         draft = self.path.with_suffix(".draft")
-        writer = Writer(draft)
+        writer = FrameWriter(draft)
         writer.add((FINGERPRINT_ROW, self.settings.fingerprint))
         writer.add((FLOOR_ROW, memory.floor))
         for role, ballot in memory.votes.items():
@@ -144,9 +144,9 @@
         if self.sync:
             os.fdatasync(writer.fd)
 
-    def _open_writer(self) -> Writer:
+    def _open_writer(self) -> FrameWriter:
         if self._writer is None:
-            self._writer = Writer(self.path, keep=self.memory is not None)
+            self._writer = FrameWriter(self.path, append=self.memory is not None)
             if self.memory is None:
                 self._writer.add((FINGERPRINT_ROW, self.settings.fingerprint))
         return self._writer
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -38,7 +38,7 @@
 from fawnspool.net.listener import parse_address
 from fawnspool.net.node_headers import REPORT_HEADER, parse_node_report
 from fawnspool.records.background_writer import BackgroundWriter
-from fawnspool.records.decision_recording import Recorder, module_hash
+from fawnspool.records.decision_recording import Recorder, RecordingHeader, module_hash
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.node_queue import NodeQueue
 from fawnspool.scheduling.scheduler import Scheduler
@@ -81,9 +81,8 @@
         self.behind = BackgroundWriter()
         self.started = time.monotonic()
         module = make_policy(h.policy, settings, h.seed)
-        recorder = (
-            Recorder(h.record, h.policy, settings, h.seed, module_hash(module), self.behind) if h.record else None
-        )
+        recording = RecordingHeader(h.policy, settings, h.seed, module_hash(module))
+        recorder = Recorder(h.record, recording, self.behind) if h.record else None
         traces = Traces(h.trace, h.trace_share, f"head-{h.number}", self.behind) if h.trace else None
         self.figures = HeadMetrics(self.gauges, lambda: self.places.status(), self.duty_status, self.shared_status)
         super().__init__(
@@ -199,10 +198,10 @@
         if self.traces is not None:
             self.traces.close()
         if not self.behind.close():
-            self.log.error("not all records are written: the disk is too slow", bytes=self.behind.waits)
+            self.log.error("not all records are written: the disk is too slow", bytes=self.behind.pending_bytes)
 
     def _now_and_then(self) -> None:
-        if error := self.behind.failed():
+        if error := self.behind.take_error():
             self.log.error("file work failed: see `head.trace` and `head.data`", error=error)
 
     # ------------------------------------------------------------ the client's side
--- a/fawnspool/gateway/lease_record.py
+++ b/fawnspool/gateway/lease_record.py
@@ -8,7 +8,7 @@
 
 from fawnspool.gateway.held_lease import HeldLease
 from fawnspool.leases.actions import LeaseMember
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
     def __init__(self, path: str, member: LeaseMember, clock_rate: float) -> None:
         self.member = member
         self.clock_rate = clock_rate
-        self._writer = Writer(path, keep=True) if path else None
+        self._writer = FrameWriter(path, append=True) if path else None
 
     def add(self, change: LeaseChange) -> None:
         """Write a row."""
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -31,7 +31,7 @@
 from fawnspool.extents.map import ExtentMap, Partition, RecordKey, VersionRange
 from fawnspool.extents.records import ExtentRecord, ExtentState, LogPosition, MapDelta, Stamp
 from fawnspool.records.background_writer import BackgroundWriter
-from fawnspool.records.frames import Reader, Writer
+from fawnspool.records.frames import FrameReader, FrameWriter
 
 MAP_FILE = "map.rec"
 LOG_FILE = "map.log.rec"
@@ -106,7 +106,7 @@
 
 
 def _load_full_map(path: Path) -> SavedMap:
-    reader = Reader(path)
+    reader = FrameReader(path)
     rows = iter(reader)
     header = next(rows, None)
     if header is None or header[0] != RowKind.HEADER:
@@ -175,7 +175,7 @@
     """Return the map after the log; of a damaged log, after what was read of it."""
     saved = SavedMap(extent_map, complete_at)
     try:
-        reader = Reader(path)
+        reader = FrameReader(path)
         for kind, value in reader:
             saved = _replay_row(saved, kind, value)
     except FileNotFoundError:
@@ -206,7 +206,7 @@
         If the disk does not take it.
     """
     draft = path.with_suffix(".draft")
-    writer = Writer(draft)
+    writer = FrameWriter(draft)
     try:
         writer.put([RowKind.HEADER, FORMAT_VERSION, len(extent_map.partitions), complete_at])
         for number, partition in enumerate(extent_map.partitions):
@@ -218,7 +218,7 @@
     draft.replace(path)
 
 
-def _write_partition(writer: Writer, number: int, partition: Partition) -> None:
+def _write_partition(writer: FrameWriter, number: int, partition: Partition) -> None:
     position = (partition.complete_to, partition.pending_ranges, partition.snapshot_floors)
     writer.add([RowKind.PARTITION, number, *position])
     rows = list[Any]()
@@ -255,7 +255,7 @@
         self.report_problem = report_problem
         self.policy = CheckpointPolicy()
         self.problem: str | None = None  # set by the thread
-        self._log_writer: Writer | None = None  # used by the thread alone
+        self._log_writer: FrameWriter | None = None  # used by the thread alone
 
     def load(self) -> SavedMap:
         """Return the last good map."""
@@ -304,7 +304,7 @@
             self.folder.mkdir(parents=True, exist_ok=True)
             save_map(self.folder / MAP_FILE, extent_map, complete_at)
             self._close_log()
-            self._log_writer = Writer(self.folder / LOG_FILE)
+            self._log_writer = FrameWriter(self.folder / LOG_FILE)
         except OSError as error:
             self._write_failed(error)
 
--- a/fawnspool/model/seen.py
+++ b/fawnspool/model/seen.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from fawnspool.days.day import Day
-from fawnspool.records.decision_recording import open_recording, read_action, read_event
+from fawnspool.records.decision_recording import open_recording
+from fawnspool.records.event_codec import decode_action, decode_event
 from fawnspool.scheduling import interface
 
 _AGAIN = 10.0  # seconds within which a repeat's first try is looked for
@@ -121,9 +122,9 @@
 
 def _life(path: Path) -> _Life:
     opened = open_recording(path)
-    life = _Life(path, opened.settings.gateway_id, opened.settings)
+    life = _Life(path, opened.header.settings.gateway_id, opened.header.settings)
     for now, event, actions, _ in opened.frames:
-        told = read_event(event)
+        told = decode_event(event)
         if isinstance(told, interface.Request):
             life.requests.append((now, told))
         elif isinstance(told, interface.PeerMessage):
@@ -131,7 +132,7 @@
         elif isinstance(told, interface.EndpointUpdate):
             life.nodes.update(e.node for e in told.entries)
         for row in actions:
-            action = read_action(row)
+            action = decode_action(row)
             if isinstance(action, interface.SendPeerMessage):
                 life.told.append((now, action.body))
     life.torn = opened.reader.torn
--- a/fawnspool/records/__init__.py
+++ b/fawnspool/records/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings: what a head's module was told and decided, and what nodes and clients saw of their sockets."""
+"""Recordings: frames on disk, what a scheduler was told and decided, and the names that older builds wrote."""
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -36,7 +36,7 @@
 from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.server_connection import Exchange
-from fawnspool.records.frames import MAGIC, Reader
+from fawnspool.records.frames import MAGIC, FrameReader
 from fawnspool.standins.service import Service
 
 SHARDS = 64
@@ -348,7 +348,7 @@
     except OSError:
         return []
     places = dict[tuple[str, str], tuple[int, int]]()
-    for volume, key, cell, size in Reader(path):
+    for volume, key, cell, size in FrameReader(path):
         if cell < 0:
             places.pop((volume, key), None)
         else:
--- a/fawnspool/standins/moving.py
+++ b/fawnspool/standins/moving.py
@@ -18,7 +18,7 @@
 from fawnspool.extents.object_replica import CommandArguments, ObjectReplica, ReplicaCommand
 from fawnspool.extents.replicas import ReplicaResult, ReplicaRole
 from fawnspool.leases.fencing import Fence, StaleTokenError
-from fawnspool.records.frames import Reader, Writer
+from fawnspool.records.frames import FrameReader, FrameWriter
 from fawnspool.standins.store import Store
 
 LONG = 1000  # rows beyond twice the extents after which the file is written anew at a start
@@ -34,18 +34,18 @@
         self.rows: dict[tuple[str, str], ObjectReplica] = {}
         count = 0
         if self.path.exists():
-            for volume, extent, role, generation, to, position, fence, kept in Reader(self.path):
+            for volume, extent, role, generation, to, position, fence, kept in FrameReader(self.path):
                 self.rows[volume, extent] = ObjectReplica(ReplicaRole(role), generation, to, [], position, fence, kept)
                 count += 1
         if count > 2 * len(self.rows) + LONG:
             draft = folder / "moves.draft"
-            writer = Writer(draft)
+            writer = FrameWriter(draft)
             for name, side in self.rows.items():
                 writer.add(self._row(name, side))
             writer.close()
             os.replace(draft, self.path)
         # A node that has forgotten begins no new file: at its next start it must still know that it has.
-        self.writer = Writer(self.path, keep=True) if not self.forgot else None
+        self.writer = FrameWriter(self.path, append=True) if not self.forgot else None
         mark.touch()
 
     @staticmethod
@@ -128,8 +128,8 @@
 
     def __init__(self, folder: Path, note: Callable[..., None]) -> None:
         path = folder / "fences.rec"
-        self.fence = Fence(tuple(row) for row in Reader(path)) if path.exists() else Fence()
-        self.writer, self.note = Writer(path, keep=True), note
+        self.fence = Fence(tuple(row) for row in FrameReader(path)) if path.exists() else Fence()
+        self.writer, self.note = FrameWriter(path, append=True), note
 
     def passes(self, query: dict[str, str], what: str) -> int | None:
         """None: the step may be done; else the newer token that forbids it. A call without a duty is an operator's
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -44,7 +44,7 @@
 from fawnspool.net.server import Server
 from fawnspool.net.server_connection import Exchange
 from fawnspool.net.server_options import ServerCallbacks, ServerOptions
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.clients import lag_meter
 from fawnspool.standins.moving import Gate, Sides
 from fawnspool.standins.store import Meta, Store
@@ -136,7 +136,7 @@
         cold: bool = False,
         seed: int = 1,
         load_fields: tuple[str, ...] = ("queue",),
-        record: Writer | None = None,
+        record: FrameWriter | None = None,
         groups: Path | None = None,
         zone: str = "zone-a",
         meter: Callable[[str], float | None] | None = None,
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -18,7 +18,7 @@
 from fawnspool.config.schema import parse
 from fawnspool.gateway.gateway import Head
 from fawnspool.model.node import NodeTraits
-from fawnspool.records.frames import Reader, Writer
+from fawnspool.records.frames import FrameReader, FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.node import NodeServer
 from fawnspool.standins.nodelist import Entry, NodeListServer
@@ -125,7 +125,7 @@
         self, tmp: Path, nodes: int = 2, traits: NodeTraits | None = None, policy: str = "module", **blocks: str
     ) -> None:
         self.tmp, self.traits = tmp, traits or NodeTraits(unit_time=0.0)
-        self.records = [Writer(tmp / f"node-{k}.rec") for k in range(nodes)]
+        self.records = [FrameWriter(tmp / f"node-{k}.rec") for k in range(nodes)]
         self.nodes = [self.make_node(k) for k in range(nodes)]
         self.told: list[tuple[float, int, str, int]] = []
         self.list = NodeListServer(
@@ -173,7 +173,7 @@
 
     def seen(self, k: int, kind: str) -> list[dict[str, Any]]:
         """What node k wrote of its own sockets."""
-        return [r for r in Reader(self.tmp / f"node-{k}.rec") if r["k"] == kind]
+        return [r for r in FrameReader(self.tmp / f"node-{k}.rec") if r["k"] == kind]
 
     def stop(self) -> None:
         self.api.stop()
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -21,7 +21,7 @@
 from fawnspool.days.traffic import Op
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.server_connection import Exchange
-from fawnspool.records.frames import Reader, Writer
+from fawnspool.records.frames import FrameReader, FrameWriter
 from fawnspool.rules.judge import Terms, Verdict, judge
 from fawnspool.rules.story import read
 from fawnspool.scheduling import interface
@@ -117,7 +117,7 @@
     """A script through a rig; everything is recorded as a drill records it."""
 
     def __init__(self, rig: Rig) -> None:
-        self.rig, self.record = rig, Writer(rig.tmp / "run.rec")
+        self.rig, self.record = rig, FrameWriter(rig.tmp / "run.rec")
         self.note("head", head=0, what="up")
         self.count = 0
         self.ops: list[Op] = []
@@ -167,7 +167,7 @@
             side.join()
         gevent.sleep(0.05)
         lag.kill()
-        rows = [dict(r) for path in self.rig.tmp.glob("*.rec") for r in Reader(path) if isinstance(r, dict)]
+        rows = [dict(r) for path in self.rig.tmp.glob("*.rec") for r in FrameReader(path) if isinstance(r, dict)]
         rows += [
             {"k": "told", "t": t, "head": h, "node": n, "phase": phase, "age": self.ages.get(n, -1.0)}
             for t, h, phase, n in self.rig.told
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -22,7 +22,7 @@
 from fawnspool.gateway.map_client import MapClient, MapServiceError
 from fawnspool.gateway.map_store import MapCheckpoint, load_map, save_map
 from fawnspool.records.background_writer import BackgroundWriter
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.telemetry import logs
 from tests.e2e.rig import Rig, wait_for
@@ -234,7 +234,7 @@
             m = m.apply(delta)
     folder.mkdir(parents=True)
     save_map(folder / "map.rec", m, time.time() - 60)
-    writer = Writer(folder / "map.log.rec")
+    writer = FrameWriter(folder / "map.log.rec")
     for k in range(more):
         c.put("v0", f"y{k}", 1, 1)
         for shard in range(4):
@@ -287,7 +287,7 @@
     path = tmp_path / "d" / "map.rec"
     data = path.read_bytes()
     if damage == "form":
-        writer = Writer(path)
+        writer = FrameWriter(path)
         writer.put([0, 99, 4, 0.0])
         writer.close()
     else:
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -16,7 +16,7 @@
 from fawnspool.gateway.map_client import MapClient, MapServiceError
 from fawnspool.gateway.peers import Peers
 from fawnspool.records.background_writer import BackgroundWriter
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 from fawnspool.scheduling import interface
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.meter import MeterClient, MeterServer
@@ -158,7 +158,7 @@
 
 def test_a_catalogue_of_the_form_before_is_taken_over(tmp_path: Path) -> None:
     path = tmp_path / "places.rec"
-    writer = Writer(path)
+    writer = FrameWriter(path)
     for row in (["v", "a", 3, 100], ["v", "b", 1, 5], ["v", "a", 4, 200], ["v", "b", -1, 0]):
         writer.put(row)
     writer.close()
--- a/tests/test_acceptor_log.py
+++ b/tests/test_acceptor_log.py
@@ -83,6 +83,6 @@
     log = AcceptorLog(tmp_path, SETTINGS, sync=False)
     log.persist(PersistVotes((VoteRecord(1, 5, 7),), 3))
     log.close()
-    from fawnspool.records.frames import Reader
+    from fawnspool.records.frames import FrameReader
 
-    assert list(Reader(tmp_path / FILE_NAME)) == [["mark", SETTINGS.fingerprint], ["vote", 1, 5, 7], ["floor", 3]]
+    assert list(FrameReader(tmp_path / FILE_NAME)) == [["mark", SETTINGS.fingerprint], ["vote", 1, 5, 7], ["floor", 3]]
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from fawnspool.cli.main import COMMANDS, main
-from fawnspool.records.frames import Writer
+from fawnspool.records.frames import FrameWriter
 
 ROOT = Path(__file__).parent.parent
 EMBEDDED = str(ROOT / "fawnspool/cli/embedded.hcl")
@@ -69,7 +69,7 @@
 
 
 def test_rules_check_fails_on_a_broken_rule(tmp_path: Path) -> None:
-    writer = Writer(tmp_path / "c.rec")
+    writer = FrameWriter(tmp_path / "c.rec")
     writer.put({"k": "head", "t": 0.0, "head": 0, "what": "up"})
     writer.put(
         {
--- a/tests/test_former_formats.py
+++ b/tests/test_former_formats.py
@@ -19,7 +19,8 @@
 from fawnspool.leases.actions import AcceptorMemory
 from fawnspool.leases.ballot import Ballot
 from fawnspool.leases.settings import LeaseSettings
-from fawnspool.records.decision_recording import open_recording, settings_to_stored
+from fawnspool.records.decision_recording import open_recording
+from fawnspool.records.event_codec import settings_to_stored
 
 FORMATS = Path(__file__).parent / "formats" / "d5787bd"
 ROOT = Path(__file__).parent.parent
@@ -73,7 +74,7 @@
 def test_settings_are_recorded_in_the_form_that_the_former_build_reads() -> None:
     recording = open_recording(FORMATS / "shared-node.mrec")
     first = next(iter(recording.reader))
-    written = msgspec.msgpack.encode(settings_to_stored(recording.settings))
+    written = msgspec.msgpack.encode(settings_to_stored(recording.header.settings))
     assert written == msgspec.msgpack.encode(first["settings"])
 
 
--- a/tests/test_model_kept.py
+++ b/tests/test_model_kept.py
@@ -238,7 +238,7 @@
 
 def test_traffic_by_command_described_and_compared_at_another_size(tmp_path: Path) -> None:
     from fawnspool.model.world import World
-    from fawnspool.records.frames import Writer
+    from fawnspool.records.frames import FrameWriter
     from fawnspool.scheduling.scheduler import Scheduler
 
     day = load(small(tmp_path), Day, check)
@@ -248,7 +248,7 @@
     folder = tmp_path / "run"
     (folder / "module").mkdir(parents=True)
     (folder / "day.hcl").write_text(render(day))
-    writer = Writer(folder / "module" / "all.rec")
+    writer = FrameWriter(folder / "module" / "all.rec")
     for row in world.rows:
         writer.add(row)
     writer.close()
--- a/tests/test_model_traffic.py
+++ b/tests/test_model_traffic.py
@@ -17,7 +17,7 @@
 from fawnspool.model.seen import Asked, Recorded, TrafficError, from_clients, from_modules
 from fawnspool.model.traffic import Described, PlanShape, describe, draw, replayed, scaled, stream
 from fawnspool.model.world import World
-from fawnspool.records.decision_recording import Recorder
+from fawnspool.records.decision_recording import Recorder, RecordingHeader
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
 from tests.conftest import make_settings
@@ -194,7 +194,7 @@
     hears: list[tuple[float, int, bytes]] = (),
 ) -> Path:  # type: ignore[assignment]
     settings = replace(make_settings(has_peer_messages=True), gateway_id=me)
-    recorder = Recorder(path, "module", settings, 1, "")
+    recorder = Recorder(path, RecordingHeader("module", settings, 1))
     rows: list[tuple[float, Any, list[Any]]] = [(t, r, []) for t, r in requests]
     rows += [(t, interface.Timer(0), [interface.SendPeerMessage(None, body)]) for t, body in tells]
     rows += [(t, interface.PeerMessage(who, body), []) for t, who, body in hears]
@@ -287,7 +287,7 @@
 def test_recordings_of_other_fleets_or_without_a_request_are_refused(tmp_path: Path) -> None:
     a = record(tmp_path / "a.mrec", 0, [(1.0, request(1))])
     settings = replace(make_settings(), plans=tuple(replace(p, name="other") for p in make_settings().plans))
-    Recorder(tmp_path / "b.mrec", "module", settings, 1, "").close()
+    Recorder(tmp_path / "b.mrec", RecordingHeader("module", settings, 1)).close()
     with pytest.raises(TrafficError, match="one fleet only"):
         from_modules([a, tmp_path / "b.mrec"])
     with pytest.raises(TrafficError, match="no request"):
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -10,19 +10,10 @@
 from hypothesis import strategies as st
 
 from fawnspool.gateway.event_loop import Loop
-from fawnspool.records.decision_recording import (
-    ACTIONS,
-    EVENTS,
-    Recorder,
-    action_row,
-    event_row,
-    module_hash,
-    open_recording,
-    read_action,
-    read_event,
-    replay,
-)
-from fawnspool.records.frames import MAGIC, Reader, RecordingError, Writer
+from fawnspool.records.decision_recording import Recorder, RecordingHeader, module_hash, open_recording
+from fawnspool.records.event_codec import ACTIONS, EVENTS, decode_action, decode_event, encode_action, encode_event
+from fawnspool.records.frames import MAGIC, FrameReader, FrameWriter, RecordingError
+from fawnspool.records.replay import replay
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry.sums import Sums
@@ -39,7 +30,7 @@
     settings = make_settings(has_peer_messages=True)
     head = Head(settings, nodes=2)
     module = Scheduler(settings, 5)
-    recorder = Recorder(path, "module", settings, 5, module_hash(module))
+    recorder = Recorder(path, RecordingHeader("module", settings, 5, module_hash(module)))
     events: list[tuple[float, interface.Event]] = [
         (
             1.0,
@@ -66,10 +57,14 @@
 def test_a_recording_replays_with_equal_actions(tmp_path: Path) -> None:
     count = life(tmp_path / "a.mrec")
     came = replay(tmp_path / "a.mrec", make)
-    assert (came.events, came.differs, came.torn) == (count, "", "")
+    assert (came.events, came.difference, came.torn) == (count, None, "")
     assert came.actions > 0
     opened = open_recording(tmp_path / "a.mrec")
-    assert opened.settings == make_settings(has_peer_messages=True) and opened.seed == 5 and len(opened.module) == 16
+    assert (
+        opened.header.settings == make_settings(has_peer_messages=True)
+        and opened.header.seed == 5
+        and len(opened.header.module) == 16
+    )
 
 
 def test_another_module_is_told_apart(tmp_path: Path) -> None:
@@ -79,7 +74,7 @@
 
     life(tmp_path / "a.mrec")
     came = replay(tmp_path / "a.mrec", lambda name, settings, seed: Other(settings, seed))
-    assert came.differs.startswith("event 2 ")
+    assert (came.difference or "").startswith("event 2 ")
 
 
 def test_a_raising_module_is_recorded_and_replayed(tmp_path: Path) -> None:
@@ -90,11 +85,11 @@
             self.actions = (interface.Log("before it"),)
             raise ValueError("no")
 
-    recorder = Recorder(tmp_path / "r.mrec", "module", make_settings(), 1, "")
+    recorder = Recorder(tmp_path / "r.mrec", RecordingHeader("module", make_settings(), 1))
     recorder.note(1.0, interface.Timer(0), [interface.Log("before it")], "ValueError: no")
     recorder.close()
-    assert replay(tmp_path / "r.mrec", lambda *a: Raises()).differs == ""
-    assert replay(tmp_path / "r.mrec", make).differs
+    assert replay(tmp_path / "r.mrec", lambda *a: Raises()).difference is None
+    assert replay(tmp_path / "r.mrec", make).difference
 
 
 class RaisesAfterItsActions(Scheduler):
@@ -109,10 +104,13 @@
     update = interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, ())
     decided = Scheduler(make_settings(), 1).handle(1.0, update)
     assert decided
-    recorder = Recorder(tmp_path / "r.mrec", "module", make_settings(), 1, "")
+    recorder = Recorder(tmp_path / "r.mrec", RecordingHeader("module", make_settings(), 1))
     recorder.note(1.0, update, decided, "ValueError: no")
     recorder.close()
-    assert replay(tmp_path / "r.mrec", lambda name, settings, seed: RaisesAfterItsActions(settings, seed)).differs == ""
+    assert (
+        replay(tmp_path / "r.mrec", lambda name, settings, seed: RaisesAfterItsActions(settings, seed)).difference
+        is None
+    )
 
 
 def test_what_a_scheduler_decided_before_it_raised_is_carried_out() -> None:
@@ -130,7 +128,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "t.rec"
-        writer = Writer(path)
+        writer = FrameWriter(path)
         ends = []
         for k in range(10):
             writer.put({"k": k, "pad": "x" * (3 * k)})
@@ -139,37 +137,37 @@
         data = path.read_bytes()
         cut = min(cut, len(data) - len(MAGIC))
         path.write_bytes(data[: len(data) - cut])
-        reader = Reader(path)
+        reader = FrameReader(path)
         rows = list(reader)
         whole = sum(end <= len(data) - cut for end in ends)
         assert [r["k"] for r in rows] == list(range(whole))
         assert bool(reader.torn) == (len(data) - cut not in (len(MAGIC), *ends))
-        more = Writer(path, keep=True)  # a node that comes back goes on behind the last whole frame
+        more = FrameWriter(path, append=True)  # a node that comes back goes on behind the last whole frame
         more.put({"k": "after"})
         more.close()
-        assert [r["k"] for r in Reader(path)] == [*range(whole), "after"]
+        assert [r["k"] for r in FrameReader(path)] == [*range(whole), "after"]
 
 
 def test_a_flipped_bit_ends_the_reading(tmp_path: Path) -> None:
-    writer = Writer(tmp_path / "b.rec")
+    writer = FrameWriter(tmp_path / "b.rec")
     for k in range(3):
         writer.put([k] * 20)
     writer.close()
     data = bytearray((tmp_path / "b.rec").read_bytes())
     data[len(data) // 2] ^= 1
     (tmp_path / "b.rec").write_bytes(bytes(data))
-    reader = Reader(tmp_path / "b.rec")
+    reader = FrameReader(tmp_path / "b.rec")
     assert len(list(reader)) == 1 and "checksum" in reader.torn
 
 
 def test_what_is_no_recording_is_named(tmp_path: Path) -> None:
     (tmp_path / "x").write_bytes(b"hello, world")
     with pytest.raises(RecordingError, match="no recording"):
-        list(Reader(tmp_path / "x"))
+        list(FrameReader(tmp_path / "x"))
     (tmp_path / "y").write_bytes(b"FAWNREC9")
     with pytest.raises(RecordingError, match="another version"):
-        list(Reader(tmp_path / "y"))
-    Writer(tmp_path / "z").put({"k": "ask"})
+        list(FrameReader(tmp_path / "y"))
+    FrameWriter(tmp_path / "z").put({"k": "ask"})
     with pytest.raises(RecordingError, match="no module's life"):
         open_recording(tmp_path / "z")
 
@@ -186,27 +184,27 @@
         interface.FetchEndpoints(),
         interface.Cancel(1, 0),
     ):
-        assert read_action(action_row(action)) == action
+        assert decode_action(encode_action(action)) == action
     for event in (
         interface.StreamStarted(1, 0, 2, 0.1),
         interface.Probed(1, interface.Result.CONNECT_FAILED, 0.1, None),
         interface.Outcome(1, 0, 2, 0.1, interface.Result.OVERLOADED, False, 0, None, (1.0,)),
     ):
-        assert read_event(event_row(event)) == event
+        assert decode_event(encode_event(event)) == event
     with pytest.raises(RecordingError, match="unknown event"):
-        read_event([99])
+        decode_event([99])
     with pytest.raises(RecordingError, match="fields"):
-        read_event([0, 1])
+        decode_event([0, 1])
 
 
 def test_an_earlier_lifes_recording_is_kept_beside_up_to_a_number(tmp_path: Path) -> None:
     for k in range(20):
-        recorder = Recorder(tmp_path / "h.mrec", "module", make_settings(), k, "")
+        recorder = Recorder(tmp_path / "h.mrec", RecordingHeader("module", make_settings(), k))
         recorder.note(float(k), interface.Timer(k), [])
         recorder.close()
     names = sorted(p.name for p in tmp_path.glob("*.mrec"))
     assert len(names) == 17 and "h.mrec" in names and "h.19.mrec" in names and "h.3.mrec" not in names
-    assert [open_recording(tmp_path / n).seed for n in ("h.mrec", "h.19.mrec", "h.4.mrec")] == [19, 18, 3]
+    assert [open_recording(tmp_path / n).header.seed for n in ("h.mrec", "h.19.mrec", "h.4.mrec")] == [19, 18, 3]
     (tmp_path / "h.notes.mrec").write_bytes(b"mine")
-    Recorder(tmp_path / "h.mrec", "module", make_settings(), 20, "").close()
+    Recorder(tmp_path / "h.mrec", RecordingHeader("module", make_settings(), 20)).close()
     assert (tmp_path / "h.notes.mrec").read_bytes() == b"mine"
