--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -15,11 +15,21 @@
 from fawnspool.config.schema import load
 from fawnspool.days.day import Day, TroubleBlock, check
 from fawnspool.model.staged import Staged, Trial, spread_of
-from fawnspool.rollout.plan import Bound
+from fawnspool.rollout.limits import RolloutLimits
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
 
-BOUND = Bound(loss=0.1, spend=0.05, span=600.0, window=2.0, windows=(4, 40), unseen=0.5, surge_windows=2, at_once=0.17)
+BOUND = RolloutLimits(
+    max_loss=0.1,
+    max_spend=0.05,
+    spend_period_s=600.0,
+    window_s=2.0,
+    min_windows=4,
+    max_windows=40,
+    max_without_surge=0.5,
+    min_surge_windows=2,
+    max_restarting=0.17,
+)
 
 
 class Refuses(Scheduler):
--- a/fawnspool/cli/model_predict.py
+++ b/fawnspool/cli/model_predict.py
@@ -201,8 +201,8 @@
     from fawnspool.model.staged import Staged, show, spread_of
     from fawnspool.model.versions import VersionError
     from fawnspool.model.versions import load as version
-    from fawnspool.rollout.decide import Verdict
-    from fawnspool.rollout.plan import SHORT, PlanError
+    from fawnspool.rollout.controller import RolloutVerdict
+    from fawnspool.rollout.limits import SHORT_TRIAL, PlanError
 
     (name, day), *_ = _days(day_name, folder)
     day = replace(
@@ -210,7 +210,7 @@
         day=replace(day.day, length=length or day.day.length, heads=heads or day.day.heads),
         load=replace(day.load, rate=rate or day.load.rate),
     )
-    bound = replace(SHORT, loss=loss, spend=spend, span=span, window=window)
+    bound = replace(SHORT_TRIAL, max_loss=loss, max_spend=spend, spend_period_s=span, window_s=window)
     try:
         before, _ = version(old)
         after, _ = version(new, dict(_constant(c) for c in constants))
@@ -239,4 +239,4 @@
         click.echo(f"{came.verdict.value}: {came.why}; {came.upgraded} heads had it; worth of the day {came.share:.3f}")
         for text in came.broken:
             click.echo(f"BROKEN {text}")
-    sys.exit(BROKEN if came.verdict is Verdict.GO_BACK else 0)
+    sys.exit(BROKEN if came.verdict is RolloutVerdict.ROLL_BACK else 0)
--- a/fawnspool/model/staged.py
+++ b/fawnspool/model/staged.py
@@ -18,8 +18,9 @@
 from fawnspool.days.worth import count
 from fawnspool.model.params import Params
 from fawnspool.model.world import BEGIN, Policy, World
-from fawnspool.rollout.decide import Rollout, Verdict, Window
-from fawnspool.rollout.plan import Bound, HeadFact, plan, rounds
+from fawnspool.rollout.controller import RolloutController, RolloutVerdict, Window
+from fawnspool.rollout.limits import RolloutLimits
+from fawnspool.rollout.plan import GatewayInfo, plan_batches, restart_rounds
 from fawnspool.rules.judge import judge
 from fawnspool.rules.story import read
 
@@ -31,7 +32,7 @@
 class Trial:
     """What came of a roll-out. steps: (second of the day, what was done or decided)."""
 
-    verdict: Verdict = Verdict.WAIT
+    verdict: RolloutVerdict = RolloutVerdict.WAIT
     why: str = "the day ended first"
     upgraded: int = 0  # heads that ever ran the new version
     most_at_once: int = 0
@@ -42,7 +43,7 @@
     broken: tuple[str, ...] = ()
 
 
-def facts(world: World) -> list[HeadFact]:
+def facts(world: World) -> list[GatewayInfo]:
     """The fleet as a plan needs it: which volumes each head hears, from the day's operations."""
     of: dict[str, set[int]] = defaultdict(set)
     for op in world.ops:
@@ -52,22 +53,22 @@
         for h in sorted(heads):
             mine[h].append((volume, len(heads)))
     zones = len(world.zones)
-    return [HeadFact(k, k % zones, tuple(mine[k])) for k in range(world.day.day.heads)]
+    return [GatewayInfo(k, k % zones, tuple(mine[k])) for k in range(world.day.day.heads)]
 
 
-def spread_of(day: Day, seed: int, policy: Policy, bound: Bound, params: Params | None = None) -> float:
+def spread_of(day: Day, seed: int, policy: Policy, bound: RolloutLimits, params: Params | None = None) -> float:
     """How much one head's window varies beside the fleet's, as a standard deviation, from a day without a roll-out."""
     world = World(day, seed, policy, params)
     world.run()
     by_head: dict[int, list[float]] = defaultdict(list)
-    for k in range(int(day.day.length / bound.window)):
-        shares = _shares(day, world, k, bound.window)
+    for k in range(int(day.day.length / bound.window_s)):
+        shares = _shares(day, world, k, bound.window_s)
         middle = sum(shares.values()) / max(1, len(shares))
         for h, share in shares.items():
             by_head[h].append(share - middle)
     rows = [np.array(x) for x in by_head.values() if len(x) > 1]
     if not rows:
-        raise ValueError(f"{day.title}: too short: no head has two windows of {bound.window:g} s with requests")
+        raise ValueError(f"{day.title}: too short: no head has two windows of {bound.window_s:g} s with requests")
     return max(0.002, float(np.sqrt(np.mean([np.var(x, ddof=1) for x in rows]))))
 
 
@@ -85,7 +86,7 @@
         seed: int,
         old: Policy,
         new: Policy,
-        bound: Bound,
+        bound: RolloutLimits,
         spread: float,
         *,
         params: Params | None = None,
@@ -94,7 +95,7 @@
         self.day, self.bound, self.old, self.new = day, bound, old, new
         self.world = World(day, seed, old, params)
         self.facts = {f.number: f for f in facts(self.world)}
-        self.rollout = Rollout(plan(list(self.facts.values()), bound, spread, seed), bound, spread)
+        self.rollout = RolloutController(plan_batches(list(self.facts.values()), bound, spread, seed), bound, spread)
         self.down = down + self.world.params.head_start
         self.restarts: list[tuple[float, int]] = []  # when a head went away
         self.usual: list[float] = []
@@ -105,33 +106,33 @@
     def play(self) -> Trial:
         w = self.world
         late = 2 * max(c.deadline for c in self.day.class_)
-        for k in range(int(self.day.day.length / self.bound.window)):
-            w.engine.at(BEGIN + (k + 1) * self.bound.window + late, self._window, k)
+        for k in range(int(self.day.day.length / self.bound.window_s)):
+            w.engine.at(BEGIN + (k + 1) * self.bound.window_s + late, self._window, k)
         ended = w.run()
         self.out.share = count(self.day, ended).whole.share
         verdict = judge(read(w.rows), terms_of(self.day))
         self.out.broken = tuple(f"{f.rule}: {f.breaches[0].text}" for f in verdict.findings if f.breaches)
-        self.out.lost = self.rollout.lost
+        self.out.lost = self.rollout.lost_gateway_s
         return self.out
 
     def _say(self, text: str) -> None:
         self.out.steps.append((self.world.engine.now - BEGIN, text))
 
     def _window(self, k: int) -> None:
-        decision = self.rollout.saw(self._seen(k))
-        if self.out.verdict in (Verdict.GO_BACK, Verdict.DONE):
+        decision = self.rollout.observe(self._seen(k))
+        if self.out.verdict in (RolloutVerdict.ROLL_BACK, RolloutVerdict.DONE):
             return
         self.out.verdict, self.out.why, self.out.saw_after = decision.verdict, decision.why, k + 1
-        if decision.verdict is Verdict.WAIT:
+        if decision.verdict is RolloutVerdict.WAIT:
             return
         self._say(f"{decision.verdict.value}: {decision.why}")
-        if decision.verdict is Verdict.GO_ON:
+        if decision.verdict is RolloutVerdict.CONTINUE:
             batch = self.rollout.begin_batch()
             if batch is not None:
                 self._move(batch.rounds, False)
-        elif decision.verdict is Verdict.GO_BACK:
+        elif decision.verdict is RolloutVerdict.ROLL_BACK:
             some = [self.facts[h] for h in sorted(self.rollout.upgraded)]
-            self._move(rounds(some, self.bound.away(len(self.facts))), True)
+            self._move(restart_rounds(some, self.bound.max_restarting_of(len(self.facts))), True)
 
     def _move(self, some: Sequence[Sequence[int]], back: bool) -> None:
         w, policy = self.world, self.old if back else self.new
@@ -140,7 +141,7 @@
             self.out.upgraded = len(self.rollout.upgraded)
         for n, heads in enumerate(some):
             self.out.most_at_once = max(self.out.most_at_once, len(heads))
-            w.engine.after(n * (self.down + self.bound.settle), self._round, tuple(heads), policy)
+            w.engine.after(n * (self.down + self.bound.settle_s), self._round, tuple(heads), policy)
 
     def _round(self, heads: tuple[int, ...], policy: Policy) -> None:
         w = self.world
@@ -150,19 +151,17 @@
         w.restart(list(heads), self.down)
 
     def _seen(self, k: int) -> Window:
-        w, length = self.world, self.bound.window
+        w, length = self.world, self.bound.window_s
         start, end = k * length, (k + 1) * length
         asked = float(sum(op.size for op in w.ops if start <= op.at < end))
-        if self.rollout.at < 0:
+        if self.rollout.batch_index is None:
             self.usual.append(asked)
         usual = float(np.median(self.usual)) or 1.0
         raised = {h: n - self.raised.get(h, 0) for h, n in w.raised.items() if n > self.raised.get(h, 0)}
         self.raised = dict(w.raised)
         back = {h: at + self.down for at, h in self.restarts}  # the latest of each
         # A window whose requests began before its heads had changed still shows the old version.
-        away = frozenset(
-            h for b in self.rollout.batches[: self.rollout.at + 1] for h in b.heads if back.get(h, end) > start
-        )
+        away = frozenset(h for h in self.rollout.started_gateways() if back.get(h, end) > start)
         up = {h: start - at for h, at in back.items()}
         return Window(_shares(self.day, w, k, length), asked / usual, self._broken(start, end), raised, away, up)
 
@@ -179,7 +178,7 @@
                 by_head[r["head"]].append(r)
         out = {}
         for h, mine in by_head.items():
-            if self.rollout.at < 0:
+            if self.rollout.batch_index is None:
                 break  # nothing to lay at the new version's door yet
             found = judge(read([*common, *mine]), terms_of(self.day))
             for f in found.findings:
--- a/fawnspool/rollout/__init__.py
+++ b/fawnspool/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged roll-out of a version over a fleet's heads: plans and decisions, with no I/O and no clock."""
+"""Staged rollout of a version over a fleet's gateways: plans and decisions. No I/O, no clock."""
--- a/fawnspool/rollout/plan.py
+++ b/fawnspool/rollout/plan.py
@@ -1,8 +1,8 @@
-"""Which heads take the new version when: batches that grow only as fast as what may be lost allows.
+"""Which gateways take the new version when: batches that grow only as fast as what may be lost allows.
 
-Before the first batch nothing is known of the new version, so the worst is assumed of it: every request of its heads is
-lost (`worst`). After each batch that was let through, what may still be lost a head and second is the bound that was
-proven for it, so the next batch may be larger. Sizes thus follow from the bound, not from a fixed ladder.
+Before the first batch nothing is known of the new version, so the worst is assumed: every request of its gateways is
+lost. After each batch that was let through, what may still be lost is the bound that was proven for it, so the next
+batch may be larger. Sizes thus follow from the limits and not from a fixed ladder.
 """
 
 from __future__ import annotations
@@ -13,14 +13,25 @@
 from dataclasses import dataclass
 from random import Random
 
+from fawnspool.rollout.confidence_sequence import normal_quantile
+from fawnspool.rollout.limits import PlanError, RolloutLimits
 
-class PlanError(Exception):
-    """A fleet or a bound with which nothing can be rolled out; the text says what to change."""
+MAX_GROWTH = 2  # a batch after the first has at most so many times the gateways that were shown to be well
+_MIN_FLEET = 2
+_BUDGET_PER_BATCH = 2  # a batch may risk this part (one over it) of what may still be lost
 
 
 @dataclass(frozen=True)
-class HeadFact:
-    """What is known of a head. volumes: those it serves, with how many heads each has in all."""
+class GatewayInfo:
+    """What is known of a gateway.
+
+    Attributes
+    ----------
+    number, zone
+        Its number, and the zone that it is in.
+    volumes
+        The volumes that it serves, with how many gateways each has in all.
+    """
 
     number: int
     zone: int = 0
@@ -28,185 +39,223 @@
 
 
 @dataclass(frozen=True)
-class Bound:
-    """What may be lost, and how sure one must be. Worth is a share, 0..1; times are seconds.
-
-    loss      a version that earns less by up to this, head for head, may still go on
-    spend     of the whole fleet's worth over `span`: all that the roll-out may lose if the version is bad
-    worst     what a head of a bad version loses until it is found out
-    windows   least and most windows that a batch is watched
-    at_once   heads that may be away at one time, as a share of the fleet
-    surge_at  load over the usual from which a window counts as a surge
-    unseen    of the fleet that may run the version before a surge was seen under it
-    settle    seconds after a round of restarts before the next
-    learns    seconds for which a head that started knows too little of its nodes to be held against others, which is
-              no sign of its version
+class Batch:
+    """Gateways that take the new version together.
+
+    Attributes
+    ----------
+    gateways
+        In the order in which they restart.
+    rounds
+        Those that are away at the same time.
+    min_windows
+        Windows for which they are watched at least.
+    risk_gateway_s
+        Worth lost at the most if the version is bad, in seconds of one gateway's full worth.
     """
 
-    loss: float = 0.02
-    spend: float = 0.01
-    span: float = 3600.0
-    worst: float = 1.0
-    level: float = 0.95
-    window: float = 5.0
-    windows: tuple[int, int] = (6, 120)
-    at_once: float = 0.1
-    surge_at: float = 1.5
-    unseen: float = 0.25
-    surge_windows: int = 4
-    settle: float = 1.0
-    learns: float = 6.0
-
-    def away(self, fleet: int) -> int:
-        """Heads of so many that may be away at one time."""
-        return max(1, int(self.at_once * fleet))
-
-    def check(self) -> None:
-        """Raises PlanError for a bound that makes no sense, naming the field."""
-        for name in ("loss", "spend", "worst", "at_once", "unseen"):
-            value = getattr(self, name)
-            if not 0 < value <= 1:
-                raise PlanError(f"{name}: expected over 0 and up to 1, found {value!r}")
-        if not 0.5 <= self.level < 1:
-            raise PlanError(f"level: expected 0.5 up to under 1, found {self.level!r}")
-        for name in ("span", "window"):
-            if not 0 < getattr(self, name) < math.inf:
-                raise PlanError(f"{name}: expected seconds over 0, found {getattr(self, name)!r}")
-        least, most = self.windows
-        if not 2 <= least <= most:
-            raise PlanError(f"windows: expected two or more and no fewer at most, found {self.windows!r}")
-        if self.surge_at <= 1:
-            raise PlanError(f"surge_at: expected over 1 (the usual load), found {self.surge_at!r}")
-
-
-# For trials of minutes on the model: fewer and shorter windows, half the fleet before a surge, as one is soon scripted.
-SHORT = Bound(loss=0.05, spend=0.05, span=600.0, window=2.0, windows=(4, 60), unseen=0.5, surge_windows=2)
+    gateways: tuple[int, ...]
+    rounds: tuple[tuple[int, ...], ...]
+    min_windows: int
+    risk_gateway_s: float
 
 
-@dataclass(frozen=True)
-class Batch:
-    """heads: in the order in which they restart; rounds: those away at the same time; watch: windows, at least."""
+class DuplicateGatewayError(PlanError):
+    """A number stands in the fleet twice."""
 
-    heads: tuple[int, ...]
-    rounds: tuple[tuple[int, ...], ...]
-    watch: int
-    risk: float  # worth lost at the most, in head-seconds, if the version is bad
-
-
-def windows_needed(bound: Bound, spread: float, heads: int) -> int:
-    """Windows until a difference of `loss` shows, if one window of one head varies by `spread` (standard deviation).
-
-    The usual sample size of a one-sided test at `level` with equal power, doubled as two groups differ."""
-    z = 2 * quantile(bound.level)
-    needed = 2 * (z * spread / bound.loss) ** 2 / max(1, heads)
-    return min(bound.windows[1], max(bound.windows[0], math.ceil(needed)))
-
-
-def quantile(level: float) -> float:
-    """Of the normal distribution, by bisection of its error function."""
-    low, high = 0.0, 10.0
-    for _ in range(60):
-        mid = (low + high) / 2
-        low, high = (mid, high) if 0.5 * (1 + math.erf(mid / math.sqrt(2))) < level else (low, mid)
-    return (low + high) / 2
-
-
-def plan(fleet: Sequence[HeadFact], bound: Bound, spread: float, seed: int) -> list[Batch]:
-    """Batches over the whole fleet. `spread`: how much the difference of one head's window varies.
-
-    Raises PlanError where not even one head may be risked, or a volume would lose its last head."""
-    bound.check()
-    if len({h.number for h in fleet}) != len(fleet):
-        raise PlanError("a head's number stands in the fleet twice")
-    if len(fleet) < 2:
-        raise PlanError(f"{len(fleet)} heads: a roll-out needs two or more, or there is nothing to compare with")
-    if not 0 < spread < math.inf:
-        raise PlanError(f"spread: expected over 0, found {spread!r}")
-    budget = bound.spend * len(fleet) * bound.span  # head-seconds of full worth
-    away = bound.away(len(fleet))
-    order = _order(fleet, seed)
-    out: list[Batch] = []
-    done, proven = 0, bound.worst
-    while done < len(order):
-        size = _size(bound, spread, budget, proven, done, len(order))
-        if size < 1:
-            watch = windows_needed(bound, spread, 1)
-            raise PlanError(
-                f"one head watched for {watch * bound.window:g} s risks {watch * bound.window * proven:g} "
-                f"head-seconds and only half of {budget:.1f} may be lost on a batch: raise spend or "
-                "loss, or shorten the window"
-            )
-        heads = order[done : done + size]
-        watch = windows_needed(bound, spread, size)
-        risk = size * watch * bound.window * proven
-        out.append(Batch(tuple(h.number for h in heads), rounds(heads, away), watch, risk))
-        budget -= risk if proven == bound.worst else 0.0
-        done += size
-        proven = bound.loss  # what the verdict on this batch has shown, or there is no next one
-    return out
-
-
-def _size(bound: Bound, spread: float, budget: float, proven: float, done: int, fleet: int) -> int:
-    """The most heads whose watch risks no more than the budget; never so many that none is left to compare with
-    before the last batch, nor over the share that may run unproven under a surge."""
-    most = fleet - done
-    if most > 1:
-        most = max(1, min(most, (fleet + 1) // 2))
-    if done < bound.unseen * fleet:
-        most = min(most, max(1, int(bound.unseen * fleet) - done))
-    if proven < bound.worst:
-        return max(1, min(most, max(2 * done, 1)))  # at most thrice as many in all as have been shown to be well
-    # A larger batch is watched for a shorter time, so its risk grows only once the watch is as short as it may be.
-    best = 0
-    for size in range(1, most + 1):
-        if size * windows_needed(bound, spread, size) * bound.window * proven <= budget / 2:
-            best = size
-    return best
-
-
-def _order(fleet: Sequence[HeadFact], seed: int) -> list[HeadFact]:
-    """Heads so that every run of them is spread over zones and over volumes: next is always the head whose zone and
-    volumes have had the fewest so far; the seed breaks ties."""
-    random = Random(f"{seed}-order")
-    left = sorted(fleet, key=lambda h: h.number)
-    random.shuffle(left)
-    zones: dict[int, int] = defaultdict(int)
-    volumes: dict[str, int] = defaultdict(int)
-    sizes: dict[int, int] = defaultdict(int)
-    for h in left:
-        sizes[h.zone] += 1
-    out: list[HeadFact] = []
-    while left:
-        at = min(
-            range(len(left)),
-            key=lambda k: (
-                zones[left[k].zone] / sizes[left[k].zone],
-                max((volumes[v] / n for v, n in left[k].volumes), default=0.0),
-            ),
+    def __init__(self) -> None:
+        super().__init__("a head's number stands in the fleet twice")
+
+
+class FleetTooSmallError(PlanError):
+    """There would be nothing to compare with."""
+
+    def __init__(self, fleet_size: int) -> None:
+        super().__init__(
+            f"{fleet_size} heads: a roll-out needs two or more, or there is nothing to compare with",
         )
-        head = left.pop(at)
-        zones[head.zone] += 1
-        for name, _ in head.volumes:
-            volumes[name] += 1
-        out.append(head)
-    return out
-
-
-def rounds(heads: Iterable[HeadFact], away: int) -> tuple[tuple[int, ...], ...]:
-    """Deal heads into rounds of at most `away`, such that no round holds every head of a volume that has several."""
-    out: list[list[HeadFact]] = []
-    for head in heads:
-        for some in out:
-            if len(some) < away and not _empties(some, head):
-                some.append(head)
+
+
+class DeviationError(PlanError):
+    """The deviation of a gateway's windows is not a positive number."""
+
+    def __init__(self, deviation: float) -> None:
+        super().__init__(f"spread: expected over 0, found {deviation!r}")
+
+
+class BudgetError(PlanError):
+    """Not even one gateway may be risked."""
+
+    def __init__(self, watch_s: float, risk_gateway_s: float, budget_gateway_s: float) -> None:
+        super().__init__(
+            f"one head watched for {watch_s:g} s risks {risk_gateway_s:g} "
+            f"head-seconds and only half of {budget_gateway_s:.1f} may be lost on a batch: raise spend or "
+            "loss, or shorten the window"
+        )
+
+
+def windows_needed(limits: RolloutLimits, deviation: float, gateway_count: int) -> int:
+    """Return the windows until a difference of `max_loss` shows.
+
+    It is the usual sample size of a one-sided test with equal power, doubled as two groups differ.
+
+    Parameters
+    ----------
+    limits
+        The limits.
+    deviation
+        Standard deviation of one gateway's window.
+    gateway_count
+        Gateways that are watched.
+    """
+    z = 2 * normal_quantile(limits.confidence)
+    needed = 2 * (z * deviation / limits.max_loss) ** 2 / max(1, gateway_count)
+    return min(limits.max_windows, max(limits.min_windows, math.ceil(needed)))
+
+
+def plan_batches(fleet: Sequence[GatewayInfo], limits: RolloutLimits, deviation: float, seed: int) -> list[Batch]:
+    """Return batches over the whole fleet.
+
+    Parameters
+    ----------
+    fleet
+        The gateways.
+    limits
+        What may be lost.
+    deviation
+        Standard deviation of one gateway's window beside the fleet's.
+    seed
+        Seed of the order of the gateways.
+
+    Raises
+    ------
+    PlanError
+        If the limits or the fleet make no sense, or not even one gateway may be risked.
+    """
+    limits.check()
+    _check_fleet(fleet, deviation)
+    order = _spread_order(fleet, seed)
+    max_restarting = limits.max_restarting_of(len(fleet))
+    budget = limits.budget_gateway_s(len(fleet))
+    possible_loss = limits.worst_case_loss
+    batches: list[Batch] = []
+    planned = 0
+    while planned < len(order):
+        sizes = _BatchSizes(limits, deviation, len(order), planned, possible_loss)
+        size = sizes.largest(budget)
+        if size < 1:
+            watch_s = windows_needed(limits, deviation, 1) * limits.window_s
+            raise BudgetError(watch_s, watch_s * possible_loss, budget)
+        members = order[planned : planned + size]
+        numbers = tuple(gateway.number for gateway in members)
+        risk = sizes.risk(size)
+        batches.append(Batch(numbers, restart_rounds(members, max_restarting), sizes.windows(size), risk))
+        if possible_loss == limits.worst_case_loss:
+            budget -= risk
+        planned += size
+        possible_loss = limits.max_loss  # as the verdict on this batch has shown, or there is no next one
+    return batches
+
+
+def _check_fleet(fleet: Sequence[GatewayInfo], deviation: float) -> None:
+    if len({gateway.number for gateway in fleet}) != len(fleet):
+        raise DuplicateGatewayError
+    if len(fleet) < _MIN_FLEET:
+        raise FleetTooSmallError(len(fleet))
+    if not 0 < deviation < math.inf:
+        raise DeviationError(deviation)
+
+
+@dataclass(frozen=True)
+class _BatchSizes:
+    """Finds the size of the next batch."""
+
+    limits: RolloutLimits
+    deviation: float
+    fleet_size: int
+    planned: int  # gateways in earlier batches
+    possible_loss: float  # what a gateway of a bad version loses
+
+    def windows(self, size: int) -> int:
+        return windows_needed(self.limits, self.deviation, size)
+
+    def risk(self, size: int) -> float:
+        """Return the worth that a batch may lose, in seconds of one gateway's full worth."""
+        return size * self.windows(size) * self.limits.window_s * self.possible_loss
+
+    def largest(self, budget: float) -> int:
+        """Return the largest size whose risk is within the budget, 0 for none."""
+        limit = self._upper_limit()
+        if self.possible_loss < self.limits.worst_case_loss:
+            return max(1, min(limit, max(MAX_GROWTH * self.planned, 1)))
+        # A larger batch is watched for a shorter time, so its risk grows only once the watch is as short as it may be.
+        affordable = [size for size in range(1, limit + 1) if self.risk(size) <= budget / _BUDGET_PER_BATCH]
+        return max(affordable, default=0)
+
+    def _upper_limit(self) -> int:
+        """Leave some to compare with before the last batch, and few enough until a surge was seen."""
+        limit = self.fleet_size - self.planned
+        if limit > 1:
+            limit = max(1, min(limit, (self.fleet_size + 1) // 2))
+        without_surge = self.limits.max_without_surge * self.fleet_size
+        if self.planned < without_surge:
+            limit = min(limit, max(1, int(without_surge) - self.planned))
+        return limit
+
+
+def _spread_order(fleet: Sequence[GatewayInfo], seed: int) -> list[GatewayInfo]:
+    """Order the gateways so that every run of them is spread over zones and volumes.
+
+    Next is always the gateway whose zone and volumes have had the fewest so far; the seed breaks ties.
+    """
+    remaining = sorted(fleet, key=lambda gateway: gateway.number)
+    Random(f"{seed}-order").shuffle(remaining)
+    zone_sizes: dict[int, int] = defaultdict(int)
+    for gateway in remaining:
+        zone_sizes[gateway.zone] += 1
+    in_zone: dict[int, int] = defaultdict(int)
+    of_volume: dict[str, int] = defaultdict(int)
+
+    def taken_fractions(gateway: GatewayInfo) -> tuple[float, float]:
+        of_volumes = (of_volume[name] / count for name, count in gateway.volumes)
+        return in_zone[gateway.zone] / zone_sizes[gateway.zone], max(of_volumes, default=0.0)
+
+    order: list[GatewayInfo] = []
+    while remaining:
+        index = min(range(len(remaining)), key=lambda k: taken_fractions(remaining[k]))
+        gateway = remaining.pop(index)
+        in_zone[gateway.zone] += 1
+        for name, _ in gateway.volumes:
+            of_volume[name] += 1
+        order.append(gateway)
+    return order
+
+
+def restart_rounds(gateways: Iterable[GatewayInfo], max_restarting: int) -> tuple[tuple[int, ...], ...]:
+    """Deal gateways into rounds, such that none holds every gateway of a volume that has several.
+
+    Parameters
+    ----------
+    gateways
+        In the order in which they restart.
+    max_restarting
+        Gateways in one round at most.
+    """
+    rounds: list[list[GatewayInfo]] = []
+    for gateway in gateways:
+        for members in rounds:
+            if len(members) < max_restarting and not _takes_all_of_a_volume(members, gateway):
+                members.append(gateway)
                 break
         else:
-            out.append([head])
-    return tuple(tuple(h.number for h in some) for some in out)
+            rounds.append([gateway])
+    return tuple(tuple(gateway.number for gateway in members) for members in rounds)
 
 
-def _empties(some: Sequence[HeadFact], head: HeadFact) -> bool:
-    for name, of in head.volumes:
-        if of > 1 and 1 + sum(any(v == name for v, _ in h.volumes) for h in some) >= of:
+def _takes_all_of_a_volume(members: Sequence[GatewayInfo], candidate: GatewayInfo) -> bool:
+    """Would a round with the candidate hold every gateway of one of its volumes?"""
+    for name, count in candidate.volumes:
+        away = 1 + sum(any(volume == name for volume, _ in gateway.volumes) for gateway in members)
+        if count > 1 and away >= count:
             return True
     return False
