--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -28,6 +28,7 @@
 from fawnspool.gateway.map_client import KeyPage, MapClient, MapServiceError, MapSource
 from fawnspool.gateway.map_store import MapCheckpoint
 from fawnspool.gateway.map_watch import MapWatch
+from fawnspool.telemetry.logs import EventLogger
 
 MAX_PARTITIONS = 4096
 STALE_HEARTBEATS = 2  # the map counts as stale after so many heartbeat intervals without one
@@ -68,7 +69,7 @@
         self,
         source: MapSource,
         staleness: Staleness,
-        log: Any,
+        log: EventLogger,
         *,
         watching: bool = True,
         checkpoint: MapCheckpoint | None = None,
--- a/fawnspool/gateway/map_watch.py
+++ b/fawnspool/gateway/map_watch.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 import gevent
 import msgspec
 
+from fawnspool.connections.watch_timeouts import WatchTimeouts
 from fawnspool.extents.records import DeltaError, LogPosition, MapDelta
-from fawnspool.gateway.watch_client import ListLink
+from fawnspool.gateway.watch_client import MalformedUpdateError, WatchClient
+from fawnspool.telemetry.logs import EventLogger
 
 SILENT_HEARTBEATS = 2.5  # heartbeat intervals without a line after which the watch counts as broken
 MAX_LINE_BYTES = 64 << 20  # a snapshot of one partition is one line
@@ -44,7 +46,7 @@
     shards: int
 
 
-class MapWatch(ListLink):
+class MapWatch(WatchClient):
     """Watches the map service.
 
     Parameters
@@ -61,7 +63,7 @@
         Logger.
     """
 
-    line_most = MAX_LINE_BYTES
+    max_object_bytes = MAX_LINE_BYTES
 
     def __init__(
         self,
@@ -69,9 +71,10 @@
         timeout_s: float,
         heartbeat_interval_s: float,
         listener: MapWatchListener,
-        log: Any,
+        log: EventLogger,
     ) -> None:
-        super().__init__(address, timeout_s, SILENT_HEARTBEATS * heartbeat_interval_s, lambda event: None, log)
+        timeouts = WatchTimeouts(silence_s=SILENT_HEARTBEATS * heartbeat_interval_s, call_s=timeout_s)
+        super().__init__(address, timeouts, lambda event: None, log)
         self.listener = listener
         self._greeted = False
 
@@ -81,24 +84,24 @@
         positions = ",".join(f"{epoch}.{version}" for epoch, version in self.listener.positions())
         return b"/watch?told=" + positions.encode()
 
-    def beat(self) -> None:
+    def on_heartbeat(self) -> None:
         """Note a heartbeat."""
         self.listener.heartbeat_received()
 
-    def take(self, data: bytes) -> None:
+    def apply(self, data: bytes) -> None:
         """Take one line.
 
         Raises
         ------
-        ValueError
+        MalformedUpdateError
             If it can't be read, or contradicts the map: the watch then ends.
         """
         try:
-            self._take(data)
+            self._apply(data)
         except (msgspec.MsgspecError, DeltaError) as error:
-            raise ValueError(str(error)) from None
+            raise MalformedUpdateError(str(error)) from None
 
-    def _take(self, data: bytes) -> None:
+    def _apply(self, data: bytes) -> None:
         if not self._greeted:
             self._greeted = True
             self.listener.watch_began(msgspec.json.decode(data, type=_Greeting).shards)
@@ -108,7 +111,7 @@
         if len(delta.records) >= LARGE_DELTA_RECORDS:
             gevent.sleep(0)
 
-    def _failed(self, bad: Exception) -> None:
+    def _failed(self, error: Exception) -> None:
         self.reachable = False
-        self.log.warning("map_service_unreachable", error=str(bad) or type(bad).__name__)
+        self.log.warning("map_service_unreachable", error=str(error) or type(error).__name__)
         gevent.spawn_later(self.listener.watch_lost(), self.listener.open_watch)
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -72,8 +72,8 @@
     return time.monotonic() + 2
 
 
-def cell(places: ExtentDirectory, key: str) -> int | None:
-    found = places.map.find("v", key)
+def cell(directory: ExtentDirectory, key: str) -> int | None:
+    found = directory.map.find("v", key)
     return None if found is None else found.shard
 
 
@@ -375,17 +375,17 @@
 
     process, port = start(0)
     map_client = MapClient(("127.0.0.1", port), 2.0)
-    places = ExtentDirectory(map_client, Staleness(StalenessSettings(), 1, 1), logs.get())
+    directory = ExtentDirectory(map_client, Staleness(StalenessSettings(), 1, 1), logs.get())
     try:
-        places.start()
-        wait_for(places.reachable)
+        directory.start()
+        wait_for(directory.reachable)
         for k in range(200):
-            assert places.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
+            assert directory.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
         gevent.spawn_later(0.05, process.kill)
         done = 200
         with pytest.raises(MapServiceError):
             for k in range(200, 100_000):
-                places.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
+                directory.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
                 done += 1
         process.wait()
         process, _ = start(port)
@@ -393,11 +393,11 @@
         for k in range(done):
             fact = again.find_record("v", f"x{k}")
             assert fact is not None and fact.shard == k % 7
-        wait_for(places.reachable)
+        wait_for(directory.reachable)
         assert again.record_migration("v", "x0", 9, 1) is not None
-        wait_for(lambda: cell(places, "x0") == 9)
+        wait_for(lambda: cell(directory, "x0") == 9)
     finally:
-        places.stop()
+        directory.stop()
         process.kill()
         process.communicate()
 
@@ -423,16 +423,16 @@
         rig.catalogue.catalogue.watchers.clear()
         rig.catalogue.catalogue.flip("v", "k", there, 1)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
-        assert (got.status, got.data) == (200, b"bytes") and rig.head.places.misdirected_sends == 1
+        assert (got.status, got.data) == (200, b"bytes") and rig.head.extent_directory.misdirected_sends == 1
         got = c.ask("GET", "/v1/volumes/v/objects/k")  # once it was told, no send goes wrong
-        assert got.data == b"bytes" and rig.head.places.misdirected_sends == 1
+        assert got.data == b"bytes" and rig.head.extent_directory.misdirected_sends == 1
         rig.catalogue.gone()
-        wait_for(lambda: rig.head.places.stale_for_s() > 0, 10)
+        wait_for(lambda: rig.head.extent_directory.stale_for_s() > 0, 10)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
         assert got.data == b"bytes" and int(got.getheader("Fawn-Map-Age-Ms")) > 1000
         status = rig.head.status()["map"]
         assert status["extents"] == 1 and not status["reachable"] and status["wrong_sends"] == 1
-        page = rig.head.figures.page().decode()
+        page = rig.head.exporter.page().decode()
         assert "fawnspool_map_wrong_sends_total 1.0" in page and "fawnspool_map_age_seconds " in page
     finally:
         rig.stop()
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -94,8 +94,8 @@
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
     assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
-    assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1
-    assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1  # once told, it knows
+    assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
+    assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
     assert got.status == 200 and read(rig) == b"second" and owners(rig) == [(at + 1) % 3]
     assert rig.catalogue.catalogue.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
@@ -319,9 +319,9 @@
     assert mine and all(job.value is MigrationStep.DONE for job in jobs)
     assert not [key for key in mine if rig.nodes[drained].store.find("v", key)]
     assert all(read(rig, key) == key.encode() for key in keys)
-    wait_for(lambda: all(rig.head.places.map.find("v", key).shard != drained for key in mine))  # type: ignore[union-attr]
-    wrong = rig.head.places.misdirected_sends
-    assert all(read(rig, key) == key.encode() for key in keys) and rig.head.places.misdirected_sends == wrong
+    wait_for(lambda: all(rig.head.extent_directory.map.find("v", key).shard != drained for key in mine))  # type: ignore[union-attr]
+    wrong = rig.head.extent_directory.misdirected_sends
+    assert all(read(rig, key) == key.encode() for key in keys) and rig.head.extent_directory.misdirected_sends == wrong
 
 
 def test_a_body_that_came_once_is_refused_clearly_where_its_extent_has_moved(tmp_path: Path) -> None:
@@ -395,7 +395,7 @@
         assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
         assert mover(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
-            assert read(rig) == b"first" and rig.head.places.misdirected_sends == 1
+            assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
     finally:
         rig.stop()
 
