--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -31,7 +31,7 @@
 
 
 class Killed(BaseException):
-    """The mover's process ends here."""
+    """The migrator's process ends here."""
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
     made.stop()
 
 
-def mover(rig: Rig, until: MigrationStep | None = None) -> Migrator:
+def migrator(rig: Rig, until: MigrationStep | None = None) -> Migrator:
     """One that is killed just before a step."""
 
     def die(step: MigrationStep) -> None:
@@ -82,18 +82,18 @@
     at = put(rig, body=b"x" * 5000)
     tag = rig.nodes[at].store.find("v", "k").etag  # type: ignore[union-attr]
     for to in ((at + 1) % 3, (at + 2) % 3, at):
-        assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
+        assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
         assert owners(rig) == [to] and read(rig) == b"x" * 5000
         assert rig.nodes[to].store.find("v", "k").etag == tag  # type: ignore[union-attr]
-    assert mover(rig).migrate(KEY, at, soon()) is MigrationStep.DONE  # it lies there
-    assert mover(rig).migrate(ExtentKey("v", "none"), 1, soon()) is MigrationStep.SUPERSEDED
+    assert migrator(rig).migrate(KEY, at, soon()) is MigrationStep.DONE  # it lies there
+    assert migrator(rig).migrate(ExtentKey("v", "none"), 1, soon()) is MigrationStep.SUPERSEDED
     assert [n.store.find("v", "k") is not None for n in rig.nodes] == [k == at for k in range(3)]
 
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
-    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
@@ -113,11 +113,11 @@
         MigrationStep.DISCARD_SOURCE,
     ],
 )
-def test_a_mover_that_dies_before_a_step_is_resumed_by_another(rig: Rig, until: MigrationStep) -> None:
+def test_a_migrator_that_dies_before_a_step_is_resumed_by_another(rig: Rig, until: MigrationStep) -> None:
     at = put(rig)
     to = (at + 1) % 3
     seen: list[MigrationStep] = []
-    dies = mover(rig, until)
+    dies = migrator(rig, until)
     die = dies.before_step
 
     def write_late(step: MigrationStep) -> None:
@@ -131,7 +131,7 @@
     with pytest.raises(Killed):
         dies.migrate(KEY, to, soon())
     assert len(owners(rig)) <= 1
-    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == (b"late" if MigrationStep.FENCE in seen else b"first")
 
 
@@ -148,7 +148,7 @@
 def test_a_move_is_undone_as_long_as_the_new_node_has_not_opened(rig: Rig, until: MigrationStep) -> None:
     at = put(rig)
     to = (at + 1) % 3
-    dies = mover(rig, until)
+    dies = migrator(rig, until)
     if until is MigrationStep.CATCH_UP:
 
         def late(step: MigrationStep) -> None:
@@ -160,16 +160,16 @@
         dies.before_step = late
     with pytest.raises(Killed):
         dies.migrate(KEY, to, soon())
-    assert mover(rig).migrate(KEY, to, soon(), undo=True, begun=Migration(at, to, 1)) is MigrationStep.SUPERSEDED
+    assert migrator(rig).migrate(KEY, to, soon(), undo=True, begun=Migration(at, to, 1)) is MigrationStep.SUPERSEDED
     assert owners(rig) == [at] and read(rig) == (b"late" if until is MigrationStep.CATCH_UP else b"first")
     assert rig.client().ask("PUT", PLACE + "k", b"after").status == 200 and read(rig) == b"after"
-    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE and read(rig) == b"after"
+    assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE and read(rig) == b"after"
 
 
 def test_two_movers_of_one_extent_cannot_both_win(rig: Rig) -> None:
     at = put(rig)
     a, b = (at + 1) % 3, (at + 2) % 3
-    jobs = [gevent.spawn(mover(rig).migrate, KEY, to, soon(3)) for to in (a, b)]
+    jobs = [gevent.spawn(migrator(rig).migrate, KEY, to, soon(3)) for to in (a, b)]
     gevent.joinall(jobs, timeout=10)
     ends = [job.value for job in jobs]
     assert ends.count(MigrationStep.DONE) == 1 and MigrationStep.SUPERSEDED in ends
@@ -203,7 +203,7 @@
 
     jobs = [gevent.spawn(write), gevent.spawn(look), gevent.spawn(look)]
     for n in range(1, 31):
-        assert mover(rig).migrate(KEY, (at + n) % 3, soon()) is MigrationStep.DONE
+        assert migrator(rig).migrate(KEY, (at + n) % 3, soon()) is MigrationStep.DONE
         gevent.sleep(0.02)
     done = True
     gevent.joinall(jobs, timeout=10, raise_error=True)
@@ -216,10 +216,10 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.FENCE).migrate(KEY, to, soon())
+        migrator(rig, MigrationStep.FENCE).migrate(KEY, to, soon())
     assert rig.client().ask("DELETE", PLACE + "k").status == 204
     assert rig.client().ask("GET", PLACE + "k").status == 404
-    mover(rig).migrate(KEY, to, soon(1), begun=Migration(at, to, 1))
+    migrator(rig).migrate(KEY, to, soon(1), begun=Migration(at, to, 1))
     assert rig.client().ask("GET", PLACE + "k").status == 404 and owners(rig) == []
     assert rig.client().ask("PUT", PLACE + "k", b"again").status == 201 and read(rig) == b"again"
 
@@ -231,7 +231,7 @@
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
     assert got.status == 200
-    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert rig.client().ask("PUT", PLACE + "k", b"third").status == 200
     got = rig.client().ask("PUT", PLACE + "k", b"second", **key)  # its client never saw the first answer
     assert got.status == 200 and got.getheader("ETag") == tag and read(rig) == b"third"
@@ -241,7 +241,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.ACTIVATE).migrate(KEY, to, soon())  # fenced, and its data are still there
+        migrator(rig, MigrationStep.ACTIVATE).migrate(KEY, to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
@@ -250,7 +250,7 @@
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
     got: Any = rig.client().ask("GET", PLACE + "k", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"  # it does not know whether it serves
-    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"first"
 
 
@@ -270,7 +270,7 @@
     at = put(rig)
     to = (at + 1) % 3
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.UPDATE_MAP).migrate(KEY, to, soon())  # open, and the map does not know yet
+        migrator(rig, MigrationStep.UPDATE_MAP).migrate(KEY, to, soon())  # open, and the map does not know yet
     if noted:
         assert rig.client().ask("PUT", PLACE + "k", b"at the new one").status == 200
     else:
@@ -279,14 +279,14 @@
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
     assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
-    assert mover(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"at the new one"
 
 
 def test_a_node_that_forgot_takes_no_write_of_what_may_lie_elsewhere(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
@@ -296,7 +296,7 @@
 def test_an_older_copy_that_comes_late_changes_nothing(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.FENCE).migrate(KEY, (at + 1) % 3, soon())
+        migrator(rig, MigrationStep.FENCE).migrate(KEY, (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), rig.nodes[(at + 1) % 3]
     old: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     assert rig.client().ask("PUT", PLACE + "k", b"late").status == 200
@@ -313,7 +313,7 @@
     cells = {key: rig.catalogue.catalogue.find("v", key)[0] for key in keys}  # type: ignore[index]
     drained = max(range(3), key=list(cells.values()).count)
     mine = [key for key in keys if cells[key] == drained]
-    m = mover(rig)
+    m = migrator(rig)
     jobs = [gevent.spawn(m.migrate, ExtentKey("v", key), (drained + 1) % 3, soon(20)) for key in mine]
     gevent.joinall(jobs, timeout=30)
     assert mine and all(job.value is MigrationStep.DONE for job in jobs)
@@ -329,7 +329,7 @@
     try:
         at = put(rig)
         rig.catalogue.catalogue.watchers.clear()
-        assert mover(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
+        assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         got: Any = rig.client().ask("PUT", PLACE + "k", b"y" * 50_000)
         assert got.status == 503 and json.loads(got.data)["error"] == "moving" and got.getheader("Retry-After")
         assert rig.client().ask("PUT", PLACE + "k", b"y" * 50_000).status == 200
@@ -352,7 +352,7 @@
         ("PUT", "/-/extent/data?volume=v&key=k&generation=x", b"\0\0\0\0"),
     ],
 )
-def test_a_movers_call_that_does_not_read_changes_nothing(rig: Rig, method: str, place: str, body: bytes) -> None:
+def test_a_malformed_call_of_a_migrator_changes_nothing(rig: Rig, method: str, place: str, body: bytes) -> None:
     at = put(rig)
     assert Client(rig.nodes[at].address).ask(method, place, body).status == 400
     assert rig.nodes[at].sides.rows == {} and read(rig) == b"first"
@@ -368,7 +368,7 @@
     writer = Client(rig.address)
     writer.sock.sendall(f"PUT {PLACE}k HTTP/1.1\r\nHost: t\r\nContent-Length: 6\r\n\r\nsec".encode())
     gevent.sleep(0.05)
-    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert (
         rig.nodes[at].store.find("v", "k") is None and "answering" in rig.nodes[at].server.states()
     )  # still being read
@@ -381,7 +381,7 @@
 def test_a_request_that_keeps_an_order_is_not_sent_on_behind_later_ones(rig: Rig) -> None:
     at = put(rig)
     rig.catalogue.catalogue.watchers.clear()
-    assert mover(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
+    assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"
     assert rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"}).status == 200
@@ -393,7 +393,7 @@
     try:
         at = put(rig)
         assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
-        assert mover(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
+        assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
             assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
     finally:
@@ -426,7 +426,7 @@
 def test_bytes_that_were_spoilt_on_the_way_are_not_taken(rig: Rig) -> None:
     at = put(rig)
     with pytest.raises(Killed):
-        mover(rig, MigrationStep.COPY).migrate(KEY, (at + 1) % 3, soon())
+        migrator(rig, MigrationStep.COPY).migrate(KEY, (at + 1) % 3, soon())
     source, dest = Client(rig.nodes[at].address), Client(rig.nodes[(at + 1) % 3].address)
     got: Any = source.ask("GET", "/-/extent/data?volume=v&key=k")
     bad = bytearray(got.data)
--- a/tests/test_extents.py
+++ b/tests/test_extents.py
@@ -1,4 +1,4 @@
-"""The extent map: whatever comes late, twice, out of order or from a restored service, all heads end with one map."""
+"""The extent map: whatever comes late, twice, out of order or from a restored service, all gateways end with one."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 )
 
 
-def fact(
+def make_record(
     extent: str,
-    cell: int,
+    shard: int,
     generation: int = 0,
     version: int = 1,
     epoch: int = 1,
     volume: str = "v",
     state: ExtentState = ExtentState.ACTIVE,
 ) -> ExtentRecord:
-    return ExtentRecord(volume, extent, cell, Stamp(generation, epoch, version), state)
+    return ExtentRecord(volume, extent, shard, Stamp(generation, epoch, version), state)
 
 
-def delta(
+def make_delta(
     after: int,
-    upto: int,
-    *facts: ExtentRecord,
+    up_to: int,
+    *records: ExtentRecord,
     epoch: int = 1,
-    whole: bool = False,
-    covers: tuple[LogPosition, ...] = (),
+    is_snapshot: bool = False,
+    covered_epochs: tuple[LogPosition, ...] = (),
 ) -> MapDelta:
-    return MapDelta(0, epoch, after, upto, facts, whole, covers)
+    return MapDelta(0, epoch, after, up_to, records, is_snapshot, covered_epochs)
 
 
 RECORD = ExtentRecord("v", "x", 3, Stamp(1, 2, 5), ExtentState.FENCED, 7)
@@ -73,15 +73,15 @@
 
 
 class Service:
-    """A map service of one shard as a history: each change a delta, now and then a snapshot, now and then restored
-    from an older state. What it says of an extent never goes back in generation, as nodes would not take the fence."""
+    """A map service of one partition: each change is a delta, and now and then it sends a snapshot or is restored from
+    an older state. An extent's generation never goes back, as nodes would not accept the fence."""
 
     def __init__(self, random: Random) -> None:
         self.random, self.epoch, self.version = random, 1, 0
         self.table: dict[str, ExtentRecord] = {}
         self.covers: dict[int, int] = {}
         self.generations: dict[str, int] = {}
-        self.said: list[MapDelta] = []
+        self.sent: list[MapDelta] = []
 
     def change(self) -> None:
         self.version += 1
@@ -94,20 +94,20 @@
             del self.table[extent]
         else:
             self.generations[extent] = self.generations.get(extent, 0) + 1
-            made = fact(extent, self.random.randrange(9), self.generations[extent], self.version, self.epoch)
+            made = make_record(extent, self.random.randrange(9), self.generations[extent], self.version, self.epoch)
             self.table[extent] = made
-        self.said.append(delta(self.version - 1, self.version, made, epoch=self.epoch))
+        self.sent.append(make_delta(self.version - 1, self.version, made, epoch=self.epoch))
 
     def snapshot(self) -> MapDelta:
-        made = delta(
+        made = make_delta(
             0,
             self.version,
             *self.table.values(),
             epoch=self.epoch,
-            whole=True,
-            covers=tuple(LogPosition(*row) for row in sorted(self.covers.items())),
+            is_snapshot=True,
+            covered_epochs=tuple(LogPosition(*row) for row in sorted(self.covers.items())),
         )
-        self.said.append(made)
+        self.sent.append(made)
         return made
 
     def restart(self) -> None:
@@ -131,25 +131,32 @@
     return service
 
 
-def content(m: ExtentMap) -> dict[str, tuple[int, Stamp]]:
-    return {f.extent: (f.shard, f.stamp) for f in m.records() if f.state is not ExtentState.DELETED}
+def content(extent_map: ExtentMap) -> dict[str, tuple[int, Stamp]]:
+    return {
+        record.extent: (record.shard, record.stamp)
+        for record in extent_map.records()
+        if record.state is not ExtentState.DELETED
+    }
 
 
 @settings(max_examples=300)
 @given(st.integers(0, 10**6), st.integers(1, 25), st.randoms(use_true_random=False))
 def test_any_order_of_the_same_deltas_ends_in_what_the_service_holds(seed: int, steps: int, random: Random) -> None:
     service = history(seed, steps)
-    told = [*service.said, *random.choices(service.said, k=5)]
+    told = [*service.sent, *random.choices(service.sent, k=5)]
     random.shuffle(told)
-    m = ExtentMap.empty(1)
+    extent_map = ExtentMap.empty(1)
     for d in told:
-        m = m.apply(d)
-    assert content(m) == {e: (f.shard, f.stamp) for e, f in service.table.items()}
-    assert m.partitions[0].complete_to == (service.epoch, service.version) and m.partitions[0].gap is None
+        extent_map = extent_map.apply(d)
+    assert content(extent_map) == {e: (record.shard, record.stamp) for e, record in service.table.items()}
+    assert (
+        extent_map.partitions[0].complete_to == (service.epoch, service.version)
+        and extent_map.partitions[0].gap is None
+    )
     again = ExtentMap.empty(1)
-    for d in service.said:
+    for d in service.sent:
         again = again.apply(d)
-    assert content(again) == content(m)
+    assert content(again) == content(extent_map)
 
 
 @settings(max_examples=200)
@@ -158,87 +165,100 @@
     service = Service(Random(seed))
     for _ in range(steps):
         service.change()
-    lost = random.choice(service.said)
-    rest = [d for d in service.said if d is not lost]
+    lost = random.choice(service.sent)
+    rest = [d for d in service.sent if d is not lost]
     random.shuffle(rest)
-    m = ExtentMap.empty(1)
+    extent_map = ExtentMap.empty(1)
     for d in rest:
-        m = m.apply(d)
+        extent_map = extent_map.apply(d)
     if lost.up_to == service.version:
-        assert m.partitions[0].complete_to == (1, lost.after)
+        assert extent_map.partitions[0].complete_to == (1, lost.after)
     else:
-        assert m.partitions[0].gap == (lost.after, lost.up_to)
-    m = m.apply(lost)
-    assert m.partitions[0].gap is None and m.partitions[0].complete_to == (1, service.version)
-
-
-def test_the_order_of_facts_is_generation_then_epoch_then_version() -> None:
-    rows = [fact("x", 1, 0, 9, 9), fact("x", 2, 1, 1, 1), fact("x", 3, 1, 5, 1), fact("x", 4, 1, 2, 2)]
+        assert extent_map.partitions[0].gap == (lost.after, lost.up_to)
+    extent_map = extent_map.apply(lost)
+    assert extent_map.partitions[0].gap is None and extent_map.partitions[0].complete_to == (1, service.version)
+
+
+def test_records_are_ordered_by_generation_then_epoch_then_version() -> None:
+    rows = [
+        make_record("x", 1, 0, 9, 9),
+        make_record("x", 2, 1, 1, 1),
+        make_record("x", 3, 1, 5, 1),
+        make_record("x", 4, 1, 2, 2),
+    ]
     for k, low in enumerate(rows):
         for high in rows[k + 1 :]:
             assert later(low, high) is high and later(high, low) is high
     assert later(None, rows[0]) is rows[0]
-    a, b = fact("x", 1), fact("x", 2)
+    a, b = make_record("x", 1), make_record("x", 2)
     assert later(a, b) == later(b, a)
 
 
-def test_a_restored_service_does_not_undo_a_move_that_nodes_know_of() -> None:
-    """Its backup is older than the move; what it says of the extent has the lower generation."""
-    m = ExtentMap.empty(1).apply(delta(0, 1, fact("x", 1))).apply(delta(1, 2, fact("x", 2, 1, 2)))
-    old = fact("x", 1)
-    m = m.apply(delta(0, 0, old, epoch=2, whole=True, covers=(LogPosition(1, 1),)))
-    found = m.find("v", "x")
+def test_a_restored_service_does_not_undo_a_migration_that_nodes_know_of() -> None:
+    """Its backup is older than the migration: its record of the extent has the lower generation."""
+    extent_map = (
+        ExtentMap.empty(1)
+        .apply(make_delta(0, 1, make_record("x", 1)))
+        .apply(make_delta(1, 2, make_record("x", 2, 1, 2)))
+    )
+    old = make_record("x", 1)
+    extent_map = extent_map.apply(make_delta(0, 0, old, epoch=2, is_snapshot=True, covered_epochs=(LogPosition(1, 1),)))
+    found = extent_map.find("v", "x")
     assert found is not None and found.shard == 2
 
 
-def test_what_a_restored_service_never_knew_stays_until_it_is_told_of() -> None:
-    m = ExtentMap.empty(1).apply(delta(0, 1, fact("a", 1))).apply(delta(1, 2, fact("new", 3, 0, 2)))
-    restored = delta(0, 0, epoch=2, whole=True, covers=(LogPosition(1, 1),))
-    m = m.apply(restored)
-    assert m.find("v", "a") is None  # known to the backup, and gone since
-    assert m.find("v", "new") is not None  # made after the backup: the service lost it, not the data
+def test_what_a_restored_service_never_knew_stays_until_it_is_reported() -> None:
+    extent_map = (
+        ExtentMap.empty(1)
+        .apply(make_delta(0, 1, make_record("a", 1)))
+        .apply(make_delta(1, 2, make_record("new", 3, 0, 2)))
+    )
+    restored = make_delta(0, 0, epoch=2, is_snapshot=True, covered_epochs=(LogPosition(1, 1),))
+    extent_map = extent_map.apply(restored)
+    assert extent_map.find("v", "a") is None  # known to the backup, and gone since
+    assert extent_map.find("v", "new") is not None  # made after the backup: the service lost it, not the data
 
 
 def test_a_deleted_extent_is_not_brought_back_by_a_late_delta() -> None:
-    first = delta(0, 1, fact("x", 1))
-    m = ExtentMap.empty(1).apply(delta(0, 5, whole=True)).apply(first)
-    assert m.find("v", "x") is None and len(m) == 0
+    first = make_delta(0, 1, make_record("x", 1))
+    extent_map = ExtentMap.empty(1).apply(make_delta(0, 5, is_snapshot=True)).apply(first)
+    assert extent_map.find("v", "x") is None and len(extent_map) == 0
 
 
 def test_what_changed_nothing_is_the_same_map_and_the_rest_is_shared() -> None:
-    m = ExtentMap.empty(8)
+    extent_map = ExtentMap.empty(8)
     volumes = [f"v{k}" for k in range(40)]
     for k, v in enumerate(volumes):
         shard = partition_of(v, 8)
-        have = m.partitions[shard].complete_to[1]
-        m = m.apply(MapDelta(shard, 1, have, have + 1, (fact("x", k, 0, have + 1, volume=v),)))
-    again = m.apply(MapDelta(partition_of("v0", 8), 1, 0, 1, (fact("x", 0, 0, 1, volume="v0"),)))
-    assert again is m
+        have = extent_map.partitions[shard].complete_to[1]
+        extent_map = extent_map.apply(MapDelta(shard, 1, have, have + 1, (make_record("x", k, 0, have + 1, volume=v),)))
+    again = extent_map.apply(MapDelta(partition_of("v0", 8), 1, 0, 1, (make_record("x", 0, 0, 1, volume="v0"),)))
+    assert again is extent_map
     at = partition_of("v3", 8)
-    have = m.partitions[at].complete_to[1]
-    other = m.apply(MapDelta(at, 1, have, have + 1, (fact("x", 99, 1, have + 1, volume="v3"),)))
-    assert [a is b for a, b in zip(m.partitions, other.partitions, strict=True)].count(False) == 1
-    old, new = m.find("v3", "x"), other.find("v3", "x")
+    have = extent_map.partitions[at].complete_to[1]
+    other = extent_map.apply(MapDelta(at, 1, have, have + 1, (make_record("x", 99, 1, have + 1, volume="v3"),)))
+    assert [a is b for a, b in zip(extent_map.partitions, other.partitions, strict=True)].count(False) == 1
+    old, new = extent_map.find("v3", "x"), other.find("v3", "x")
     assert old is not None and new is not None and (old.shard, new.shard) == (3, 99)
 
 
-def test_a_hint_of_a_node_is_joined_and_says_nothing_of_the_log() -> None:
-    m = ExtentMap.empty(1).apply(delta(0, 1, fact("x", 1)))
-    told = m.merge_record(fact("x", 5, 3))
+def test_a_record_of_a_node_is_joined_and_says_nothing_of_the_log() -> None:
+    extent_map = ExtentMap.empty(1).apply(make_delta(0, 1, make_record("x", 1)))
+    told = extent_map.merge_record(make_record("x", 5, 3))
     found = told.find("v", "x")
     assert found is not None and found.shard == 5 and told.partitions[0].complete_to == (1, 1)
-    assert told.merge_record(fact("x", 4, 2)) is told
+    assert told.merge_record(make_record("x", 4, 2)) is told
 
 
 @pytest.mark.parametrize(
     ("bad", "why"),
     [
         (MapDelta(3, 1, 0, 1, ()), "there are 1 shards"),
-        (delta(2, 1), "do not fall"),
-        (delta(1, 2, whole=True), "begins at 0"),
-        (delta(0, 1, fact("x", 1, 0, 5)), "later fact"),
-        (delta(0, 1, fact("x", -1)), "lies nowhere"),
-        (delta(0, 1, covers=(LogPosition(1, 1),)), "covers"),
+        (make_delta(2, 1), "do not fall"),
+        (make_delta(1, 2, is_snapshot=True), "begins at 0"),
+        (make_delta(0, 1, make_record("x", 1, 0, 5)), "later fact"),
+        (make_delta(0, 1, make_record("x", -1)), "lies nowhere"),
+        (make_delta(0, 1, covered_epochs=(LogPosition(1, 1),)), "covers"),
     ],
 )
 def test_a_delta_that_contradicts_itself_is_not_applied(bad: MapDelta, why: str) -> None:
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""Moves, model-checked: movers that die at any step, two for one extent, nodes that forget, writes all the while."""
+"""Migrations, model-checked: migrators that die at any step, two for one extent, nodes that forget, late writes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Three nodes, the map's word on one extent, and movers that keep nothing."""
+    """Three nodes, the map's record of one extent, and migrators that keep no state."""
 
     def __init__(self) -> None:
         self.nodes = [Replica() for _ in range(NODES)]
@@ -75,7 +75,7 @@
                 self.step(m) not in (MigrationStep.DONE, MigrationStep.SUPERSEDED, MigrationStep.WAIT) for m in moves
             ):
                 return
-        raise AssertionError("movers never come to rest")
+        raise AssertionError("migrators never come to rest")
 
 
 class Moving(RuleBasedStateMachine):
@@ -87,7 +87,7 @@
 
     @rule(to=st.integers(0, NODES - 1))
     def begin(self, to: int) -> None:
-        """Any mover may begin one from where the map says the extent lies."""
+        """Any migrator may begin one from where the map says the extent is."""
         f = self.fleet
         if to != f.cell and len(self.moves) < 6:
             self.moves.append(Migration(f.cell, to, f.mapped + 1))
@@ -100,7 +100,7 @@
     @precondition(lambda self: self.moves)
     @rule(k=st.integers(0, 5), undo=st.booleans())
     def look(self, k: int, undo: bool) -> None:
-        """A mover looks and is slow to act: another may act first."""
+        """A migrator looks and is slow to act: another may act first."""
         move = self.moves[k % len(self.moves)]
         self.slow = [*self.slow[-5:], (move, self.fleet.look(move, undo))]
 
@@ -171,14 +171,14 @@
     return ReplicaResult.DONE
 
 
-def _fills_again(self: Replica, generation: int) -> ReplicaResult:
+def _fills_when_cancelled(self: Replica, generation: int) -> ReplicaResult:
     if self.role in (ReplicaRole.OWNER, ReplicaRole.FENCED) or self.generation > generation:
         return ReplicaResult.REFUSED
     self.role, self.generation, self.log, self.position = ReplicaRole.FILLING, generation, [], 0
     return ReplicaResult.DONE
 
 
-def _opens_early(self: Replica, generation: int, fence: int) -> ReplicaResult:
+def _activates_early(self: Replica, generation: int, fence: int) -> ReplicaResult:
     if self.role is ReplicaRole.FILLING and self.generation == generation:
         self.role = ReplicaRole.OWNER
         return ReplicaResult.DONE
@@ -193,7 +193,7 @@
 
 
 def _undone(f: Fleet, move: Migration) -> list[int]:
-    """A fence undone while another mover takes the cancelled node up again; the owners after it."""
+    """A fence undone while another migrator takes the cancelled node up again; the owners after it."""
     f.write(0, "k", "v")
     while f.nodes[0].role is not ReplicaRole.FENCED:
         f.step(move)
@@ -206,13 +206,13 @@
     return f.owners()
 
 
-def test_a_node_that_takes_a_cancelled_move_up_again_makes_two_owners(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_that_resumes_a_cancelled_migration_makes_two_owners(monkeypatch: pytest.MonkeyPatch) -> None:
     assert _undone(Fleet(), Migration(0, 1, 1)) == [0]
-    monkeypatch.setattr(Replica, "begin_filling", _fills_again)
+    monkeypatch.setattr(Replica, "begin_filling", _fills_when_cancelled)
     assert _undone(Fleet(), Migration(0, 1, 1)) == [0, 1]
 
 
-def test_a_mover_that_opens_early_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_migrator_that_activates_early_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     import tests.test_migration as here
 
     right = next_step
@@ -223,13 +223,13 @@
         said = right(move, source, dest, mapped, undo)
         return MigrationStep.ACTIVATE if said is MigrationStep.CATCH_UP else said
 
-    monkeypatch.setattr(Replica, "activate", _opens_early)
+    monkeypatch.setattr(Replica, "activate", _activates_early)
     monkeypatch.setattr(here, "next_step", hasty)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(Moving, settings=FIRST)
 
 
-def test_a_move_goes_through_its_steps_in_order() -> None:
+def test_a_migration_goes_through_its_steps_in_order() -> None:
     f, move = Fleet(), Migration(0, 1, 1)
     for k in range(20):
         f.write(0, f"k{k}", f"v{k}")
@@ -248,7 +248,7 @@
     assert f.nodes[0].log == []
 
 
-def test_of_two_movers_one_wins_and_the_other_is_told() -> None:
+def test_of_two_migrators_one_wins_and_the_other_is_superseded() -> None:
     f, a, b = Fleet(), Migration(0, 1, 1), Migration(0, 2, 1)
     f.write(0, "k", "v")
     while f.look(a) is not MigrationStep.FENCE or f.look(b) is not MigrationStep.FENCE:
@@ -263,7 +263,7 @@
     assert f.step(winner) is MigrationStep.DONE and f.step(loser) is MigrationStep.SUPERSEDED
 
 
-def test_a_fence_can_be_undone_until_the_new_node_opens() -> None:
+def test_a_fence_can_be_undone_until_the_target_is_activated() -> None:
     f, move = Fleet(), Migration(0, 1, 1)
     f.write(0, "k", "v")
     while f.nodes[0].role is not ReplicaRole.FENCED:
@@ -283,7 +283,7 @@
     )
 
 
-def test_a_node_without_its_memory_serves_nobody_until_it_is_told() -> None:
+def test_a_node_without_its_memory_serves_nobody_until_it_is_confirmed() -> None:
     f, move = Fleet(), Migration(0, 1, 1)
     f.write(0, "k", "v")
     f.settle([move])
@@ -296,7 +296,7 @@
     assert same.confirm(3, True) is ReplicaResult.DONE and same.role is ReplicaRole.OWNER
 
 
-def test_a_gap_in_what_is_taken_in_is_not_jumped() -> None:
+def test_a_gap_in_appended_writes_is_refused() -> None:
     source, dest = Replica(), Replica()
     source.create(0)
     for k in range(4):
@@ -314,7 +314,7 @@
     )
 
 
-def test_a_mover_waits_for_a_node_that_does_not_answer() -> None:
+def test_a_migrator_waits_for_a_node_that_does_not_answer() -> None:
     move, copy = Migration(0, 1, 1), Replica()
     copy.create(0)
     assert next_step(move, None, ReplicaReport(ReplicaRole.ABSENT, -1), 0) is MigrationStep.WAIT
@@ -324,7 +324,7 @@
 
 
 @pytest.mark.parametrize("make", [Replica, ObjectReplica])
-def test_what_has_forgotten_its_data_does_not_serve_again(make: type[Replica]) -> None:
+def test_what_has_discarded_its_data_does_not_serve_again(make: type[Replica]) -> None:
     c = make()
     c.create(0)
     c.write("n", "1")
@@ -342,7 +342,7 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "dest", "mapped", "cell", "told"),
+    ("source", "dest", "mapped", "map_shard", "notice"),
     [
         (
             ReplicaReport(ReplicaRole.OWNER, -1),
@@ -385,7 +385,11 @@
         (None, ReplicaReport(ReplicaRole.UNCONFIRMED, 5), 5, 1, OwnershipNotice(1, ReplicaCommand.CONFIRM, 5, True)),
     ],
 )
-def test_what_a_node_is_told_before_any_step(
-    source: ReplicaReport | None, dest: ReplicaReport | None, mapped: int, cell: int, told: OwnershipNotice | None
+def test_the_notice_that_a_node_needs_before_any_step(
+    source: ReplicaReport | None,
+    dest: ReplicaReport | None,
+    mapped: int,
+    map_shard: int,
+    notice: OwnershipNotice | None,
 ) -> None:
-    assert required_notice(MOVE, source, dest, mapped, cell) == told
+    assert required_notice(MOVE, source, dest, mapped, map_shard) == notice
