--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -26,8 +26,9 @@
     read_target,
     read_token,
 )
-from fawnspool.gateway.extent_directory import PlacesError
+from fawnspool.extents.records import ExtentWrite
 from fawnspool.gateway.gateway import Gateway, ObjectRequest
+from fawnspool.gateway.map_client import MapServiceError
 from fawnspool.gateway.request_state import AnswerKind, ClientRequest, NodeAnswer, RequestBody
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.exchange import Exchange
@@ -174,14 +175,14 @@
         self, operation: _Operation, deadline: float, submit: Callable[[Place], ClientRequest]
     ) -> ClientRequest:
         """Read at the place that the map has; where no object is there, ask the map service once and read again."""
-        places = self.gateway.places
+        directory = self.gateway.extent_directory
         asked_place: Place | None = _NO_PLACE
         asked_at = 0.0
         for fresh in (False, True):
             now = time.monotonic()
             place = self._find(operation, deadline, fresh)
             if fresh and place != asked_place:
-                places.sent(False, now - asked_at)
+                directory.record_send(False, now - asked_at)
             if place is None:
                 raise NoSuchObjectError(operation.volume, operation.key)
             asked_place = place
@@ -190,7 +191,7 @@
             answer = pending.answer
             is_gone = pending.answer_kind is AnswerKind.SERVED and answer is not None and answer.status == _NOT_FOUND
             if not is_gone:
-                places.sent(True, 0.0)
+                directory.record_send(True, 0.0)
             if not is_gone or fresh or time.monotonic() >= pending.deadline:
                 break
             self.gateway.count_finished(pending, "moved")
@@ -209,7 +210,7 @@
 
         def submit(place: Place) -> ClientRequest:
             nonlocal generation
-            generation = self.gateway.places.generation(volume, key)
+            generation = self.gateway.extent_directory.generation_of(volume, key)
             return self._submit(operation, place[0], head.length)
 
         pending = self._submit_following_moves(operation, place or _NO_PLACE, submit)
@@ -224,17 +225,12 @@
         exchange = operation.exchange
         assert pending.served_by_shard is not None
         is_new = exchange.head.headers.get(b"if-none-match", b"").strip() == b"*"
+        write = ExtentWrite(
+            operation.volume, operation.key, pending.served_by_shard, exchange.body_bytes, is_new, generation
+        )
         try:
-            is_noted = self.gateway.places.note(
-                operation.volume,
-                operation.key,
-                pending.served_by_shard,
-                exchange.body_bytes,
-                is_new,
-                self._note_deadline(pending),
-                generation,
-            )
-        except PlacesError as error:
+            is_noted = self.gateway.extent_directory.record_write(write, self._note_deadline(pending))
+        except MapServiceError as error:
             self._log_place_error("written_place_not_noted", operation, error)
             pending.answer_kind = AnswerKind.FAILED
         else:
@@ -257,11 +253,11 @@
 
     def _note_deleted(self, operation: _Operation, pending: ClientRequest) -> None:
         try:
-            self.gateway.places.drop(operation.volume, operation.key, self._note_deadline(pending))
-        except PlacesError as error:
+            self.gateway.extent_directory.delete(operation.volume, operation.key, self._note_deadline(pending))
+        except MapServiceError as error:
             self._log_place_error("deleted_place_not_dropped", operation, error)
 
-    def _log_place_error(self, event: str, operation: _Operation, error: PlacesError) -> None:
+    def _log_place_error(self, event: str, operation: _Operation, error: MapServiceError) -> None:
         self.gateway.log.error(event, volume=operation.volume, key=operation.key, error=str(error))
 
     def _note_deadline(self, pending: ClientRequest) -> float:
@@ -271,8 +267,8 @@
         discard_body(exchange)
         asked = read_list_query(query)
         try:
-            keys, more = self.gateway.places.list(volume, asked.prefix, asked.after, asked.limit)
-        except PlacesError as error:
+            keys, more = self.gateway.extent_directory.list_keys(volume, asked.prefix, asked.after, asked.limit)
+        except MapServiceError as error:
             raise UnavailableError("no-catalogue", str(error)) from None
         listing: dict[str, Any] = {"volume": volume, "objects": [{"key": key, "size": size} for key, size in keys]}
         if more:
@@ -288,8 +284,8 @@
     def _find_named(self, volume: str, key: str, deadline: float, fresh: bool = False) -> Place | None:
         """Return where the object is, None: there is none; `fresh`: by the map service's own word."""
         try:
-            return self.gateway.places.find(volume, key, deadline, fresh)
-        except PlacesError as error:
+            return self.gateway.extent_directory.find(volume, key, deadline, fresh)
+        except MapServiceError as error:
             raise UnavailableError("no-catalogue", str(error)) from None
 
     def _read_body(self, exchange: Exchange) -> RequestBody:
@@ -338,9 +334,11 @@
             self.gateway.count_finished(pending, "moved")
             moved_to = parse_moved(answer.headers.get(MOVED_HEADER)) if answer.status == _MOVED_STATUS else None
             if moved_to is not None:
-                place = self.gateway.places.moved(operation.volume, operation.key, *moved_to)
+                place = self.gateway.extent_directory.redirected(operation.volume, operation.key, *moved_to)
             left_s = pending.deadline - time.monotonic()
-            pause_s = self.gateway.places.stale.redirect_pause_s(turn, moved_to is not None, left_s, only_once)
+            pause_s = self.gateway.extent_directory.staleness.redirect_pause_s(
+                turn, moved_to is not None, left_s, only_once
+            )
             if pause_s is None:
                 break
             gevent.sleep(pause_s)
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -14,7 +14,7 @@
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.head import HeadConfig
 from fawnspool.config.scheduler_settings import scheduler_settings
-from fawnspool.extents.staleness import StalenessSettings
+from fawnspool.extents.staleness import Staleness, StalenessSettings
 from fawnspool.gateway.attempts import AttemptOutcome
 from fawnspool.gateway.core import GatewayCore
 from fawnspool.gateway.endpoint_client import (
@@ -24,10 +24,12 @@
     StaticEndpointClient,
 )
 from fawnspool.gateway.event_loop import DecisionModule
-from fawnspool.gateway.extent_directory import MapClient, Places, Source
+from fawnspool.gateway.extent_directory import ExtentDirectory
 from fawnspool.gateway.gossip_runner import GossipRunner, SchedulerView
 from fawnspool.gateway.lease_runner import LeaseRunner
 from fawnspool.gateway.leased_work import LeasedWork
+from fawnspool.gateway.map_client import MapClient, MapSource
+from fawnspool.gateway.map_store import MapCheckpoint
 from fawnspool.gateway.node_protocol import FawnspoolNodeProtocol
 from fawnspool.gateway.node_status import node_gauges, node_rows
 from fawnspool.gateway.observability import Observability
@@ -42,7 +44,7 @@
 from fawnspool.net.listener import parse_address
 from fawnspool.net.node_headers import REPORT_HEADER, parse_node_report
 from fawnspool.records.background_writer import BackgroundWriter
-from fawnspool.records.decision_recording import Recorder, module_hash
+from fawnspool.records.decision_recording import Recorder, RecordingHeader, module_hash
 from fawnspool.scheduling import interface
 from fawnspool.scheduling.scheduler import Scheduler
 from fawnspool.telemetry import logs
@@ -118,7 +120,7 @@
     endpoints: EndpointClient
 
     def __init__(
-        self, config: HeadConfig, *, source: Source | None = None, records: list[EndpointRecord] | None = None
+        self, config: HeadConfig, *, source: MapSource | None = None, records: list[EndpointRecord] | None = None
     ) -> None:
         settings = scheduler_settings(config)
         self.config = config
@@ -129,7 +131,10 @@
         self.started_at = time.monotonic()
         counters = GatewayCounters()
         state = StateSources(
-            lambda: node_gauges(self.loop.module), lambda: self.places.status(), self.duty_status, self.shared_status
+            lambda: node_gauges(self.loop.module),
+            lambda: self.extent_directory.status(),
+            self.duty_status,
+            self.shared_status,
         )
         self.exporter = PrometheusExporter(counters, state)
         module = make_policy(config.head.policy, settings, config.head.seed)
@@ -146,7 +151,7 @@
             ),
         )
         self.endpoints = self._make_endpoints(records)
-        self.places = self._make_places(source)
+        self.extent_directory = self._make_extent_directory(source)
         self.probes = gevent.pool.Group()
         self.peers: PeerSocket | None = None
         self.leases: LeaseRunner | None = None
@@ -156,7 +161,8 @@
         head = self.config.head
         if not head.record:
             return None
-        return Recorder(head.record, head.policy, settings, head.seed, module_hash(module), self.file_writer)
+        header = RecordingHeader(head.policy, settings, head.seed, module_hash(module))
+        return Recorder(head.record, header, self.file_writer)
 
     def _make_traces(self) -> Traces | None:
         head = self.config.head
@@ -178,24 +184,25 @@
             return StaticEndpointClient(config, records, self.loop.post, self.log, self.file_writer)
         return EndpointClient(config, self.loop.post, self.log, self.file_writer)
 
-    def _make_places(self, source: Source | None) -> Places:
+    def _make_extent_directory(self, source: MapSource | None) -> ExtentDirectory:
         head = self.config.head
+        service = self.config.catalogue
         if source is not None:
-            return Places(source, StalenessSettings(gateway_count=head.heads), head.seed, self.log)
-        catalogue = self.config.catalogue
-        where = parse_address(catalogue.address)
-        return Places(
-            MapClient(where, catalogue.call_timeout),
-            StalenessSettings(gateway_count=head.heads, service_calls_per_s=catalogue.peak),
-            head.seed,
+            settings = StalenessSettings(gateway_count=head.heads)
+            return ExtentDirectory(source, Staleness(settings, 1, head.seed), self.log)
+        settings = StalenessSettings(gateway_count=head.heads, service_calls_per_s=service.peak)
+        return ExtentDirectory(
+            MapClient(parse_address(service.address), service.call_timeout),
+            Staleness(settings, 1, head.seed),
             self.log,
-            address=where,
-            timeout=catalogue.call_timeout,
-            folder=Path(head.data),
-            behind=self.file_writer,
-            follow=catalogue.watch,
+            watching=service.watch,
+            checkpoint=MapCheckpoint(Path(head.data), self.file_writer, self._log_unsaved_map),
         )
 
+    def _log_unsaved_map(self, problem: str) -> None:
+        """Log that the map's files lag: a restart will ask the map service for more."""
+        self.log.error("map_save_failed", error=problem)
+
     # ------------------------------------------------------------ start and end
 
     def start(self) -> None:
@@ -206,7 +213,7 @@
             self.peers = PeerSocket(parse_address(head.peer_listen), head.number, peer_addresses, self.loop.post)
         super().start()
         self.endpoints.start()
-        self.places.start()
+        self.extent_directory.start()
         if self.config.duties is not None and self.peers is not None:
             self._start_leases(self.peers)
         if self.config.shared is not None and self.peers is not None:
@@ -218,7 +225,7 @@
         view = GatewayView(nodes=lambda: self.endpoints.nodes, requests_in_flight=lambda: len(self.pending))
         map_client = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
         self.leases = LeaseRunner(config.duties, self._place_in_fleet(), Path(config.head.data), peers, self.log)
-        self.leases.start(LeasedWork(RoleContext(self.places, map_client, view, self.log)))
+        self.leases.start(LeasedWork(RoleContext(self.extent_directory, map_client, view, self.log)))
 
     def _start_gossip(self, peers: PeerSocket) -> None:
         assert self.config.shared is not None
@@ -248,20 +255,22 @@
             self.gossip.stop()
         self.probes.kill(block=False)
         self.endpoints.stop()
-        self.places.stop()
+        self.extent_directory.stop()
         if self.peers is not None:
             self.peers.stop()
         super().stop()
         if self.traces is not None:
             self.traces.close()
         if not self.file_writer.close():
-            self.log.error("records_not_written", reason="the disk is too slow", unwritten_bytes=self.file_writer.waits)
+            self.log.error(
+                "records_not_written", reason="the disk is too slow", unwritten_bytes=self.file_writer.pending_bytes
+            )
 
     def _periodic_checks(self) -> Iterable[Check]:
         return (*super()._periodic_checks(), self._check_file_writer)
 
     def _check_file_writer(self) -> None:
-        if error := self.file_writer.failed():
+        if error := self.file_writer.take_error():
             self.log.error("file_write_failed", error=error, remedy="see `head.trace` and `head.data`")
 
     # ------------------------------------------------------------ requests
@@ -283,7 +292,7 @@
             class_name=self.config.class_[request.class_index].name,
             plan_name=volume.plan,
         )
-        if age_s := self.places.behind_by():  # the client is told that its object's place may be old
+        if age_s := self.extent_directory.stale_for_s():  # the client is told that its object's place may be old
             pending.answer_headers = [(b"Fawn-Map-Age-Ms", b"%d" % min(age_s * _MS_PER_S, MAX_MAP_AGE_MS))]
         if self.traces is not None:
             pending.span = self.traces.begin(
@@ -389,7 +398,7 @@
                 "errors": counters.module_errors,
                 "us_per_event": round(counters.module_seconds / max(1, counters.module_events) * _US_PER_S, 1),
             },
-            "map": self.places.status(),
+            "map": self.extent_directory.status(),
             "duties": self.duty_status(),
             "shared": self.shared_status(),
             "nodes": node_rows(self.endpoints.nodes, self.loop.module),
