--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -19,7 +19,7 @@
 from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
 from fawnspool.standins.catalogue import Catalogue
-from fawnspool.standins.node import NodeServer
+from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.telemetry import logs
 
 DEFAULT = Path(__file__).parent / "embedded.hcl"
@@ -33,9 +33,8 @@
     traits = NodeTraits(cores=e.cores, unit_time=e.unit_time, room=1000)
     for k in range(e.nodes):
         zone = config.nodes.zones[k % len(config.nodes.zones)]
-        node = NodeServer(
-            k + 1, ("127.0.0.1", 0), data / f"node-{k + 1}", traits, zone=zone, load_fields=config.nodes.load_fields
-        )
+        options = NodeOptions(load_fields=config.nodes.load_fields, zone=zone)
+        node = NodeServer(k + 1, ("127.0.0.1", 0), data / f"node-{k + 1}", traits, options)
         node.start()
         nodes.append(node)
         rows.append(EndpointRecord(k + 1, f"127.0.0.1:{node.address[1]}", zone, config.nodes.kinds[0], k))
--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -16,7 +16,7 @@
 from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.meter import MeterClient, MeterServer
-from fawnspool.standins.node import NodeServer
+from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.standins.nodelist import Entry, NodeListServer
 
 
@@ -103,14 +103,16 @@
             _where(listen),
             data,
             traits,
-            cold=cold,
-            seed=seed,
-            zone=zone,
-            load_fields=tuple(load_fields.split(",")),
-            record=FrameWriter(record, append=True) if record else None,
-            groups=Path(groups) if groups else None,
-            meter=client.use if client else None,
-            served=client.served if client else None,
+            NodeOptions(
+                cold=cold,
+                seed=seed,
+                load_fields=tuple(load_fields.split(",")),
+                zone=zone,
+                groups_folder=Path(groups) if groups else None,
+                recording=FrameWriter(record, append=True) if record else None,
+                volume_use=client.use if client else None,
+                on_served=client.served if client else None,
+            ),
         )
     except OSError as bad:
         fail(str(bad.strerror or bad), 3)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -39,9 +39,9 @@
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.clients import content, lag_meter
 from fawnspool.standins.meter import MeterServer
-from fawnspool.standins.moving import Sides
 from fawnspool.standins.nodelist import Entry, NodeListServer
-from fawnspool.standins.store import Store
+from fawnspool.standins.object_replicas import ObjectReplicas
+from fawnspool.standins.object_store import ObjectStore
 
 HEADS_MOST, NODES_MOST = 16, 32
 BEHIND_LINKS = ("duty_nodes",)  # troubles that cut heads off from nodes and services
@@ -193,7 +193,7 @@
 
     def _hold_objects(self) -> None:
         """What volumes hold from the start lies on the nodes' disks and in the catalogue."""
-        stores = [Store(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
+        stores = [ObjectStore(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
         for volume, key, size, cell in held_objects(self.day, self.seed):
             draft = stores[cell].draft()
             draft.add(content(volume, key, size))
@@ -761,24 +761,26 @@
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
         moments is not counted as left."""
-        sides = {
-            c.cell: Sides(self.folder / f"cell-{c.cell}", Store(self.folder / f"cell-{c.cell}" / "objects"))
+        replicas = {
+            c.cell: ObjectReplicas(
+                self.folder / f"cell-{c.cell}", ObjectStore(self.folder / f"cell-{c.cell}" / "objects")
+            )
             for c in self.cells
         }
         left = missing = twice = 0
         named = ""
         for f in self._facts():
             left += f.shard in self.drained and (f.volume, f.extent) in self.to_leave
-            serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is ReplicaRole.OWNER]
-            under_way = sides[f.shard].side(f.volume, f.extent)  # the day's end came in the middle of its move
+            serve = [k for k, r in replicas.items() if r.get(f.volume, f.extent).role is ReplicaRole.OWNER]
+            under_way = replicas[f.shard].get(f.volume, f.extent)  # the day's end came in the middle of its move
             missing += not serve and not (
                 under_way.role is ReplicaRole.FENCED and under_way.has_data and f.shard in self.drained
             )
             twice += len(serve) > 1
             if len(serve) != 1 and not named:
                 named = f"{f.volume}/{f.extent} by the map in cell {f.shard}, served by {serve}"
-        for s in sides.values():
-            s.close()
+        for held in replicas.values():
+            held.close()
         return {"left": left, "missing": missing, "twice": twice, "named": named}
 
     # ------------------------------------------------------------ the end
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -23,7 +23,7 @@
 from fawnspool.leases.fencing import StaleTokenError
 from fawnspool.scheduling import rate_limits
 from fawnspool.scheduling.rate_limits import RateLimiter, RateLimits
-from fawnspool.standins import moving
+from fawnspool.standins import node_fence
 
 
 class UnkillableGreenlet(gevent.Greenlet):  # type: ignore[misc]
@@ -82,13 +82,13 @@
 
 def forgets_fence() -> None:
     """A node that admits every token."""
-    real = moving.Gate.passes
+    real = node_fence.NodeFence.newer_token
 
-    def passes(self: Any, query: dict[str, str], what: str) -> int | None:
+    def newer_token(self: Any, query: dict[str, str], step: str) -> int | None:
         self.fence.newest.clear()
-        return real(self, query, what)
+        return real(self, query, step)
 
-    moving.Gate.passes = passes  # type: ignore[method-assign]
+    node_fence.NodeFence.newer_token = newer_token  # type: ignore[method-assign]
 
 
 def full_disk() -> None:
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -20,7 +20,7 @@
 from fawnspool.model.node import NodeTraits
 from fawnspool.records.frames import FrameReader, FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
-from fawnspool.standins.node import NodeServer
+from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.standins.nodelist import Entry, NodeListServer
 
 CONFIG = """
@@ -153,9 +153,7 @@
             ("127.0.0.1", port),
             self.tmp / f"n{k}",
             self.traits,
-            cold=cold,
-            record=self.records[k],
-            load_fields=("queue",),
+            NodeOptions(cold=cold, load_fields=("queue",), recording=self.records[k]),
         )
         node.start()
         return node
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -68,7 +68,7 @@
     return [
         k
         for k, n in enumerate(rig.nodes)
-        if n.sides.side("v", key).role is ReplicaRole.OWNER and n.store.find("v", key)
+        if n.replicas.get("v", key).role is ReplicaRole.OWNER and n.store.find("v", key)
     ]
 
 
@@ -244,7 +244,7 @@
         migrator(rig, MigrationStep.ACTIVATE).migrate(KEY, to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
-    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
+    assert rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.FENCED
     rig.nodes[at].stop()
     (rig.tmp / f"n{at}" / "moves.rec").unlink()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
@@ -278,7 +278,7 @@
         assert Client(rig.nodes[to].address).ask("PUT", "/o/v/k", b"at the new one", Fawn_Call=call).status == 200
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
-    assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
+    assert len(owners(rig)) <= 1 and rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.FENCED
     assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"at the new one"
 
@@ -290,7 +290,7 @@
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
-    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.UNCONFIRMED
+    assert rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.UNCONFIRMED
 
 
 def test_an_older_copy_that_comes_late_changes_nothing(rig: Rig) -> None:
@@ -355,7 +355,7 @@
 def test_a_malformed_call_of_a_migrator_changes_nothing(rig: Rig, method: str, place: str, body: bytes) -> None:
     at = put(rig)
     assert Client(rig.nodes[at].address).ask(method, place, body).status == 400
-    assert rig.nodes[at].sides.rows == {} and read(rig) == b"first"
+    assert rig.nodes[at].replicas.rows == {} and read(rig) == b"first"
 
 
 def test_a_read_that_is_running_and_a_write_that_comes_slowly_outlive_a_move(rig: Rig) -> None:
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -19,8 +19,8 @@
 from fawnspool.records.frames import FrameWriter
 from fawnspool.scheduling import interface
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.standins.deduplication import IdempotencyKeys, PriorClaim
 from fawnspool.standins.meter import MeterClient, MeterServer
-from fawnspool.standins.node import Repeats
 from fawnspool.standins.nodelist import Entry, NodeListServer
 from fawnspool.telemetry import logs
 from tests.e2e.rig import wait_for
@@ -219,10 +219,10 @@
 
 
 def test_repeats_are_dropped_for_their_window_by_all_of_a_group(tmp_path: Path) -> None:
-    one, other = Repeats(tmp_path), Repeats(tmp_path)
-    assert one.claim("k", 10) is None and other.claim("k", 10) == ""
-    one.done("k", "etag")
-    assert other.claim("k", 10) == "etag" and one.claim("k", 10) == "etag"
+    one, other = IdempotencyKeys(tmp_path), IdempotencyKeys(tmp_path)
+    assert one.claim("k", 10) is None and other.claim("k", 10) == PriorClaim(etag=None)
+    one.complete("k", "etag")
+    assert other.claim("k", 10) == PriorClaim("etag") and one.claim("k", 10) == PriorClaim("etag")
     assert other.claim("k", -1) is None  # its window is over
     one.release("k")
     assert other.claim("k", 10) is None
