--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -17,7 +17,7 @@
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.meter import MeterClient, MeterServer
 from fawnspool.standins.node import NodeOptions, NodeServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 
 
 def _until_told(*things: Any) -> None:
@@ -110,8 +110,8 @@
                 zone=zone,
                 groups_folder=Path(groups) if groups else None,
                 recording=FrameWriter(record, append=True) if record else None,
-                volume_use=client.use if client else None,
-                on_served=client.served if client else None,
+                volume_use=client.units_per_s if client else None,
+                on_served=client.add_served if client else None,
             ),
         )
     except OSError as bad:
@@ -133,9 +133,9 @@
         if not number.isdigit():
             fail(f"expected NUMBER=HOST:PORT, found {text!r}")
         _where(where)
-        entries.append(Entry(int(number), where, "zone-a", k))
+        entries.append(NodeListEntry(int(number), where, "zone-a", k))
     made = NodeListServer(_where(listen), entries)
-    click.echo(f"list on 127.0.0.1:{made.where[1]}")
+    click.echo(f"list on 127.0.0.1:{made.address[1]}")
     _until_told(made)
 
 
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -39,7 +39,7 @@
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.clients import content, lag_meter
 from fawnspool.standins.meter import MeterServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 from fawnspool.standins.object_replicas import ObjectReplicas
 from fawnspool.standins.object_store import ObjectStore
 
@@ -227,7 +227,7 @@
             plan=d.plan,
             volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()),
             peer=peers,
-            list=ListBlock(address=f"127.0.0.1:{self.list.where[1]}", mode=d.day.list_mode, call_timeout=1.0),
+            list=ListBlock(address=f"127.0.0.1:{self.list.address[1]}", mode=d.day.list_mode, call_timeout=1.0),
             catalogue=CatalogueBlock(address=service, watch=d.day.map_watch),
             duties=duties,
             shared=d.shared,
@@ -300,20 +300,20 @@
             ]
         return Process(f"node-{number}", arguments, port, self.folder / f"node-{number}.log", self.node_module)
 
-    def _entry(self, cell: _Cell, phase: str, started: float) -> Entry:
-        return Entry(
+    def _entry(self, cell: _Cell, phase: str, started: float) -> NodeListEntry:
+        return NodeListEntry(
             cell.node,
             f"127.0.0.1:{cell.process.port}",
             cell.zone,
             cell.cell,
             phase,
             size=float(self.day.fleet.cores),
-            started=started,
+            started_at=started,
         )
 
     def _told(self, head: int, phase: str, node: int, began: float) -> None:
         entry = self.list.entries.get(node)
-        age = -1.0 if entry is None or entry.started < 0 else time.monotonic() - entry.started
+        age = -1.0 if entry is None or entry.started_at < 0 else time.monotonic() - entry.started_at
         self.note("told", head=head, node=node, phase=phase, age=age, began=began)
 
     def _start_clients(self) -> None:
@@ -489,17 +489,17 @@
             self.list.change(self._entry(cell, "ready", time.monotonic()))
 
     def _do_list_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.gone()
+        self.list.stop()
         gevent.sleep(x.length)
         self.list.start()
 
     def _do_list_late(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.late = x.size
+        self.list.delay_s = x.size
         gevent.sleep(x.length)
-        self.list.late = 0.0
+        self.list.delay_s = 0.0
 
     def _do_map_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.catalogue.gone()
+        self.catalogue.stop()
         gevent.sleep(x.length)
         self.catalogue.start()
         self._hear_flips()
--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -37,7 +37,7 @@
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import MAGIC, FrameReader
-from fawnspool.standins.service import Service
+from fawnspool.standins.service import Service, send_line
 
 SHARDS = 64
 LIST_MOST = 1000
@@ -367,11 +367,7 @@
         self.catalogue, self.calls, self.note = catalogue, 0, note
         super().__init__(address)
 
-    @property
-    def address(self) -> tuple[str, int]:
-        return self.where
-
-    def _left(self) -> None:
+    def _drop_watchers(self) -> None:
         self.catalogue.watchers.clear()
 
     def _handle(self, exchange: Exchange) -> None:
@@ -448,23 +444,20 @@
         c.watchers[key] = queue.put
         try:
             exchange.begin(200, [], None)
-            self._line(exchange, msgspec.json.encode({"shards": c.shards}))
+            send_line(exchange, msgspec.json.encode({"shards": c.shards}))
             for shard in range(c.shards):
                 for delta in c.since(shard, told[shard]):
-                    self._line(exchange, msgspec.json.encode(delta))
+                    send_line(exchange, msgspec.json.encode(delta))
                 gevent.sleep(0)  # a whole map must not hold up who asks for one place
             while queue.qsize() <= QUEUE_MOST:
                 try:
-                    self._line(exchange, msgspec.json.encode(queue.get(timeout=BEAT_S)))
+                    send_line(exchange, msgspec.json.encode(queue.get(timeout=BEAT_S)))
                 except Empty:
-                    self._line(exchange, b"")
+                    send_line(exchange)
             exchange.finish(False)
         finally:
             c.watchers.pop(key, None)
 
-    def _line(self, exchange: Exchange, text: bytes) -> None:
-        exchange.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text), time.monotonic() + 5.0)
-
 
 def read_told(text: str, shards: int) -> list[LogPosition]:
     """How far a head was told, `epoch.version` a shard; nothing where it knows another number of shards."""
--- a/fawnspool/standins/meter.py
+++ b/fawnspool/standins/meter.py
@@ -1,90 +1,118 @@
-"""The volume meter: nodes tell what they served, and are told each volume's use everywhere, a period late.
+"""The volume meter: nodes report what they served and learn each volume's use everywhere, a period late.
 
-Datagrams of msgpack, both ways: a node sends {volume: units since its last datagram} and gets back
-{volume: units a second in the last finished period}. Lost ones lose a period's part, nothing more.
+Datagrams of msgpack, both ways: a node sends {volume: units since its last datagram} and receives
+{volume: units a second in the last finished period}. A lost one loses a period's part, nothing more.
 """
 
 from __future__ import annotations
 
-import socket as std
+import socket as socket_options
 import time
-from typing import Any
 
 import gevent
 import msgspec
 from gevent import socket
 
-_MOST = 60_000  # bytes of one datagram
+_MAX_DATAGRAM_BYTES = 60_000
 
 
 class MeterServer:
-    """Adds up over all nodes by period."""
-
-    def __init__(self, address: tuple[str, int], period: float) -> None:
-        self.period, self.late = period, 0.0
-        self.sock = socket.socket(std.AF_INET, std.SOCK_DGRAM)
-        self.sock.bind(address)
-        self.address: tuple[str, int] = self.sock.getsockname()
-        self.now_sums: dict[str, float] = {}
-        self.last: dict[str, float] = {}
-        self.turn = time.monotonic() + period
-        self.greenlet = gevent.spawn(self._run)
+    """Adds up the use of volumes over all nodes.
+
+    Parameters
+    ----------
+    address
+        Where it receives.
+    period_s
+        Length of a period.
+    """
+
+    def __init__(self, address: tuple[str, int], period_s: float) -> None:
+        self._period_s = period_s
+        self._socket = socket.socket(socket_options.AF_INET, socket_options.SOCK_DGRAM)
+        self._socket.bind(address)
+        self.address: tuple[str, int] = self._socket.getsockname()
+        self._units_this_period: dict[str, float] = {}
+        self._last_units_per_s: dict[str, float] = {}
+        self._period_ends_at = time.monotonic() + period_s
+        self._greenlet = gevent.spawn(self._run)
+
+    def stop(self) -> None:
+        """End it."""
+        self._greenlet.kill()
+        self._socket.close()
 
     def _run(self) -> None:
         while True:
-            data, sender = self.sock.recvfrom(_MOST)
+            data, sender = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
             now = time.monotonic()
-            if now >= self.turn:
-                self.last = {v: u / self.period for v, u in self.now_sums.items()}
-                self.now_sums = {}
-                self.turn = now + self.period
+            if now >= self._period_ends_at:
+                self._end_period(now)
             try:
-                told = msgspec.msgpack.decode(data, type=dict[str, float])
+                served = msgspec.msgpack.decode(data, type=dict[str, float])
             except msgspec.DecodeError:
                 continue
-            for volume, units in told.items():
-                self.now_sums[volume] = self.now_sums.get(volume, 0.0) + units
-            self.sock.sendto(msgspec.msgpack.encode(self.last), sender)
+            _add(self._units_this_period, served)
+            self._socket.sendto(msgspec.msgpack.encode(self._last_units_per_s), sender)
 
-    def stop(self) -> None:
-        self.greenlet.kill()
-        self.sock.close()
+    def _end_period(self, now: float) -> None:
+        self._last_units_per_s = {volume: units / self._period_s for volume, units in self._units_this_period.items()}
+        self._units_this_period = {}
+        self._period_ends_at = now + self._period_s
 
 
 class MeterClient:
-    """A node's side: `served` adds up, `use` tells what was last heard."""
-
-    def __init__(self, address: tuple[str, int], every: float) -> None:
-        self.address, self.every = address, every
-        self.sums: dict[str, float] = {}
-        self.heard: dict[str, float] = {}
-        self.sock = socket.socket(std.AF_INET, std.SOCK_DGRAM)
-        self.sock.bind(("127.0.0.1", 0))
-        self.greenlets: list[Any] = [gevent.spawn(self._send), gevent.spawn(self._hear)]
+    """A node's side of the meter.
+
+    Parameters
+    ----------
+    address
+        Of the meter.
+    interval_s
+        Between two reports.
+    """
+
+    def __init__(self, address: tuple[str, int], interval_s: float) -> None:
+        self._address = address
+        self._interval_s = interval_s
+        self._units_served: dict[str, float] = {}
+        self._units_per_s: dict[str, float] = {}
+        self._socket = socket.socket(socket_options.AF_INET, socket_options.SOCK_DGRAM)
+        self._socket.bind(("127.0.0.1", 0))
+        self._greenlets = [gevent.spawn(self._send), gevent.spawn(self._receive)]
+
+    def add_served(self, volume: str, units: float) -> None:
+        """Count units that the node has served of a volume."""
+        _add(self._units_served, {volume: units})
+
+    def units_per_s(self, volume: str) -> float | None:
+        """Return a volume's use everywhere; None: there is no figure."""
+        return self._units_per_s.get(volume)
 
-    def served(self, volume: str, units: float) -> None:
-        self.sums[volume] = self.sums.get(volume, 0.0) + units
-
-    def use(self, volume: str) -> float | None:
-        return self.heard.get(volume)
+    def stop(self) -> None:
+        """End it."""
+        gevent.killall(self._greenlets)
+        self._socket.close()
 
     def _send(self) -> None:
         while True:
-            gevent.sleep(self.every)
-            sums, self.sums = self.sums, {}
+            gevent.sleep(self._interval_s)
+            served = self._units_served
+            self._units_served = {}
             try:
-                self.sock.sendto(msgspec.msgpack.encode(sums), self.address)
+                self._socket.sendto(msgspec.msgpack.encode(served), self._address)
             except OSError:
                 continue  # the meter is gone: this part of the sum is lost
 
-    def _hear(self) -> None:
+    def _receive(self) -> None:
         while True:
             try:
-                data, _ = self.sock.recvfrom(_MOST)
-                self.heard = msgspec.msgpack.decode(data, type=dict[str, float])
+                data, _ = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
+                self._units_per_s = msgspec.msgpack.decode(data, type=dict[str, float])
             except (OSError, msgspec.DecodeError):
-                gevent.sleep(self.every)
+                gevent.sleep(self._interval_s)
 
-    def stop(self) -> None:
-        gevent.killall(self.greenlets)
-        self.sock.close()
+
+def _add(sums: dict[str, float], units_by_volume: dict[str, float]) -> None:
+    for volume, units in units_by_volume.items():
+        sums[volume] = sums.get(volume, 0.0) + units
--- a/fawnspool/standins/nodelist.py
+++ b/fawnspool/standins/nodelist.py
@@ -1,10 +1,10 @@
-"""The node list as a service: it is asked, or pushes; it can be late, lie, or be gone.
+"""The node list as a service: gateways poll it or watch it; it can be late, wrong or gone.
 
 GET /list                 {"version", "entries": [{"node", "address", "zone", "kind", "cell", "phase", "size",
                           "age_s"}]}; age_s: seconds since the node started, -1 long ago
-GET /watch?from=VERSION   JSON lines: first {"kind": "whole"|"changes", ...}, then one a change, as they come;
+GET /watch?from=VERSION   JSON lines: first {"kind": "whole"|"changes", ...}, then one for each change, as they come;
                           an empty line now and then shows that the watch stands
-GET /ping                 what a drill needs to know that it listens
+GET /ping                 tells a drill that it listens
 
 Ages rather than times, so that no clocks need agree. docs/node-wire.md describes the forms.
 """
@@ -13,7 +13,7 @@
 
 import json
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
 from urllib.parse import parse_qs
@@ -23,121 +23,176 @@
 
 from fawnspool.net.exceptions import HttpError
 from fawnspool.net.exchange import Exchange
-from fawnspool.standins.service import Service
+from fawnspool.standins.service import Service, send_line
 
-_KEEP = 1000  # changes kept for a watch that comes back
+LONG_AGO = -1.0  # on the wire too, as an age
+GONE_PHASE = "gone"
+_MAX_CHANGES_KEPT = 1000  # for a watch that comes back
+_KEEPALIVE_S = 1.0
+_UNKNOWN_GATEWAY = -1
 
 
 @dataclass
-class Entry:
-    """A node as the list tells of it. started: on this machine's monotonic clock; -1: long ago."""
+class NodeListEntry:
+    """A node as the list has it.
+
+    Attributes
+    ----------
+    shard
+        The shard that the node holds.
+    phase
+        Its phase by its name on the wire; "gone" takes it off the list.
+    started_at
+        When it started (monotonic seconds); `LONG_AGO`: long ago.
+    """
 
     node: int
     address: str
     zone: str
-    cell: int
+    shard: int
     phase: str = "ready"
     kind: str = "node"
     size: float = 1.0
-    started: float = -1.0
+    started_at: float = LONG_AGO
 
-    def row(self) -> dict[str, Any]:
-        age = -1.0 if self.started < 0 else max(0.0, time.monotonic() - self.started)
+    def row(self, address: str) -> dict[str, Any]:
+        """Return its form on the wire, with the address that a gateway is to use."""
+        age_s = LONG_AGO if self.started_at < 0 else max(0.0, time.monotonic() - self.started_at)
         return {
             "node": self.node,
-            "address": self.address,
+            "address": address,
             "zone": self.zone,
-            "cell": self.cell,
+            "cell": self.shard,
             "phase": self.phase,
             "kind": self.kind,
             "size": self.size,
-            "age_s": age,
+            "age_s": age_s,
         }
 
 
+@dataclass(frozen=True, slots=True)
+class _Change:
+    version: int
+    entry: NodeListEntry
+
+
 class NodeListServer(Service):
-    """Holds the list; `change` is told at once to whoever watches, after `late` seconds."""
+    """Serves the list and tells whoever watches of its changes.
+
+    Parameters
+    ----------
+    entries
+        The list at first.
+    on_sent
+        Called for each entry sent to a gateway: gateway, phase, node and the time (monotonic seconds) at which its
+        first byte may have left.
+    address_for
+        Returns the address of a node as a gateway is to use it, of the gateway and the node's own address.
+
+    Attributes
+    ----------
+    delay_s
+        Changes are published so much later.
+    """
 
     def __init__(
         self,
         address: tuple[str, int],
-        entries: list[Entry],
-        told: Callable[[int, str, int, float], None] | None = None,
-        where: Callable[[int, str], str] = lambda head, address: address,
+        entries: Iterable[NodeListEntry],
+        on_sent: Callable[[int, str, int, float], None] | None = None,
+        address_for: Callable[[int, str], str] = lambda gateway, address: address,
     ) -> None:
-        """where(head, address): the address of a node as that head is to use it."""
-        self.where_for = where
-        self.entries = {e.node: e for e in entries}
-        self.version, self.late, self.told = 1, 0.0, told
-        self.changes: list[tuple[int, Entry]] = []
-        self.watchers: dict[Any, tuple[int, Queue[Any]]] = {}
+        self.entries = {entry.node: entry for entry in entries}
+        self.version = 1
+        self.delay_s = 0.0
+        self._on_sent = on_sent
+        self._address_for = address_for
+        self._changes: list[_Change] = []
+        self._watchers = set[Queue[_Change]]()
         super().__init__(address)
 
-    def _left(self) -> None:
-        self.watchers.clear()
-
-    def change(self, entry: Entry) -> None:
-        """An entry is new or another; phase "gone" takes it off the list."""
-        if self.late:
-            gevent.spawn_later(self.late, self._change, entry)
+    def change(self, entry: NodeListEntry) -> None:
+        """Publish an entry that is new or has changed, at once or after the delay."""
+        if self.delay_s:
+            gevent.spawn_later(self.delay_s, self._publish, entry)
         else:
-            self._change(entry)
+            self._publish(entry)
 
-    def _change(self, entry: Entry) -> None:
+    def _publish(self, entry: NodeListEntry) -> None:
         self.version += 1
-        if entry.phase == "gone":
+        if entry.phase == GONE_PHASE:
             self.entries.pop(entry.node, None)
         else:
             self.entries[entry.node] = entry
-        self.changes = [*self.changes[-_KEEP:], (self.version, entry)]
-        for _, queue in list(self.watchers.values()):
-            queue.put((self.version, [entry]))
-
-    def _tell(self, head: int, entries: list[Entry], began: float) -> None:
-        """What a head was told; its first byte may have left at `began` (monotonic)."""
-        if self.told is not None:
-            for entry in entries:
-                self.told(head, entry.phase, entry.node, began)
+        change = _Change(self.version, entry)
+        self._changes = [*self._changes[-_MAX_CHANGES_KEPT:], change]
+        for queue in list(self._watchers):
+            queue.put(change)
 
-    def _rows(self, head: int, entries: list[Entry]) -> list[dict[str, Any]]:
-        return [e.row() | {"address": self.where_for(head, e.address)} for e in entries]
+    def _drop_watchers(self) -> None:
+        self._watchers.clear()
 
     def _handle(self, exchange: Exchange) -> None:
         path, _, query = exchange.head.target.decode("latin-1").partition("?")
-        asked = {k: v[0] for k, v in parse_qs(query).items()}
-        head = int(asked.get("head", -1))
+        fields = {name: values[0] for name, values in parse_qs(query).items()}
+        gateway = int(fields.get("head", _UNKNOWN_GATEWAY))
         if path == "/ping":
-            return exchange.respond(200, [], b"{}")
-        if path == "/list":
-            rows, began = list(self.entries.values()), time.monotonic()
-            exchange.respond(200, [], json.dumps({"version": self.version, "entries": self._rows(head, rows)}).encode())
-            return self._tell(head, rows, began)
-        if path == "/watch":
-            return self._watch(exchange, head, int(asked.get("from", 0)))
-        raise HttpError(404, "ask for /list or /watch")
-
-    def _watch(self, exchange: Exchange, head: int, version: int) -> None:
-        queue: Queue[Any] = Queue()
-        key = object()
-        known = [e for v, e in self.changes if v > version]
-        reaches = version and (version >= self.version or (self.changes and self.changes[0][0] <= version + 1))
-        first = known if reaches else list(self.entries.values())
+            exchange.respond(200, [], b"{}")
+        elif path == "/list":
+            self._send_list(exchange, gateway)
+        elif path == "/watch":
+            self._watch(exchange, gateway, int(fields.get("from", 0)))
+        else:
+            raise HttpError(404, "ask for /list or /watch")
+
+    def _send_list(self, exchange: Exchange, gateway: int) -> None:
+        entries = list(self.entries.values())
+        began_at = time.monotonic()
+        fields = {"version": self.version, "entries": self._rows(gateway, entries)}
+        exchange.respond(200, [], json.dumps(fields).encode())
+        self._note_sent(gateway, entries, began_at)
+
+    def _watch(self, exchange: Exchange, gateway: int, known_version: int) -> None:
+        """Send what has changed since a version, or the whole list where that is not known, then each change."""
+        queue: Queue[_Change] = Queue()
+        missed = self._changes_since(known_version)
+        kind = "whole" if missed is None else "changes"
+        first = list(self.entries.values()) if missed is None else missed
         exchange.begin(200, [], None)
-        self.watchers[key] = (head, queue)
+        self._watchers.add(queue)
         try:
-            self._line(exchange, "changes" if reaches else "whole", self.version, first, head)
+            self._send_entries(exchange, gateway, kind, self.version, first)
             while True:
                 try:
-                    version, entries = queue.get(timeout=1.0)
+                    change = queue.get(timeout=_KEEPALIVE_S)
                 except Empty:
-                    exchange.write(b"1\r\n\n\r\n", time.monotonic() + 5.0)
+                    send_line(exchange)
                     continue
-                self._line(exchange, "changes", version, entries, head)
+                self._send_entries(exchange, gateway, "changes", change.version, [change.entry])
         finally:
-            self.watchers.pop(key, None)
+            self._watchers.discard(queue)
+
+    def _changes_since(self, version: int) -> list[NodeListEntry] | None:
+        """Return the entries changed since a version; None: the changes kept do not reach back to it."""
+        if version == 0:
+            return None
+        reaches_back = bool(self._changes) and self._changes[0].version <= version + 1
+        if version < self.version and not reaches_back:
+            return None
+        return [change.entry for change in self._changes if change.version > version]
+
+    def _send_entries(
+        self, exchange: Exchange, gateway: int, kind: str, version: int, entries: list[NodeListEntry]
+    ) -> None:
+        line = json.dumps({"kind": kind, "version": version, "entries": self._rows(gateway, entries)}).encode()
+        began_at = time.monotonic()
+        send_line(exchange, line)
+        self._note_sent(gateway, entries, began_at)
 
-    def _line(self, exchange: Exchange, kind: str, version: int, entries: list[Entry], head: int) -> None:
-        line = json.dumps({"kind": kind, "version": version, "entries": self._rows(head, entries)}).encode() + b"\n"
-        began = time.monotonic()
-        exchange.write(b"%x\r\n%s\r\n" % (len(line), line), time.monotonic() + 5.0)
-        self._tell(head, entries, began)
+    def _rows(self, gateway: int, entries: list[NodeListEntry]) -> list[dict[str, Any]]:
+        return [entry.row(self._address_for(gateway, entry.address)) for entry in entries]
+
+    def _note_sent(self, gateway: int, entries: list[NodeListEntry], began_at: float) -> None:
+        if self._on_sent is not None:
+            for entry in entries:
+                self._on_sent(gateway, entry.phase, entry.node, began_at)
--- a/fawnspool/standins/service.py
+++ b/fawnspool/standins/service.py
@@ -1,41 +1,54 @@
-"""What the services' stand-ins share: one address, gone and back again at it."""
+"""What the stand-ins of services share: an HTTP server that can go away and come back at its address."""
 
 from __future__ import annotations
 
+import time
+
 from fawnspool.net.exchange import Exchange
 from fawnspool.net.server import Server
 from fawnspool.net.server_options import ServerOptions
 
+LINE_TIMEOUT_S = 5.0
+_SERVER_OPTIONS = ServerOptions(idle_timeout_s=120.0, first_request_timeout_s=120.0)
+
 
 class Service:
-    """Listens at `where` from the start."""
+    """A service that listens from its creation on.
+
+    Attributes
+    ----------
+    address
+        Where it listens; an ephemeral port is kept once chosen.
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.where = address
-        self.server: Server | None = None
+        self.address = address
+        self._server: Server | None = None
         self.start()
 
     def start(self) -> None:
-        if self.server is None:
-            self.server = Server(
-                self.where, self._handle, ServerOptions(idle_timeout_s=120.0, first_request_timeout_s=120.0)
-            )
-            self.where = self.server.address
-            self.server.start()
-
-    def gone(self) -> None:
-        """Out of reach: nothing listens, what was open is reset."""
-        if self.server is not None:
-            self.server.reset_all()
-            self.server.stop()  # also the greenlet that accepts: until it is gone, the address is taken
-            self.server = None
-            self._left()
+        """Listen, unless it does already. Raises OSError."""
+        if self._server is None:
+            self._server = Server(self.address, self._handle, _SERVER_OPTIONS)
+            self.address = self._server.address
+            self._server.start()
 
     def stop(self) -> None:
-        self.gone()
+        """Go out of reach: nothing listens, open connections are reset. `start` brings it back."""
+        if self._server is not None:
+            self._server.reset_all()
+            self._server.stop()  # also the greenlet that accepts: until it is gone, the address is taken
+            self._server = None
+            self._drop_watchers()
 
     def _handle(self, exchange: Exchange) -> None:
+        """Answer a request."""
         raise NotImplementedError
 
-    def _left(self) -> None:
-        """Whoever watched is gone."""
+    def _drop_watchers(self) -> None:
+        """Forget who watched."""
+
+
+def send_line(exchange: Exchange, text: bytes = b"") -> None:
+    """Send a line of a response in chunks; an empty one shows that the watch stands. Raises OSError."""
+    exchange.write(b"%x\r\n%s\n\r\n" % (len(text) + 1, text), time.monotonic() + LINE_TIMEOUT_S)
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -21,7 +21,7 @@
 from fawnspool.records.frames import FrameReader, FrameWriter
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.node import NodeOptions, NodeServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 
 CONFIG = """
 head {{ listen = "127.0.0.1:0"
@@ -136,7 +136,7 @@
         self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue())
         parts = {"head": "", "catalogue": "", "nodes": "", "clients": "", "attempts": ""} | blocks
         text = CONFIG.format(
-            data=tmp / "head", list=self.list.where[1], where=self.catalogue.address[1], cells=nodes, **parts
+            data=tmp / "head", list=self.list.address[1], where=self.catalogue.address[1], cells=nodes, **parts
         )
         config = parse(text, "rig.hcl", HeadConfig, check_gateway)
         self.config = replace(config, head=replace(config.head, policy=policy))
@@ -158,9 +158,9 @@
         node.start()
         return node
 
-    def entry(self, k: int, phase: str = "ready") -> Entry:
+    def entry(self, k: int, phase: str = "ready") -> NodeListEntry:
         node = self.nodes[k]
-        return Entry(node.ident, f"127.0.0.1:{node.address[1]}", "zone-a", k, phase)
+        return NodeListEntry(node.ident, f"127.0.0.1:{node.address[1]}", "zone-a", k, phase)
 
     @property
     def address(self) -> tuple[str, int]:
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -314,9 +314,9 @@
     run.rig.nodes[0] = run.rig.make_node(0, cold=True, port=port)
     run.ages = {1: 0.0}
     entry = run.rig.entry(0)
-    entry.started = time.monotonic()
+    entry.started_at = time.monotonic()
     run.rig.list.change(entry)
-    wait_for(lambda: any(t > entry.started for t, *_ in run.rig.told))
+    wait_for(lambda: any(t > entry.started_at for t, *_ in run.rig.told))
     for k in range(200):
         run.ask(0.05 + k * 0.001)
     assert "cold nodes spared" in broken(run.play())
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -51,7 +51,7 @@
 
     def replace(self, catalogue: Catalogue) -> None:
         """Another life of the service at the same address."""
-        self.service.gone()
+        self.service.stop()
         self.service.catalogue = self.catalogue = catalogue
         self.service.start()
 
@@ -107,7 +107,7 @@
     a = gateways.directory(settings=StalenessSettings(heartbeat_interval_s=0.1))
     gateways.catalogue.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
-    gateways.service.gone()
+    gateways.service.stop()
     wait_for(lambda: not a.reachable() and a.stale_for_s() > 0.2)
     assert a.find("v", "k", soon()) == (1, 1) and a.status()["reachable"] is False
     with pytest.raises(MapServiceError):
@@ -173,7 +173,7 @@
     a = gateways.directory()
     gateways.catalogue.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
-    gateways.service.gone()
+    gateways.service.stop()
     held, told = a.map, list[bytes]()
     liar = socket.socket()
     liar.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -213,7 +213,7 @@
     wait_for(lambda: len(a.map) == 30)
     a.stop()
     assert a.checkpoint is not None and a.checkpoint.background.close()
-    gateways.service.gone()
+    gateways.service.stop()
     b = gateways.directory("disk")  # the service is away as it starts
     assert [b.find("v", f"x{k}", soon()) for k in range(30)] == [(k % 4, 1) for k in range(30)]
     assert 0 <= b.age_s() < 30 and b.status()["age_s"] is not None
@@ -426,7 +426,7 @@
         assert (got.status, got.data) == (200, b"bytes") and rig.head.extent_directory.misdirected_sends == 1
         got = c.ask("GET", "/v1/volumes/v/objects/k")  # once it was told, no send goes wrong
         assert got.data == b"bytes" and rig.head.extent_directory.misdirected_sends == 1
-        rig.catalogue.gone()
+        rig.catalogue.stop()
         wait_for(lambda: rig.head.extent_directory.stale_for_s() > 0, 10)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
         assert got.data == b"bytes" and int(got.getheader("Fawn-Map-Age-Ms")) > 1000
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -458,7 +458,7 @@
     rig.nodes[at].stop()
     code, out = run("move", "v", "k", "--to", str(at), "--within", "0.3")
     assert code == 3 and "goes on from there" in out and read(rig) == b"first"
-    rig.catalogue.gone()
+    rig.catalogue.stop()
     assert run("show", "v", "k")[0] == 3
-    rig.list.gone()
+    rig.list.stop()
     assert run("show", "v", "k")[0] == 3
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -21,15 +21,15 @@
 from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.deduplication import IdempotencyKeys, PriorClaim
 from fawnspool.standins.meter import MeterClient, MeterServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 from fawnspool.telemetry import logs
 from tests.e2e.rig import wait_for
 
 logs.set_up("none")
 
 
-def entry(node: int, phase: str = "ready", started: float = -1.0) -> Entry:
-    return Entry(node, f"127.0.0.1:{7000 + node}", "zone-a", node, phase, started=started)
+def entry(node: int, phase: str = "ready", started: float = -1.0) -> NodeListEntry:
+    return NodeListEntry(node, f"127.0.0.1:{7000 + node}", "zone-a", node, phase, started_at=started)
 
 
 class Hearer:
@@ -38,7 +38,7 @@
     def __init__(self, server: NodeListServer, tmp: Path, pushes: bool) -> None:
         self.events: list[interface.EndpointUpdate] = []
         config = EndpointClientConfig(
-            address=server.where,
+            address=server.address,
             gateway_id=0,
             zones=("zone-a",),
             kinds=("node",),
@@ -71,7 +71,7 @@
     assert abs(h.events[2].entries[0].started_at - began) < 0.5 and 3 in h.client.nodes
     service.change(entry(2, "gone"))
     wait_for(lambda: 2 not in h.client.nodes)
-    service.gone()
+    service.stop()
     wait_for(lambda: h.kinds()[-1] is interface.UpdateKind.POLL_FAILED)
     assert not h.client.reachable and set(h.client.nodes) == {1, 3}  # the list it has stands
     before = len(h.events)
@@ -109,7 +109,7 @@
     h.client.start()
     wait_for(lambda: len(h.events) == 2)
     h.client.stop()
-    service.gone()
+    service.stop()
     again = Hearer(service, tmp_path, False)
     again.client.start()
     assert again.kinds() == [interface.UpdateKind.CACHED] and {e.node for e in again.events[0].entries} == {1, 2}
@@ -123,7 +123,7 @@
     h = Hearer(service, tmp_path, True)
     h.client.start()
     wait_for(lambda: len(h.events) == 2)
-    service.late = 0.2
+    service.delay_s = 0.2
     began = time.monotonic()
     service.change(entry(9))
     wait_for(lambda: 9 in h.client.nodes)
@@ -170,11 +170,11 @@
     server = MeterServer(("127.0.0.1", 0), 0.2)
     a, b = MeterClient(server.address, 0.05), MeterClient(server.address, 0.05)
     for _ in range(3):
-        a.served("v", 4.0)
-        b.served("v", 6.0)
-    assert a.use("v") is None
-    wait_for(lambda: (a.use("v") or 0) > 0 and (b.use("v") or 0) > 0)
-    assert a.use("v") == pytest.approx(30 / 0.2, rel=0.01)
+        a.add_served("v", 4.0)
+        b.add_served("v", 6.0)
+    assert a.units_per_s("v") is None
+    wait_for(lambda: (a.units_per_s("v") or 0) > 0 and (b.units_per_s("v") or 0) > 0)
+    assert a.units_per_s("v") == pytest.approx(30 / 0.2, rel=0.01)
     for one in (a, b, server):
         one.stop()  # type: ignore[attr-defined]
 
