--- a/benchmarks/extent_map.py
+++ b/benchmarks/extent_map.py
@@ -22,7 +22,7 @@
 from fawnspool.extents.map import ExtentMap, partition_of
 from fawnspool.extents.records import ExtentRecord, MapDelta, Stamp
 from fawnspool.gateway.map_store import load_map, save_map
-from fawnspool.standins.catalogue import Catalogue
+from fawnspool.standins.map_database import MapDatabase
 
 SHARDS = 64
 
@@ -110,7 +110,7 @@
 
 
 def service(n: int) -> None:
-    made = Catalogue()
+    made = MapDatabase()
     try:
         cost = each(lambda k: made.put(k[0], k[1], 1, int(time.perf_counter() * 1e6)), names(n))
     finally:
--- a/fawnspool/cli/serve.py
+++ b/fawnspool/cli/serve.py
@@ -18,18 +18,18 @@
 from fawnspool.gateway.endpoint_client import EndpointRecord
 from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
-from fawnspool.standins.catalogue import Catalogue
+from fawnspool.standins.map_database import MapDatabase
 from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.telemetry import logs
 
 DEFAULT = Path(__file__).parent / "embedded.hcl"
 
 
-def embed(config: HeadConfig) -> tuple[list[NodeServer], list[EndpointRecord], Catalogue]:
+def embed(config: HeadConfig) -> tuple[list[NodeServer], list[EndpointRecord], MapDatabase]:
     """Stand-in nodes in this process, a list of them, and a catalogue made from what they hold."""
     assert config.embedded is not None
     e, data = config.embedded, Path(config.head.data)
-    nodes, rows, catalogue = [], [], Catalogue()
+    nodes, rows, catalogue = [], [], MapDatabase()
     traits = NodeTraits(cores=e.cores, unit_time=e.unit_time, room=1000)
     for k in range(e.nodes):
         zone = config.nodes.zones[k % len(config.nodes.zones)]
--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -14,7 +14,8 @@
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.listener import parse_address
 from fawnspool.records.frames import FrameWriter
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterClient, MeterServer
 from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
@@ -154,6 +155,6 @@
 @click.option("--data", type=click.Path(dir_okay=False), help="File that keeps the places over a restart.")
 def catalogue(listen: str, data: str | None) -> None:
     """The shared catalogue of places."""
-    made = CatalogueServer(_where(listen), Catalogue(data))
+    made = MapServer(_where(listen), MapDatabase(data))
     click.echo(f"catalogue on 127.0.0.1:{made.address[1]}")
     _until_told(made)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -36,8 +36,9 @@
 from fawnspool.rules.shared import SharedFinding, judge_shared
 from fawnspool.rules.story import read
 from fawnspool.rules.wrong import WrongSends, wrong_sends
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.clients import content, lag_meter
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterServer
 from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 from fawnspool.standins.object_replicas import ObjectReplicas
@@ -155,7 +156,7 @@
         ports = free_ports(d.day.nodes + 2 * d.day.heads + 1)
         node_ports, head_ports = ports[: d.day.nodes], ports[d.day.nodes : d.day.nodes + d.day.heads]
         peer_ports = ports[d.day.nodes + d.day.heads : -1]
-        self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue(), self.note)
+        self.catalogue = MapServer(("127.0.0.1", 0), MapDatabase(), self.note)
         self.meter = MeterServer(("127.0.0.1", 0), d.service.meter) if d.service.meter else None
         self._hold_objects()
         zones = [f"zone-{chr(97 + k)}" for k in range(d.fleet.zones)]
@@ -198,7 +199,7 @@
             draft = stores[cell].draft()
             draft.add(content(volume, key, size))
             stores[cell].commit(draft, volume, key)
-            self.catalogue.catalogue.put(volume, key, cell, size)
+            self.catalogue.database.put(volume, key, cell, size)
 
     def _head_config(self, k: int, ports: list[int], peer_ports: list[int], zones: list[str]) -> HeadConfig:
         d = self.day
@@ -511,7 +512,7 @@
                     self.generations[f.volume, f.extent] = f.stamp.generation
                     self.note("flip", vol=f.volume, key=f.extent, gen=f.stamp.generation)
 
-        self.catalogue.catalogue.watchers[self] = heard
+        self.catalogue.database.watchers[self] = heard
 
     def _do_moves(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """Every `every` seconds `size` objects, each to another of the nodes, by movers of their own; one that is not
@@ -534,7 +535,7 @@
         while time.monotonic() < end:
             for _ in range(max(1, round(x.size))):
                 volume = random.choice(names)
-                keys, _ = self.catalogue.catalogue.list_keys(volume, "", "", 1000)
+                keys, _ = self.catalogue.database.list_keys(volume, "", "", 1000)
                 if keys:
                     done.append(gevent.spawn(one, volume, random.choice(keys)[0], random.choice(cells).cell))
             gevent.sleep(x.every)
@@ -581,8 +582,8 @@
     def _holders(self) -> dict[int, list[str]]:
         """Heads and the duties that they showed a token for last, as the map service has it."""
         out: dict[int, list[str]] = {}
-        for row in self.catalogue.catalogue.holders():
-            out.setdefault(row.head, []).append(row.duty)
+        for row in self.catalogue.database.roles.holders():
+            out.setdefault(row.gateway_id, []).append(row.role)
         return out
 
     def _busiest(self, random: Random) -> int:
@@ -600,7 +601,7 @@
         for cell in cells:
             self.drained.add(cell.cell)
             self.to_leave |= {(f.volume, f.extent) for f in there if f.shard == cell.cell}
-            self.catalogue.catalogue.wish(f"drain/{cell.cell}", "")
+            self.catalogue.database.roles.set_operator_request(f"drain/{cell.cell}", "")
         self.event(f"cells {', '.join(str(c.cell) for c in cells)} are to be drained")
 
     def _each(self, x: TroubleBlock, hit: Callable[[int], None]) -> None:
@@ -755,8 +756,10 @@
 
     def _facts(self) -> list[ExtentRecord]:
         """All that the map holds."""
-        c = self.catalogue.catalogue
-        return [f for k in range(c.shards) for d in c.since(k, LOG_START) for f in d.records if f.shard >= 0]
+        c = self.catalogue.database
+        return [
+            f for k in range(c.partition_count) for d in c.deltas_since(k, LOG_START) for f in d.records if f.shard >= 0
+        ]
 
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -19,7 +19,8 @@
 from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
 from fawnspool.records.frames import FrameReader, FrameWriter
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.node import NodeOptions, NodeServer
 from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 
@@ -133,7 +134,7 @@
             [self.entry(k) for k in range(nodes)],
             lambda h, phase, node, _: self.told.append((time.monotonic(), h, phase, node)),
         )
-        self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue())
+        self.catalogue = MapServer(("127.0.0.1", 0), MapDatabase())
         parts = {"head": "", "catalogue": "", "nodes": "", "clients": "", "attempts": ""} | blocks
         text = CONFIG.format(
             data=tmp / "head", list=self.list.address[1], where=self.catalogue.address[1], cells=nodes, **parts
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -127,7 +127,7 @@
                 draft = rig.nodes[0].store.draft()
                 draft.add(content(volume, key, 1000))
                 rig.nodes[0].store.commit(draft, volume, key)
-                rig.catalogue.catalogue.put(volume, key, 0, 1000)
+                rig.catalogue.database.put(volume, key, 0, 1000)
                 self.held[volume, key] = 1000
 
     def note(self, kind: str, t: float | None = None, **more: Any) -> None:
--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -252,7 +252,7 @@
     c = rig.client()
     for k in range(8):
         c.ask("PUT", f"/v1/volumes/v/objects/{k}", b"%d" % k)
-    where = {k: rig.catalogue.catalogue.find("v", str(k))[0] for k in range(8)}  # type: ignore[index]
+    where = {k: rig.catalogue.database.find("v", str(k))[0] for k in range(8)}  # type: ignore[index]
     rig.list.stop()
     wait_for(lambda: not rig.head.endpoints.reachable)
     rig.nodes[0].stop()  # dies, and another takes its cell at another port
--- a/tests/e2e/test_leases.py
+++ b/tests/e2e/test_leases.py
@@ -46,18 +46,21 @@
 
     def _working(self) -> dict[str, Any]:
         """Duties whose holder showed its token a moment ago."""
-        rows = self.catalogue.catalogue.holders()
-        return {r.duty: r for r in rows if r.duty.startswith("drain") and time.time() - r.at < 0.4}
+        rows = self.catalogue.database.roles.holders()
+        return {r.role: r for r in rows if r.role.startswith("drain") and time.time() - r.shown_at < 0.4}
 
     def _hit(self, head: int, what: str, until: float) -> None:
         if what == "killed":
-            self.killed = {r.duty: r.who for r in self.catalogue.catalogue.holders() if r.head == head}
+            self.killed = {
+                r.role: r.incarnation for r in self.catalogue.database.roles.holders() if r.gateway_id == head
+            }
         super()._hit(head, what, until)
 
     def _do_duty_stall(self, x: TroubleBlock, cells: Any, heads: Any) -> None:
         wait_for(
             lambda: (
-                self.killed and not any(self.killed.get(r.duty) == r.who for r in self.catalogue.catalogue.holders())
+                self.killed
+                and not any(self.killed.get(r.role) == r.incarnation for r in self.catalogue.database.roles.holders())
             ),
             20.0,
         )
@@ -73,7 +76,7 @@
 
     def _busiest(self, random: Random) -> int:
         """The head with most duties that it works on just now."""
-        held = Counter(r.head for r in wait_for(self._working, 20.0).values())
+        held = Counter(r.gateway_id for r in wait_for(self._working, 20.0).values())
         return max(held, key=lambda k: (held[k], k))
 
 
@@ -178,7 +181,9 @@
         duties = load(FILE, Day, check).duties
         assert duties is not None
         shards = sum(d.shards for d in duties.duty if d.name == "drain")
-        wait_for(lambda: sum(r.duty.startswith("drain") for r in self.catalogue.catalogue.holders()) >= shards, 20.0)
+        wait_for(
+            lambda: sum(r.role.startswith("drain") for r in self.catalogue.database.roles.holders()) >= shards, 20.0
+        )
         super()._do_duty_voters(x, cells, heads, lost)
 
 
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -23,7 +23,8 @@
 from fawnspool.gateway.map_store import MapCheckpoint, load_map, save_map
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import FrameWriter
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.telemetry import logs
 from tests.e2e.rig import Rig, wait_for
 
@@ -33,11 +34,11 @@
 class Gateways:
     """A map service, and the extent directories of gateways that watch it."""
 
-    def __init__(self, folder: Path, catalogue: Catalogue | None = None) -> None:
+    def __init__(self, folder: Path, database: MapDatabase | None = None) -> None:
         self.folder = folder
         self.directories = list[ExtentDirectory]()
-        self.service = CatalogueServer(("127.0.0.1", 0), catalogue or Catalogue(shards=4))
-        self.catalogue = self.service.catalogue
+        self.service = MapServer(("127.0.0.1", 0), database or MapDatabase(partition_count=4))
+        self.database = self.service.database
 
     def directory(self, folder: str = "", settings: StalenessSettings | None = None) -> ExtentDirectory:
         """Start a gateway's directory; one with a folder saves its map there."""
@@ -49,10 +50,10 @@
         self.directories.append(made)
         return made
 
-    def replace(self, catalogue: Catalogue) -> None:
+    def replace(self, database: MapDatabase) -> None:
         """Another life of the service at the same address."""
         self.service.stop()
-        self.service.catalogue = self.catalogue = catalogue
+        self.service.database = self.database = database
         self.service.start()
 
     def close(self) -> None:
@@ -78,16 +79,16 @@
 
 
 def test_all_heads_hear_of_a_change_and_send_without_asking(gateways: Gateways) -> None:
-    gateways.catalogue.put("v", "old", 1, 10)
+    gateways.database.put("v", "old", 1, 10)
     a, b = gateways.directory(), gateways.directory()
     wait_for(lambda: cell(a, "old") == cell(b, "old") == 1)
     assert a.record_write(ExtentWrite("v", "new", 2, 5), soon())
     wait_for(lambda: cell(b, "new") == 2)
-    gateways.catalogue.flip("v", "old", 3, 1)
+    gateways.database.record_migration("v", "old", 3, 1)
     wait_for(lambda: cell(a, "old") == cell(b, "old") == 3)
-    asked = gateways.service.calls
+    asked = gateways.service.call_count
     assert [b.find("v", k, soon()) for k in ("old", "new") for _ in range(50)] == [(3, 10)] * 50 + [(2, 5)] * 50
-    assert gateways.service.calls == asked and b.cached_answers == 100 and b.stale_for_s() == 0
+    assert gateways.service.call_count == asked and b.cached_answers == 100 and b.stale_for_s() == 0
     a.delete("v", "new", soon())
     assert a.find("v", "new", soon()) is None
     wait_for(lambda: cell(b, "new") is None)
@@ -98,21 +99,21 @@
     a = gateways.directory()
     wait_for(a.reachable)
     assert a.find("v", "none", soon()) is None and a.lookups == 1
-    gateways.catalogue.put("v", "k", 4, 1)
+    gateways.database.put("v", "k", 4, 1)
     assert a.find("v", "k", soon()) == (4, 1)
     assert not a.record_write(ExtentWrite("v", "k", 2, 1, is_new=True), soon()) and a.find("v", "k", soon()) == (4, 1)
 
 
 def test_a_service_that_is_away_leaves_the_last_good_map_and_says_so(gateways: Gateways) -> None:
     a = gateways.directory(settings=StalenessSettings(heartbeat_interval_s=0.1))
-    gateways.catalogue.put("v", "k", 1, 1)
+    gateways.database.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
     gateways.service.stop()
     wait_for(lambda: not a.reachable() and a.stale_for_s() > 0.2)
     assert a.find("v", "k", soon()) == (1, 1) and a.status()["reachable"] is False
     with pytest.raises(MapServiceError):
         a.find("v", "other", soon())
-    gateways.catalogue.flip("v", "k", 2, 1)  # moved while nobody was told
+    gateways.database.record_migration("v", "k", 2, 1)  # moved while nobody was told
     gateways.service.start()
     wait_for(lambda: cell(a, "k") == 2)
     wait_for(lambda: a.stale_for_s() == 0)
@@ -129,16 +130,16 @@
 
 
 def test_a_restored_service_is_followed_and_its_heads_keep_what_it_never_knew(tmp_path: Path) -> None:
-    gateways = Gateways(tmp_path, Catalogue(tmp_path / "map", 4))
+    gateways = Gateways(tmp_path, MapDatabase(tmp_path / "map", 4))
     try:
         a = gateways.directory()
-        gateways.catalogue.put("v", "k", 1, 1)
-        gateways.catalogue.backup(tmp_path / "hour-ago")
-        gateways.catalogue.flip("v", "k", 2, 1)
-        gateways.catalogue.put("v", "young", 3, 1)
+        gateways.database.put("v", "k", 1, 1)
+        gateways.database.backup(tmp_path / "hour-ago")
+        gateways.database.record_migration("v", "k", 2, 1)
+        gateways.database.put("v", "young", 3, 1)
         wait_for(lambda: (cell(a, "k"), cell(a, "young")) == (2, 3))
-        gateways.replace(Catalogue(tmp_path / "hour-ago"))
-        gateways.catalogue.put("v", "after", 5, 1)
+        gateways.replace(MapDatabase(tmp_path / "hour-ago"))
+        gateways.database.put("v", "after", 5, 1)
         wait_for(lambda: cell(a, "after") == 5)
         assert (cell(a, "k"), cell(a, "young")) == (2, 3)  # the move holds: data decide
     finally:
@@ -147,9 +148,9 @@
 
 def test_another_number_of_shards_is_another_map(gateways: Gateways) -> None:
     a = gateways.directory("disk")
-    gateways.catalogue.put("v", "k", 1, 1)
+    gateways.database.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1 and load_map(gateways.folder / "disk").map is not None)
-    other = Catalogue(shards=7)
+    other = MapDatabase(partition_count=7)
     other.put("v", "z", 2, 1)
     gateways.replace(other)
     wait_for(lambda: cell(a, "z") == 2)
@@ -171,7 +172,7 @@
 )
 def test_a_watch_that_says_what_can_t_be_ends_and_changes_nothing(gateways: Gateways, line: bytes) -> None:
     a = gateways.directory()
-    gateways.catalogue.put("v", "k", 1, 1)
+    gateways.database.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
     gateways.service.stop()
     held, told = a.map, list[bytes]()
@@ -194,7 +195,7 @@
 
 @pytest.mark.parametrize("query", ["told=1.1", "told=a.b,1.1,1.1,1.1", "told=-1.0,0.0,0.0,0.0", "", "other=1"])
 def test_a_watch_that_does_not_read_harms_nobody(gateways: Gateways, query: str) -> None:
-    gateways.catalogue.put("v", "k", 1, 1)
+    gateways.database.put("v", "k", 1, 1)
     sock = socket.create_connection(gateways.service.address, timeout=5)
     sock.sendall(f"GET /watch?{query} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
     assert sock.recv(20).startswith((b"HTTP/1.1 400", b"HTTP/1.1 200"))
@@ -209,7 +210,7 @@
 def test_a_restarted_head_serves_from_its_file_and_says_how_old_it_is(gateways: Gateways) -> None:
     a = gateways.directory("disk")
     for k in range(30):
-        gateways.catalogue.put("v", f"x{k}", k % 4, 1)
+        gateways.database.put("v", f"x{k}", k % 4, 1)
     wait_for(lambda: len(a.map) == 30)
     a.stop()
     assert a.checkpoint is not None and a.checkpoint.background.close()
@@ -217,20 +218,20 @@
     b = gateways.directory("disk")  # the service is away as it starts
     assert [b.find("v", f"x{k}", soon()) for k in range(30)] == [(k % 4, 1) for k in range(30)]
     assert 0 <= b.age_s() < 30 and b.status()["age_s"] is not None
-    gateways.catalogue.flip("v", "x1", 9, 1)
+    gateways.database.record_migration("v", "x1", 9, 1)
     gateways.service.start()
-    before = gateways.service.calls
+    before = gateways.service.call_count
     wait_for(lambda: cell(b, "x1") == 9)
-    assert gateways.service.calls > before and b.map.partitions[0].gap is None
+    assert gateways.service.call_count > before and b.map.partitions[0].gap is None
 
 
 def saved(folder: Path, count: int = 2500, more: int = 5) -> ExtentMap:
     """A map file of `count` extents and a log of `more`."""
-    c, m = Catalogue(shards=4), ExtentMap.empty(4)
+    c, m = MapDatabase(partition_count=4), ExtentMap.empty(4)
     for k in range(count):
         c.put(f"v{k % 3}", f"x{k}", k % 5, k)
     for k in range(4):
-        for delta in c.since(k, LOG_START):
+        for delta in c.deltas_since(k, LOG_START):
             m = m.apply(delta)
     folder.mkdir(parents=True)
     save_map(folder / "map.rec", m, time.time() - 60)
@@ -238,7 +239,7 @@
     for k in range(more):
         c.put("v0", f"y{k}", 1, 1)
         for shard in range(4):
-            for delta in c.since(shard, m.partitions[shard].complete_to):
+            for delta in c.deltas_since(shard, m.partitions[shard].complete_to):
                 m = m.apply(delta)
                 writer.put([4, delta])
     writer.put([6, time.time() - 7])
@@ -318,14 +319,14 @@
 
     monkeypatch.setattr(map_store, "save_map", full)
     a.checkpoint.policy.discard_checkpoint()
-    gateways.catalogue.put("v", "a", 1, 1)
+    gateways.database.put("v", "a", 1, 1)
     wait_for(lambda: cell(a, "a") == 1 and a.checkpoint is not None and a.checkpoint.problem)
-    gateways.catalogue.put("v", "b", 2, 1)
+    gateways.database.put("v", "b", 2, 1)
     wait_for(lambda: problems == ["No space left on device"])
     assert a.find("v", "b", soon()) == (2, 1)
     monkeypatch.setattr(map_store, "save_map", real)
     time.sleep(0.1)
-    gateways.catalogue.put("v", "c", 3, 1)
+    gateways.database.put("v", "c", 3, 1)
     wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
 
 
@@ -334,7 +335,7 @@
     a = gateways.directory("disk")
     wait_for(a.reachable)
     for n in range(400):
-        gateways.catalogue.put("v", "x", n, n)
+        gateways.database.put("v", "x", n, n)
         gevent.sleep(0.001)
     wait_for(lambda: cell(a, "x") == 399)
     wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
@@ -344,7 +345,7 @@
 def test_what_a_call_told_is_saved_too(gateways: Gateways) -> None:
     a = gateways.directory("disk")
     wait_for(a.reachable)
-    gateways.catalogue.watchers.clear()  # the watch says nothing more
+    gateways.database.watchers.clear()  # the watch says nothing more
     assert a.record_write(ExtentWrite("v", "k", 2, 5), soon()) and a.record_write(ExtentWrite("v", "l", 3, 5), soon())
     wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
     assert len(a.map) == 2
@@ -412,7 +413,7 @@
         assert c.ask("PUT", "/v1/volumes/v/objects/k", b"bytes").status == 201
         got: Any = c.ask("GET", "/v1/volumes/v/objects/k")
         assert got.data == b"bytes" and got.getheader("Fawn-Map-Age-Ms") is None
-        place = rig.catalogue.catalogue.find("v", "k")
+        place = rig.catalogue.database.find("v", "k")
         assert place is not None
         here, there = place[0], 1 - place[0]
         store = rig.nodes[there].store  # its bytes lie at the other node; the watch is cut off
@@ -420,8 +421,8 @@
         draft.add(b"bytes")
         store.commit(draft, "v", "k")
         rig.nodes[here].store.delete("v", "k")
-        rig.catalogue.catalogue.watchers.clear()
-        rig.catalogue.catalogue.flip("v", "k", there, 1)
+        rig.catalogue.database.watchers.clear()
+        rig.catalogue.database.record_migration("v", "k", there, 1)
         got = c.ask("GET", "/v1/volumes/v/objects/k")
         assert (got.status, got.data) == (200, b"bytes") and rig.head.extent_directory.misdirected_sends == 1
         got = c.ask("GET", "/v1/volumes/v/objects/k")  # once it was told, no send goes wrong
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -59,7 +59,7 @@
 def put(rig: Rig, key: str = "k", body: bytes = b"first") -> int:
     """The cell that it came to lie in."""
     assert rig.client().ask("PUT", PLACE + key, body).status in (200, 201)
-    found = rig.catalogue.catalogue.find("v", key)
+    found = rig.catalogue.database.find("v", key)
     assert found is not None
     return found[0]
 
@@ -92,13 +92,13 @@
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
+    rig.catalogue.database.watchers.clear()  # this head hears of no flip
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
     assert got.status == 200 and read(rig) == b"second" and owners(rig) == [(at + 1) % 3]
-    assert rig.catalogue.catalogue.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
+    assert rig.catalogue.database.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -226,7 +226,7 @@
 
 def test_a_repeat_that_lands_after_the_flip_is_done_once(rig: Rig) -> None:
     rig.client().ask("PUT", PLACE + "k", b"first")
-    at = rig.catalogue.catalogue.find("v", "k")[0]  # type: ignore[index]
+    at = rig.catalogue.database.find("v", "k")[0]  # type: ignore[index]
     key = {"Fawn-Class": "keyed", "Idempotency-Key": "once"}
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
@@ -285,7 +285,7 @@
 
 def test_a_node_that_forgot_takes_no_write_of_what_may_lie_elsewhere(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()
+    rig.catalogue.database.watchers.clear()
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
@@ -310,7 +310,7 @@
     keys = [f"t{n}" for n in range(60)]
     for key in keys:
         put(rig, key, key.encode())
-    cells = {key: rig.catalogue.catalogue.find("v", key)[0] for key in keys}  # type: ignore[index]
+    cells = {key: rig.catalogue.database.find("v", key)[0] for key in keys}  # type: ignore[index]
     drained = max(range(3), key=list(cells.values()).count)
     mine = [key for key in keys if cells[key] == drained]
     m = migrator(rig)
@@ -328,7 +328,7 @@
     rig = Rig(tmp_path, nodes=2, clients="replay_bytes = 1024")
     try:
         at = put(rig)
-        rig.catalogue.catalogue.watchers.clear()
+        rig.catalogue.database.watchers.clear()
         assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         got: Any = rig.client().ask("PUT", PLACE + "k", b"y" * 50_000)
         assert got.status == 503 and json.loads(got.data)["error"] == "moving" and got.getheader("Retry-After")
@@ -380,7 +380,7 @@
 
 def test_a_request_that_keeps_an_order_is_not_sent_on_behind_later_ones(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()
+    rig.catalogue.database.watchers.clear()
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"
@@ -392,7 +392,7 @@
     rig = Rig(tmp_path, nodes=2, catalogue="watch = false")
     try:
         at = put(rig)
-        assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
+        assert read(rig) == b"first" and not rig.catalogue.database.watchers
         assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
             assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
--- a/tests/e2e/test_services.py
+++ b/tests/e2e/test_services.py
@@ -18,8 +18,9 @@
 from fawnspool.records.background_writer import BackgroundWriter
 from fawnspool.records.frames import FrameWriter
 from fawnspool.scheduling import interface
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.deduplication import IdempotencyKeys, PriorClaim
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterClient, MeterServer
 from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 from fawnspool.telemetry import logs
@@ -133,7 +134,7 @@
 
 def test_the_catalogue_keeps_places_over_a_restart(tmp_path: Path) -> None:
     path = tmp_path / "places.lmdb"
-    server = CatalogueServer(("127.0.0.1", 0), Catalogue(path))
+    server = MapServer(("127.0.0.1", 0), MapDatabase(path))
     client = MapClient(server.address, 0.5)
     assert client.find_record("v", "a") is None
     stands, taken = client.record_write(ExtentWrite("v", "a", 3, 100))
@@ -148,8 +149,8 @@
     server.stop()
     with pytest.raises(MapServiceError, match="can't be reached"):
         client.find_record("v", "a")
-    server.catalogue.close()
-    again = Catalogue(path)
+    server.database.close()
+    again = MapDatabase(path)
     assert again.find("v", "a") == (4, 200) and again.find("v", "b/1") is None
     again.close()
 
@@ -160,7 +161,7 @@
     for row in (["v", "a", 3, 100], ["v", "b", 1, 5], ["v", "a", 4, 200], ["v", "b", -1, 0]):
         writer.put(row)
     writer.close()
-    made = Catalogue(path)
+    made = MapDatabase(path)
     assert made.find("v", "a") == (4, 200) and made.find("v", "b") is None
     assert (tmp_path / "places.rec.before-lmdb").exists()
     made.close()
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -12,26 +12,30 @@
 from fawnspool.extents.change_log import MIN_LOG_CAPACITY, CatchUpMethod, ChangeLogState
 from fawnspool.extents.map import ExtentMap
 from fawnspool.extents.records import LOG_START, ExtentState, ExtentWrite, LogPosition
-from fawnspool.standins.catalogue import Catalogue
+from fawnspool.standins.map_database import MapDatabase
 
 
 def content(extent_map: ExtentMap) -> dict[str, int]:
     return {record.extent: record.shard for record in extent_map.records() if record.state is not ExtentState.DELETED}
 
 
-def held(catalogue: Catalogue) -> dict[str, int]:
+def held(database: MapDatabase) -> dict[str, int]:
     return {
         record.extent: record.shard
-        for k in range(catalogue.shards)
-        for d in catalogue.since(k, LOG_START)
+        for k in range(database.partition_count)
+        for d in database.deltas_since(k, LOG_START)
         if d.is_snapshot
         for record in d.records
-    } or {key: catalogue.find("v", key)[0] for key, _ in catalogue.list_keys("v", "", "", 1000)[0]}  # type: ignore[index]
+    } or {key: database.find("v", key)[0] for key, _ in database.list_keys("v", "", "", 1000)[0]}  # type: ignore[index]
 
 
-def catch_up(extent_map: ExtentMap, catalogue: Catalogue) -> tuple[ExtentMap, int]:
+def catch_up(extent_map: ExtentMap, database: MapDatabase) -> tuple[ExtentMap, int]:
     """Return the map after all that it lacks, and how many records that took."""
-    said = [d for k in range(catalogue.shards) for d in catalogue.since(k, extent_map.partitions[k].complete_to)]
+    said = [
+        d
+        for k in range(database.partition_count)
+        for d in database.deltas_since(k, extent_map.partitions[k].complete_to)
+    ]
     for delta in said:
         extent_map = extent_map.apply(delta)
     assert all(s.gap is None for s in extent_map.partitions)
@@ -39,101 +43,101 @@
 
 
 def test_a_gateway_gets_what_it_lacks_and_no_more() -> None:
-    catalogue = Catalogue(shards=1)
+    database = MapDatabase(partition_count=1)
     for k in range(50):
-        catalogue.put("v", f"x{k}", k % 3, 1)
-    extent_map, count = catch_up(ExtentMap.empty(1), catalogue)
-    assert count == 50 and content(extent_map) == held(catalogue)
-    catalogue.put("v", "x7", 9, 1)
-    catalogue.delete("v", "x8")
-    extent_map, count = catch_up(extent_map, catalogue)
+        database.put("v", f"x{k}", k % 3, 1)
+    extent_map, count = catch_up(ExtentMap.empty(1), database)
+    assert count == 50 and content(extent_map) == held(database)
+    database.put("v", "x7", 9, 1)
+    database.delete("v", "x8")
+    extent_map, count = catch_up(extent_map, database)
     assert count == 2 and content(extent_map)["x7"] == 9 and "x8" not in content(extent_map)
-    assert catch_up(extent_map, catalogue)[1] == 0
+    assert catch_up(extent_map, database)[1] == 0
     for n in range(60):  # more changes than there are extents: a snapshot is less
-        catalogue.put("v", "x1", n, n)
-    extent_map, count = catch_up(extent_map, catalogue)
-    assert count == 49 and content(extent_map) == held(catalogue)
-    catalogue.close()
+        database.put("v", "x1", n, n)
+    extent_map, count = catch_up(extent_map, database)
+    assert count == 49 and content(extent_map) == held(database)
+    database.close()
 
 
 def test_the_log_stays_bounded_and_what_was_truncated_comes_as_a_snapshot() -> None:
-    catalogue = Catalogue(shards=1)
-    catalogue.put("v", "kept", 1, 1)
-    behind, _ = catch_up(ExtentMap.empty(1), catalogue)
-    catalogue.delete("v", "kept")
+    database = MapDatabase(partition_count=1)
+    database.put("v", "kept", 1, 1)
+    behind, _ = catch_up(ExtentMap.empty(1), database)
+    database.delete("v", "kept")
     for n in range(MIN_LOG_CAPACITY + 50):
-        catalogue.put("v", "x", n, n)
-    assert catalogue.past[0].change_count <= MIN_LOG_CAPACITY and catalogue.past[0].truncated_at > (0, 0)
-    assert catalogue.since(0, behind.partitions[0].complete_to)[0].is_snapshot
-    extent_map, _ = catch_up(behind, catalogue)
+        database.put("v", "x", n, n)
+    assert database.log_states[0].change_count <= MIN_LOG_CAPACITY and database.log_states[0].truncated_at > (0, 0)
+    assert database.deltas_since(0, behind.partitions[0].complete_to)[0].is_snapshot
+    extent_map, _ = catch_up(behind, database)
     assert content(extent_map) == {
         "x": MIN_LOG_CAPACITY + 49
     }  # the tombstone is gone from the log, and `kept` from the map
-    catalogue.close()
+    database.close()
 
 
 def test_an_extent_that_comes_again_is_later_than_its_dropped_tombstone() -> None:
-    catalogue = Catalogue(shards=1)
-    catalogue.put("v", "a", 1, 1)
-    catalogue.flip("v", "a", 2, 5)
-    catalogue.delete("v", "a")
-    old, _ = catch_up(ExtentMap.empty(1), catalogue)  # holds the tombstone, at generation 5
+    database = MapDatabase(partition_count=1)
+    database.put("v", "a", 1, 1)
+    database.record_migration("v", "a", 2, 5)
+    database.delete("v", "a")
+    old, _ = catch_up(ExtentMap.empty(1), database)  # holds the tombstone, at generation 5
     for n in range(MIN_LOG_CAPACITY + 50):
-        catalogue.put("v", "x", n, n)
-    catalogue.put("v", "a", 3, 1)
-    record = catalogue.find_record("v", "a")
+        database.put("v", "x", n, n)
+    database.put("v", "a", 3, 1)
+    record = database.find_record("v", "a")
     assert record is not None and record.stamp.generation == 6
-    for delta in catalogue.since(0, LOG_START):
+    for delta in database.deltas_since(0, LOG_START):
         old = old.apply(delta)
     assert content(old)["a"] == 3
-    catalogue.close()
+    database.close()
 
 
 def test_a_migration_is_recorded_once_and_a_superseded_one_changes_nothing() -> None:
-    catalogue = Catalogue(shards=1)
-    catalogue.put("v", "a", 1, 7)
+    database = MapDatabase(partition_count=1)
+    database.put("v", "a", 1, 7)
     for _ in range(3):
-        holds = catalogue.flip("v", "a", 2, 1)
+        holds = database.record_migration("v", "a", 2, 1)
         assert holds is not None and (holds.shard, holds.stamp.generation, holds.size) == (2, 1, 7)
-    assert catalogue.past[0].position.version == 2  # told three times, noted once
-    assert (catalogue.flip("v", "a", 4, 3) or holds).shard == 4
-    assert (catalogue.flip("v", "a", 3, 2) or holds).shard == 4  # the second of two moves told first
-    assert catalogue.flip("v", "none", 1, 1) is None
-    catalogue.close()
+    assert database.log_states[0].position.version == 2  # told three times, noted once
+    assert (database.record_migration("v", "a", 4, 3) or holds).shard == 4
+    assert (database.record_migration("v", "a", 3, 2) or holds).shard == 4  # the second of two moves told first
+    assert database.record_migration("v", "none", 1, 1) is None
+    database.close()
 
 
 def test_a_write_that_a_migration_has_overtaken_does_not_restore_the_old_shard() -> None:
-    catalogue = Catalogue(shards=1)
-    catalogue.put("v", "a", 1, 7)
-    catalogue.flip("v", "a", 2, 1)
-    record, accepted = catalogue.record_write(
+    database = MapDatabase(partition_count=1)
+    database.put("v", "a", 1, 7)
+    database.record_migration("v", "a", 2, 1)
+    record, accepted = database.record_write(
         ExtentWrite("v", "a", 1, 9, generation=0)
     )  # acknowledged by the old node before its fence
     assert accepted and (record.shard, record.size, record.stamp.generation) == (2, 9, 1)
-    record, _ = catalogue.record_write(ExtentWrite("v", "a", 2, 11, generation=1))
+    record, _ = database.record_write(ExtentWrite("v", "a", 2, 11, generation=1))
     assert (record.shard, record.size) == (2, 11)
-    record, _ = catalogue.record_write(
+    record, _ = database.record_write(
         ExtentWrite("v", "a", 0, 12, generation=2)
     )  # sent on by the old node, before its flip is told
-    assert (record.shard, record.stamp.generation) == (0, 2) and catalogue.flip("v", "a", 0, 2) == record
-    catalogue.close()
+    assert (record.shard, record.stamp.generation) == (0, 2) and database.record_migration("v", "a", 0, 2) == record
+    database.close()
 
 
 def test_a_service_restored_from_a_backup_deletes_only_what_it_knew(tmp_path: Path) -> None:
     clock = [1000]
-    catalogue = Catalogue(tmp_path / "map", 1, lambda: clock[0])
+    database = MapDatabase(tmp_path / "map", 1, lambda: clock[0])
     for k in range(4):
-        catalogue.put("v", f"x{k}", 0, 1)
-    catalogue.delete("v", "x3")
-    early, _ = catch_up(ExtentMap.empty(1), catalogue)
-    catalogue.backup(tmp_path / "old")
-    catalogue.put("v", "later", 5, 1)
-    catalogue.flip("v", "x0", 7, 1)
-    catalogue.delete("v", "x1")
-    late, _ = catch_up(early, catalogue)
-    catalogue.close()
+        database.put("v", f"x{k}", 0, 1)
+    database.delete("v", "x3")
+    early, _ = catch_up(ExtentMap.empty(1), database)
+    database.backup(tmp_path / "old")
+    database.put("v", "later", 5, 1)
+    database.record_migration("v", "x0", 7, 1)
+    database.delete("v", "x1")
+    late, _ = catch_up(early, database)
+    database.close()
     clock[0] = 2000
-    restored = Catalogue(tmp_path / "old", 1, lambda: clock[0])
+    restored = MapDatabase(tmp_path / "old", 1, lambda: clock[0])
     restored.delete("v", "x2")
     restored.put("v", "x1", 3, 1)
     late, _ = catch_up(late, restored)
@@ -193,31 +197,33 @@
 @given(st.integers(0, 10**6))
 def test_gateways_that_catch_up_at_any_time_end_with_the_services_map(seed: int) -> None:
     """Changes, migrations, deletions, restarts and truncations in any order; gateways catch up now and then."""
-    random, catalogue = Random(seed), Catalogue(shards=2)
-    catalogue.shards = 2
+    random, database = Random(seed), MapDatabase(partition_count=2)
+    database.partition_count = 2
     gateways = [ExtentMap.empty(2) for _ in range(3)]
     for _ in range(random.randrange(5, 60)):
         what, key = random.random(), f"x{random.randrange(6)}"
         if what < 0.4:
-            catalogue.put(random.choice("vw"), key, random.randrange(9), random.randrange(3))
+            database.put(random.choice("vw"), key, random.randrange(9), random.randrange(3))
         elif what < 0.55:
-            catalogue.delete("v", key)
+            database.delete("v", key)
         elif what < 0.7:
-            now = catalogue.find_record("v", key)
-            catalogue.flip("v", key, random.randrange(9), (now.stamp.generation if now else 0) + random.randrange(3))
+            now = database.find_record("v", key)
+            database.record_migration(
+                "v", key, random.randrange(9), (now.stamp.generation if now else 0) + random.randrange(3)
+            )
         elif what < 0.8:
-            catalogue.past = [p.with_new_epoch(0) for p in catalogue.past]
+            database.log_states = [p.with_new_epoch(0) for p in database.log_states]
         else:
             at = random.randrange(3)
-            gateways[at], _ = catch_up(gateways[at], catalogue)
+            gateways[at], _ = catch_up(gateways[at], database)
     for extent_map in gateways:
-        extent_map, _ = catch_up(extent_map, catalogue)
+        extent_map, _ = catch_up(extent_map, database)
         for volume in "vw":
-            said = {k: catalogue.find(volume, k) for k, _ in catalogue.list_keys(volume, "", "", 100)[0]}
+            said = {k: database.find(volume, k) for k, _ in database.list_keys(volume, "", "", 100)[0]}
             mine = {
                 record.extent: (record.shard, record.size)
                 for record in extent_map.records()
                 if record.volume == volume and record.state is not ExtentState.DELETED
             }
             assert mine == said
-    catalogue.close()
+    database.close()
