--- a/fawnspool/scheduling/node_queue.py
+++ b/fawnspool/scheduling/node_queue.py
@@ -64,6 +64,44 @@
             return 1 if is_trial_due else 0
         return int(self.concurrency.limit) + (1 if self.queue.continues_run(pending) else 0)
 
+    def record_response(
+        self,
+        pending: PendingRequest,
+        took_s: float,
+        target_response_s: float,
+        fleet: FleetResponseTimes,
+        now: float,
+    ) -> None:
+        """Take in how long a request took at the node, or how long it took at least where it timed out."""
+        self.response_times.learn(took_s, pending.request.units, now, fleet)
+        self.queue.record_response(pending.request.volume, took_s, self.mean_response_s())
+        self.concurrency.record_response(self.response_times.mean_s, target_response_s, len(self.in_flight))
+
+    def record_overload(self, least_objective_s: float, now: float) -> None:
+        """Take in that the node rejected a request."""
+        self.concurrency.record_overload()
+        self.response_times.record_overload(least_objective_s, now)
+
+    def expected_response_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
+        """Return how long one more request would take, what is queued here included.
+
+        Parameters
+        ----------
+        now : float
+            Seconds on the caller's clock.
+        fleet : FleetResponseTimes or None
+            In a large fleet, whose gateways' requests queue up at the node; None: only this gateway's own count.
+        """
+        ahead = len(self.in_flight) + self.queue.queued
+        own_s = self.mean_response_s() * (1 + ahead / self.concurrency.limit)
+        return own_s if fleet is None else own_s + self.queueing_delay_s(now, fleet)
+
+    def done_in_s(self, units: float, now: float, fleet: FleetResponseTimes | None) -> float:
+        """Return how long a request of so many units takes from its send to its answer; `fleet` as above."""
+        if fleet is None:
+            return self.mean_response_s()
+        return self.queueing_delay_s(now, fleet) + fleet.work_s_per_unit * units
+
     def queueing_delay_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
         """Return the wait at the node: what its answers told, or the silence since, whichever is longer.
 
--- a/fawnspool/scheduling/placement.py
+++ b/fawnspool/scheduling/placement.py
@@ -14,7 +14,7 @@
 def choose_node(
     nodes: Sequence[NodeQueue],
     may_be_fed: Callable[[NodeQueue], bool],
-    expected_wait_s: Callable[[NodeQueue], float],
+    expected_response_s: Callable[[NodeQueue], float],
     random: Random,
 ) -> NodeQueue | None:
     """Return the better of two drawn nodes, or None where there is no node.
@@ -25,8 +25,8 @@
         All shards that have a node.
     may_be_fed : callable
         Whether a node's slow start lets one more request go.
-    expected_wait_s : callable
-        How long a request would wait for a node.
+    expected_response_s : callable
+        How long one more request would take at a node.
     random : Random
         Draws the nodes.
     """
@@ -36,6 +36,6 @@
         fit = [node_queue for node_queue in drawn if node_queue.is_available()]
     return min(
         (fit or drawn)[:NODES_COMPARED],
-        key=lambda node_queue: (expected_wait_s(node_queue), node_queue.shard),
+        key=lambda node_queue: (expected_response_s(node_queue), node_queue.shard),
         default=None,
     )
--- a/fawnspool/scheduling/rate_limits.py
+++ b/fawnspool/scheduling/rate_limits.py
@@ -7,10 +7,8 @@
 
 from __future__ import annotations
 
-import struct
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
-from enum import IntEnum
 from random import Random
 
 from fawnspool.scheduling.fair_queue import IDLE_VOLUME_S
@@ -24,6 +22,7 @@
     VolumeParticipants,
 )
 from fawnspool.scheduling.pending_request import PendingRequest
+from fawnspool.scheduling.transfer_messages import TransferKind, TransferMessage, clock_ms
 
 BROADCAST_INTERVAL_S = 1.0  # between two requests for one volume's units to every gateway
 TRANSFER_VALIDITY_FRACTION = 0.95  # of the time that a lender counts units as on their way: clocks' rates differ
@@ -31,43 +30,6 @@
 MIN_GRANT_UNITS = 1.0
 MAX_VOLUMES = 4096  # remembered, whatever comes
 MIN_METERED_UNITS_PER_S = 1e-9
-CLOCK_PERIOD_MS = 2**32
-
-
-class TransferKind(IntEnum):
-    """What a transfer message says, as on the wire."""
-
-    REQUEST = 1
-    GRANT = 2
-
-
-@dataclass(frozen=True, slots=True)
-class TransferMessage:
-    """One message about units of a volume's limit.
-
-    Attributes
-    ----------
-    kind : int
-        A TransferKind, or a value that this version doesn't know.
-    requested_at_ms : int
-        When the units were asked for, on the borrower's clock.
-    """
-
-    kind: int
-    volume: int
-    units: float
-    requested_at_ms: int
-
-    LAYOUT = struct.Struct(">BQfI")
-
-    def encode(self) -> bytes:
-        """Return it as on the wire."""
-        return self.LAYOUT.pack(self.kind, self.volume, self.units, self.requested_at_ms)
-
-    @classmethod
-    def decode(cls, body: bytes) -> TransferMessage | None:
-        """Read it from the wire; None where the length is another message's."""
-        return cls(*cls.LAYOUT.unpack(body)) if len(body) == cls.LAYOUT.size else None
 
 
 @dataclass(slots=True, eq=False)
@@ -220,7 +182,7 @@
         limiter.requested_at = now
         room_units = limiter.plan.rate_limit_burst / limiter.gateway_count - limiter.tokens
         units = max(lacking_units, room_units)
-        body = TransferMessage(TransferKind.REQUEST, volume_id, units, _clock_ms(now)).encode()
+        body = TransferMessage(TransferKind.REQUEST, volume_id, units, clock_ms(now)).encode()
         asked = self._random.sample(sorted(limiter.lenders), min(LENDERS_ASKED, len(limiter.lenders)))
         if not asked:
             return [SendPeerMessage(None, body)]
@@ -257,8 +219,7 @@
 
     def _accept(self, lender: int, message: TransferMessage, limiter: RateLimiter, now: float) -> bool:
         """Take units in, unless they come so late that the lender may have filled up again."""
-        age_ms = (int(now * 1000) - message.requested_at_ms) % CLOCK_PERIOD_MS
-        if age_ms >= self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION:
+        if message.age_ms(now) >= self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION:
             return False
         limiter.lenders.add(lender)
         limiter.tokens += message.units
@@ -293,7 +254,3 @@
                 break
             _, forgotten = self.limiters.popitem(last=False)
             self.recorded_since = max(self.recorded_since, forgotten.refilled_at)
-
-
-def _clock_ms(now: float) -> int:
-    return int(now * 1000) & (CLOCK_PERIOD_MS - 1)
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -95,6 +95,7 @@
         self.busy = dict[int, NodeQueue]()  # those with something queued or in flight
         self.served_queues = list[NodeQueue]()  # those of shards that have a node
         self.fleet_times = FleetResponseTimes()
+        self._queueing_fleet = self.fleet_times if self.is_large_fleet else None
         self.rate_limits = RateLimits(settings, self.least_objective_s, self.check_interval_s, self.random)
         self.delay_limit = admission.QueueingDelayLimit(settings, self.least_objective_s, self.random)
         self.retries = RetryPolicy(settings)
@@ -297,7 +298,7 @@
         """While some queued request would be late, give up the one of least value of those before it."""
         mean_units = self.settings.mean_units
         while node_queue.queue.queued:
-            done_in_s = self._done_in_s(node_queue)
+            done_in_s = node_queue.done_in_s(mean_units, self.now, self._queueing_fleet)
             if load_shedding.all_are_in_time(node_queue, done_in_s, mean_units, self.now):
                 break
             plan = load_shedding.forecast(node_queue, done_in_s, mean_units, self._tokens, self.now)
@@ -309,23 +310,11 @@
     def _tokens(self, pending: PendingRequest) -> float:
         return self._limiter(pending).tokens
 
-    def _done_in_s(self, node_queue: NodeQueue) -> float:
-        """Return how long a usual request takes from its send to its answer."""
-        if not self.is_large_fleet:
-            return node_queue.mean_response_s()
-        delay_s = node_queue.queueing_delay_s(self.now, self.fleet_times)
-        return delay_s + self.fleet_times.work_s_per_unit * self.settings.mean_units
-
-    def _expected_wait_s(self, node_queue: NodeQueue) -> float:
-        """Return how long one more request would take at a node."""
-        ahead = len(node_queue.in_flight) + node_queue.queue.queued
-        own_s = node_queue.mean_response_s() * (1 + ahead / node_queue.concurrency.limit)
-        if not self.is_large_fleet:
-            return own_s
-        return own_s + node_queue.queueing_delay_s(self.now, self.fleet_times)
+    def _expected_response_s(self, node_queue: NodeQueue) -> float:
+        return node_queue.expected_response_s(self.now, self._queueing_fleet)
 
     def _choose_node(self) -> NodeQueue | None:
-        return choose_node(self.served_queues, self._may_be_fed, self._expected_wait_s, self.random)
+        return choose_node(self.served_queues, self._may_be_fed, self._expected_response_s, self.random)
 
     def _move_new_objects(self, node_queue: NodeQueue) -> None:
         """Queue new objects that wait for a node which takes nothing at another."""
@@ -361,8 +350,7 @@
 
     def _learn(self, node_queue: NodeQueue, pending: PendingRequest, event: Outcome, attempt: Attempt) -> None:
         """Take in what an attempt's end shows of its node."""
-        volume_id, units = pending.request.volume, pending.request.units
-        node_queue.queue.record_end(volume_id)
+        node_queue.queue.record_end(pending.request.volume)
         # Otherwise the node was heard of since: the attempt was lost on its way.
         is_silent = event.result is Result.TIMED_OUT and node_queue.health.last_answer_at <= attempt.sent_at
         if is_failure(event, is_silent):
@@ -372,19 +360,14 @@
         elif event.result in ANSWERED:
             self._record_answer(node_queue)
         if event.result is Result.OVERLOADED:
-            node_queue.concurrency.record_overload()
-            node_queue.response_times.record_overload(self.least_objective_s, self.now)
+            node_queue.record_overload(self.least_objective_s, self.now)
         elif event.result is Result.SERVED or is_silent:
             took_s = self.now - attempt.sent_at
             if is_silent:  # whoever was in its queue waits longer than that
                 took_s += node_queue.response_times.wait_s
             else:
-                node_queue.slow_start.record_served(units)
-            node_queue.response_times.learn(took_s, units, self.now, self.fleet_times)
-            node_queue.queue.record_response(volume_id, took_s, node_queue.mean_response_s())
-            node_queue.concurrency.record_response(
-                node_queue.response_times.mean_s, self.target_response_s, len(node_queue.in_flight)
-            )
+                node_queue.slow_start.record_served(pending.request.units)
+            node_queue.record_response(pending, took_s, self.target_response_s, self.fleet_times, self.now)
         node_queue.queue.shift_tags(self.now)
 
     def _retry_or_give_up(self, pending: PendingRequest, node_queue: NodeQueue, result: Result) -> None:
@@ -420,7 +403,7 @@
         node_queue = self._queue_of(pending)
         if node_queue is None:
             return self.settings.max_retry_after_s
-        return min(self._expected_wait_s(node_queue), self.settings.max_retry_after_s)
+        return min(self._expected_response_s(node_queue), self.settings.max_retry_after_s)
 
     def _finish(self, pending: PendingRequest) -> None:
         """Send nothing more for a request, cancel what is in flight, and forget it once nothing is."""
--- a/tests/lending_model.py
+++ b/tests/lending_model.py
@@ -21,7 +21,7 @@
 from fawnspool.model import versions
 from fawnspool.scheduling.admission import make_pending
 from fawnspool.scheduling.interface import PeerMessage, Request, SendPeerMessage
-from fawnspool.scheduling.rate_limits import TransferKind, TransferMessage
+from fawnspool.scheduling.transfer_messages import TransferKind, TransferMessage
 from tests.conftest import make_class, make_plan, make_settings
 
 SCHEDULING = Path(__file__).parent.parent / "fawnspool" / "scheduling"
@@ -37,7 +37,7 @@
     "a lender keeps what it lends": ("        limiter.tokens -= units\n", ""),
     "what was lent may be filled up at once": ("        limiter.granted.append((now, units))\n", ""),
     "late units count": (
-        "if age_ms >= self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION:",
+        "if message.age_ms(now) >= self._transfer_window_s * 1000 * TRANSFER_VALIDITY_FRACTION:",
         "if False:",
     ),
     "units count twice as long as they are kept": (
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -44,12 +44,14 @@
 
 
 def all_are_in_time(scheduler: Scheduler, node_queue: NodeQueue) -> bool:
-    done_in_s, mean_units = scheduler._done_in_s(node_queue), scheduler.settings.mean_units
+    mean_units = scheduler.settings.mean_units
+    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._queueing_fleet)
     return load_shedding.all_are_in_time(node_queue, done_in_s, mean_units, scheduler.now)
 
 
 def forecast(scheduler: Scheduler, node_queue: NodeQueue) -> load_shedding.Forecast:
-    done_in_s, mean_units = scheduler._done_in_s(node_queue), scheduler.settings.mean_units
+    mean_units = scheduler.settings.mean_units
+    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._queueing_fleet)
     return load_shedding.forecast(node_queue, done_in_s, mean_units, scheduler._tokens, scheduler.now)
 
 
