--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -27,6 +27,7 @@
     read_token,
 )
 from fawnspool.extents.records import ExtentWrite
+from fawnspool.gateway.extent_directory import ExtentLocation
 from fawnspool.gateway.gateway import Gateway, ObjectRequest
 from fawnspool.gateway.map_client import MapServiceError
 from fawnspool.gateway.request_state import AnswerKind, ClientRequest, NodeAnswer, RequestBody
@@ -38,10 +39,7 @@
 from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_options import ServerOptions
 
-Place = tuple[int, int]
-"""Where the extent map has an object: shard and size in bytes."""
-
-_NO_PLACE: Place = (-1, 0)  # a new object goes to any node
+_NEW_OBJECT = ExtentLocation(shard=-1, size=0)  # a new object goes to any node
 _OWN_PAGES = b"/-/"
 _FORWARDED_HEADERS = (b"if-match", b"if-none-match", b"range")
 _MOVED_STATUS = 421
@@ -164,35 +162,34 @@
             exchange, volume, key, class_index, b"GET", RequestBody(b"", 0), b"?stat" if is_head else b""
         )
 
-        def submit(place: Place) -> ClientRequest:
-            shard, size = place
-            return self._submit(operation, shard, 0 if is_head else read_requested_bytes(exchange, size))
+        def submit(location: ExtentLocation) -> ClientRequest:
+            size = 0 if is_head else read_requested_bytes(exchange, location.size)
+            return self._submit(operation, location.shard, size)
 
         pending = self._submit_where_found(operation, deadline, submit)
         self.answers.finish(pending)
 
     def _submit_where_found(
-        self, operation: _Operation, deadline: float, submit: Callable[[Place], ClientRequest]
+        self, operation: _Operation, deadline: float, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
-        """Read at the place that the map has; where no object is there, ask the map service once and read again."""
+        """Read at the location that the map has; where no object is there, ask the map service once and read again."""
         directory = self.gateway.extent_directory
-        asked_place: Place | None = _NO_PLACE
-        asked_at = 0.0
+        read_location: ExtentLocation | None = _NEW_OBJECT
+        read_at = 0.0
         for fresh in (False, True):
             now = time.monotonic()
-            place = self._find(operation, deadline, fresh)
-            if fresh and place != asked_place:
-                directory.record_send(False, now - asked_at)
-            if place is None:
+            location = self._find(operation.volume, operation.key, deadline, fresh)
+            if fresh and location != read_location:
+                directory.record_send(False, now - read_at)
+            if location is None:
                 raise NoSuchObjectError(operation.volume, operation.key)
-            asked_place = place
-            asked_at = now
-            pending = self._submit_following_moves(operation, place, submit)
-            answer = pending.answer
-            is_gone = pending.answer_kind is AnswerKind.SERVED and answer is not None and answer.status == _NOT_FOUND
-            if not is_gone:
+            read_location = location
+            read_at = now
+            pending = self._submit_following_moves(operation, location, submit)
+            is_missing = pending.served_status == _NOT_FOUND
+            if not is_missing:
                 directory.record_send(True, 0.0)
-            if not is_gone or fresh or time.monotonic() >= pending.deadline:
+            if not is_missing or fresh or time.monotonic() >= pending.deadline:
                 break
             self.gateway.count_finished(pending, "moved")
         return pending
@@ -204,24 +201,23 @@
         if head.length is not None and head.length > max_bytes:
             raise ApiError(413, "too-large", f"a body has {max_bytes} bytes at most")
         deadline = self.reader.deadline(exchange, class_index)
-        place = self._find_named(volume, key, deadline)
+        location = self._find(volume, key, deadline)
         operation = _Operation(exchange, volume, key, class_index, b"PUT", self._read_body(exchange))
-        generation = -1  # of the place that it was sent to last
+        generation = -1  # of the location that it was sent to last
 
-        def submit(place: Place) -> ClientRequest:
+        def submit(location: ExtentLocation) -> ClientRequest:
             nonlocal generation
             generation = self.gateway.extent_directory.generation_of(volume, key)
-            return self._submit(operation, place[0], head.length)
+            return self._submit(operation, location.shard, head.length)
 
-        pending = self._submit_following_moves(operation, place or _NO_PLACE, submit)
-        answer = pending.answer
-        if pending.answer_kind is AnswerKind.SERVED and answer is not None and answer.status in _WRITTEN_STATUSES:
+        pending = self._submit_following_moves(operation, location or _NEW_OBJECT, submit)
+        if pending.served_status in _WRITTEN_STATUSES:
             self.gateway.metrics.bytes_in += exchange.body_bytes
             self._note_written(operation, pending, generation)
         self.answers.finish(pending)
 
     def _note_written(self, operation: _Operation, pending: ClientRequest, generation: int) -> None:
-        """Note the new place at the map service; where that fails the request has failed."""
+        """Note the new location at the map service; where that fails the request has failed."""
         exchange = operation.exchange
         assert pending.served_by_shard is not None
         is_new = exchange.head.headers.get(b"if-none-match", b"").strip() == b"*"
@@ -231,7 +227,7 @@
         try:
             is_noted = self.gateway.extent_directory.record_write(write, self._note_deadline(pending))
         except MapServiceError as error:
-            self._log_place_error("written_place_not_noted", operation, error)
+            self._log_location_error("written_location_not_noted", operation, error)
             pending.answer_kind = AnswerKind.FAILED
         else:
             if not is_noted:
@@ -242,12 +238,13 @@
         deadline = self.reader.deadline(exchange, class_index)
         discard_body(exchange)
         operation = _Operation(exchange, volume, key, class_index, b"DELETE", RequestBody(b"", 0))
-        place = self._find(operation, deadline, fresh=True)
-        if place is None:
+        location = self._find(volume, key, deadline, fresh=True)
+        if location is None:
             raise NoSuchObjectError(volume, key)
-        pending = self._submit_following_moves(operation, place, lambda place: self._submit(operation, place[0], 0))
-        answer = pending.answer
-        if pending.answer_kind is AnswerKind.SERVED and answer is not None and answer.status in _DELETED_STATUSES:
+        pending = self._submit_following_moves(
+            operation, location, lambda location: self._submit(operation, location.shard, 0)
+        )
+        if pending.served_status in _DELETED_STATUSES:
             self._note_deleted(operation, pending)
         self.answers.finish(pending)
 
@@ -255,9 +252,9 @@
         try:
             self.gateway.extent_directory.delete(operation.volume, operation.key, self._note_deadline(pending))
         except MapServiceError as error:
-            self._log_place_error("deleted_place_not_dropped", operation, error)
+            self._log_location_error("deleted_location_not_dropped", operation, error)
 
-    def _log_place_error(self, event: str, operation: _Operation, error: MapServiceError) -> None:
+    def _log_location_error(self, event: str, operation: _Operation, error: MapServiceError) -> None:
         self.gateway.log.error(event, volume=operation.volume, key=operation.key, error=str(error))
 
     def _note_deadline(self, pending: ClientRequest) -> float:
@@ -265,9 +262,11 @@
 
     def _list(self, exchange: Exchange, volume: str, query: str) -> None:
         discard_body(exchange)
-        asked = read_list_query(query)
+        listing_query = read_list_query(query)
         try:
-            keys, more = self.gateway.extent_directory.list_keys(volume, asked.prefix, asked.after, asked.limit)
+            keys, more = self.gateway.extent_directory.list_keys(
+                volume, listing_query.prefix, listing_query.after, listing_query.limit
+            )
         except MapServiceError as error:
             raise UnavailableError("no-catalogue", str(error)) from None
         listing: dict[str, Any] = {"volume": volume, "objects": [{"key": key, "size": size} for key, size in keys]}
@@ -278,10 +277,7 @@
 
     # ------------------------------------------------------------ the steps of a request
 
-    def _find(self, operation: _Operation, deadline: float, fresh: bool = False) -> Place | None:
-        return self._find_named(operation.volume, operation.key, deadline, fresh)
-
-    def _find_named(self, volume: str, key: str, deadline: float, fresh: bool = False) -> Place | None:
+    def _find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
         """Return where the object is, None: there is none; `fresh`: by the map service's own word."""
         try:
             return self.gateway.extent_directory.find(volume, key, deadline, fresh)
@@ -309,7 +305,7 @@
         return RequestBody(b"".join(start), head.length, rest)
 
     def _submit_following_moves(
-        self, operation: _Operation, place: Place, submit: Callable[[Place], ClientRequest]
+        self, operation: _Operation, location: ExtentLocation, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
         """Submit and wait, again where nodes say that the extent has moved or is about to open.
 
@@ -323,21 +319,18 @@
         """
         is_ordered = self.config.class_[operation.class_index].ordered
         only_once = is_ordered or operation.body.rest is not None
-        for turn in count():
-            pending = submit(place)
+        for redirects in count():
+            pending = submit(location)
             self._wait(pending)
-            answer = pending.answer
-            if pending.answer_kind is not AnswerKind.SERVED or answer is None:
-                return pending
-            if answer.status not in (_MOVED_STATUS, _OPENING_STATUS):
+            if pending.served_status not in (_MOVED_STATUS, _OPENING_STATUS):
                 return pending
             self.gateway.count_finished(pending, "moved")
-            moved_to = parse_moved(answer.headers.get(MOVED_HEADER)) if answer.status == _MOVED_STATUS else None
+            moved_to = _moved_to(pending)
             if moved_to is not None:
-                place = self.gateway.extent_directory.redirected(operation.volume, operation.key, *moved_to)
+                location = self.gateway.extent_directory.redirected(operation.volume, operation.key, *moved_to)
             left_s = pending.deadline - time.monotonic()
             pause_s = self.gateway.extent_directory.staleness.redirect_pause_s(
-                turn, moved_to is not None, left_s, only_once
+                redirects, moved_to is not None, left_s, only_once
             )
             if pause_s is None:
                 break
@@ -384,6 +377,13 @@
             raise pending.body.error
 
 
+def _moved_to(pending: ClientRequest) -> tuple[int, int] | None:
+    """Return the shard and the generation that a node named in its answer; None: it named none."""
+    if pending.answer is None or pending.answer.status != _MOVED_STATUS:
+        return None
+    return parse_moved(pending.answer.headers.get(MOVED_HEADER))
+
+
 def _limited(pieces: Iterator[bytes], size: int, max_bytes: int) -> Iterator[bytes]:
     """Yield the pieces of a body of which `size` bytes were read before; raise HttpError where it is too long."""
     for piece in pieces:
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -46,7 +46,7 @@
             rows = msgspec.json.decode(data, type=EndpointMessage).entries
         except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as bad:
             fail(f"the node list at {where} can't be read: {bad or type(bad).__name__}", UNREACHED)
-        return {r.cell: parse_address(r.address) for r in rows if r.phase != "gone"}
+        return {r.shard: parse_address(r.address) for r in rows if r.phase != "gone"}
 
     def fact(self, volume: str, key: str) -> ExtentRecord:
         if volume not in self.volumes:
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -212,12 +212,12 @@
         if pending is None:
             return
         now = time.monotonic()
-        time_out_at = now + action.timeout_s if action.timeout_s > 0 else pending.deadline
+        timeout_at = now + action.timeout_s if action.timeout_s > 0 else pending.deadline
         attempt = NodeAttempt(
             number=len(pending.attempts),
             node=action.node,
             started_at=now,
-            deadline=min(time_out_at, pending.deadline),
+            deadline=min(timeout_at, pending.deadline),
             write_by=now + action.write_within_s if action.write_within_s > 0 else math.inf,
         )
         if not pending.attempts:
--- a/fawnspool/gateway/endpoint_client.py
+++ b/fawnspool/gateway/endpoint_client.py
@@ -28,7 +28,7 @@
     address: str
     zone: str = ""
     kind: str = "node"
-    cell: int = 0
+    shard: int = msgspec.field(name="cell", default=0)
     phase: str = "ready"
     size: float = 1.0
     age_s: float = -1.0
@@ -139,7 +139,7 @@
                 self._log_malformed(record, error)
                 continue
             endpoints.append(self._endpoint(record, listed, now))
-            self._keep(record, listed)
+            self._store(record, listed)
         self.post(interface.EndpointUpdate(kind, version, tuple(endpoints)))
 
     def _log_malformed(self, record: EndpointRecord, error: ValueError) -> None:
@@ -152,13 +152,13 @@
             node=record.node,
             zone=zones.index(record.zone) if record.zone in zones else 0,
             kind=kinds.index(record.kind) if record.kind in kinds else 0,
-            shard=record.cell,
+            shard=record.shard,
             phase=listed.phase,
             size=record.size,
             started_at=now - record.age_s if record.age_s >= 0 else 0.0,
         )
 
-    def _keep(self, record: EndpointRecord, listed: ListedEndpoint) -> None:
+    def _store(self, record: EndpointRecord, listed: ListedEndpoint) -> None:
         if listed.phase is interface.Phase.GONE:
             self.nodes.pop(record.node, None)
             self.records.pop(record.node, None)
@@ -223,7 +223,7 @@
 
     def fetch(self) -> None:
         """Post the list again."""
-        self.last_heard_at = time.monotonic()
+        self.last_message_at = time.monotonic()
         self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
 
 
@@ -231,4 +231,4 @@
     """Raise ValueError where the entry does not read."""
     phase = interface.Phase(record.phase)
     host, _, port = record.address.rpartition(":")
-    return ListedEndpoint((host, int(port)), phase, record.zone, record.cell)
+    return ListedEndpoint((host, int(port)), phase, record.zone, record.shard)
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -20,7 +20,7 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
 
-_MAX_EVENTS_PER_TURN = 64  # then due timers get their turn, however full the queue is
+_MAX_EVENTS_PER_ITERATION = 64  # then due timers get their turn, however full the queue is
 _STOP_TIMEOUT_S = 1.0
 _MAX_LOGGED_ACTION_CHARS = 200
 
@@ -112,7 +112,7 @@
 
     def _handle_queued(self) -> None:
         handled = 0
-        while self.inbox and handled < _MAX_EVENTS_PER_TURN:
+        while self.inbox and handled < _MAX_EVENTS_PER_ITERATION:
             queued = self.inbox.popleft()
             handled += 1
             event = self._made(queued) if callable(queued) else queued
@@ -158,12 +158,12 @@
         now = time.monotonic()
         started = time.perf_counter()
         error = ""
-        asked_before = getattr(self.module, "actions", None)
+        requested_before = getattr(self.module, "actions", None)
         actions: list[interface.Action]
         try:
             actions = self.module.handle(now, event)
         except Exception as raised:
-            actions = self._asked_so_far(asked_before)
+            actions = self._requested_so_far(requested_before)
             error = f"{type(raised).__name__}: {raised}"
             self.metrics.module_errors += 1
             self.log.error(
@@ -174,18 +174,18 @@
         if self.recorder is not None:
             self.recorder.note(now, event, actions, error)
         for action in actions:
-            self._carry_out(action)
+            self._perform(action)
         if error:
             self.on_module_error(event)
 
-    def _asked_so_far(self, asked_before: Any) -> list[interface.Action]:
+    def _requested_so_far(self, requested_before: Any) -> list[interface.Action]:
         """What the module asked for on the event on which it raised, if it came so far as to begin a new list."""
-        asked = getattr(self.module, "actions", None)
-        if asked is None or asked is asked_before:
+        requested = getattr(self.module, "actions", None)
+        if requested is None or requested is requested_before:
             return []
-        return list(asked)
+        return list(requested)
 
-    def _carry_out(self, action: interface.Action) -> None:
+    def _perform(self, action: interface.Action) -> None:
         try:
             self.action_handlers[type(action)](action)
         except Exception:  # the loop must outlive whatever one action meets
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -382,7 +382,7 @@
         """Return what the gateway thinks of each node, and how it fares itself."""
         now = time.monotonic()
         counters = self.metrics
-        last_heard_at = self.endpoints.last_heard_at
+        last_message_at = self.endpoints.last_message_at
         return {
             "head": self.config.head.number,
             "policy": self.config.head.policy,
@@ -390,7 +390,7 @@
             "list": {
                 "version": self.endpoints.version,
                 "reachable": self.endpoints.reachable,
-                "heard_s": None if last_heard_at is None else round(now - last_heard_at, 2),
+                "heard_s": None if last_message_at is None else round(now - last_message_at, 2),
             },
             "in_hand": len(self.pending),
             "module": {
--- a/fawnspool/gateway/greenlet_pool.py
+++ b/fawnspool/gateway/greenlet_pool.py
@@ -70,7 +70,7 @@
     def take(self) -> tuple[Callable[..., None], tuple[Any, ...]]:
         """The assigned call, which is then forgotten so that its arguments can be freed."""
         assert self.call is not None
-        taken = self.call, self.args
+        assigned = self.call, self.args
         self.call = None
         self.args = ()
-        return taken
+        return assigned
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -171,6 +171,13 @@
     done: WakeupEvent = field(default_factory=WakeupEvent)
     span: object | None = None
 
+    @property
+    def served_status(self) -> int | None:
+        """HTTP status of the node's answer that the client gets; None: it gets no node's answer."""
+        if self.answer_kind is not AnswerKind.SERVED or self.answer is None:
+            return None
+        return self.answer.status
+
     def start_streaming(self) -> bool:
         """Claim the client's answer for an attempt that passes its own on as it comes.
 
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -76,7 +76,7 @@
         self.log = log
         self.free_descriptor = free_descriptor
         self.pool = ConnectionPool(address, PoolOptions(_MAX_CONNECTIONS, timeouts.call_s, _IDLE_TIMEOUT_S))
-        self.last_heard_at: float | None = None  # monotonic
+        self.last_message_at: float | None = None  # monotonic
         self.reachable = False
         self.watch_greenlet: gevent.Greenlet | None = None
         self.poll_greenlets: set[gevent.Greenlet] = set()
@@ -147,7 +147,7 @@
         if self.version != version:
             self.log.info("endpoint_poll_overtaken_by_watch")
             return
-        self._heard(body)
+        self._on_message(body)
 
     def _watch(self) -> None:
         """Reopen a watch that falls silent at once, for what it missed has to be heard soon.
@@ -205,9 +205,9 @@
             for complete in splitter.feed(data):
                 last_complete = time.monotonic()
                 if complete:
-                    self._heard(complete)
+                    self._on_message(complete)
                 else:
-                    self.last_heard_at = last_complete
+                    self.last_message_at = last_complete
                     self.on_heartbeat()
 
     def _with_descriptor(self, work: Callable[[], _Result]) -> _Result:
@@ -220,8 +220,8 @@
                     raise
         return work()
 
-    def _heard(self, data: bytes) -> None:
-        self.last_heard_at = time.monotonic()
+    def _on_message(self, data: bytes) -> None:
+        self.last_message_at = time.monotonic()
         self.reachable = True
         self.apply(data)
 
--- a/fawnspool/relay/errors.py
+++ b/fawnspool/relay/errors.py
@@ -52,5 +52,5 @@
 class OutdatedListError(MalformedUpdateError):
     """A list that is older than the one held."""
 
-    def __init__(self, received: int, held: int) -> None:
-        super().__init__(f"a list of {received}, older than {held}")
+    def __init__(self, received: int, current: int) -> None:
+        super().__init__(f"a list of {received}, older than {current}")
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -30,7 +30,7 @@
 HEALTH_TARGET = b"/_health"
 MAX_HEAD_BYTES = 8192
 MAX_HEAD_FIELDS = 40
-MAX_REQUESTS_PER_TURN = 16  # begun in one turn of the loop
+MAX_REQUESTS_PER_ITERATION = 16  # started in one iteration of the event loop
 _MS_PER_S = 1000
 _TEXT = (b"Content-Type", b"text/plain")
 _FORWARDED_HEADERS = (b"request-id", b"idempotency-key")
@@ -118,7 +118,7 @@
                 first_request_timeout_s=REQUEST_TIMEOUT_S,
                 read_timeout_s=REQUEST_TIMEOUT_S,
                 max_connections=limits.clients,
-                max_starts_per_turn=MAX_REQUESTS_PER_TURN,
+                max_starts_per_turn=MAX_REQUESTS_PER_ITERATION,
                 untrusted_clients=True,
                 crowded_from=limits.crowded_from,
             ),
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -93,3 +93,19 @@
     pending = pending_request(attempts=[NodeAttempt(0, 1, 0.0, 1.0, ending=AttemptEnding.RESET)])
     pending.settle(AnswerKind.SERVED)
     assert reason_label(pending) == reason_for_client(pending) == "served"
+
+
+@pytest.mark.parametrize(
+    ("kind", "answer", "status"),
+    [
+        (AnswerKind.SERVED, NodeAnswer(404, {}), 404),
+        (AnswerKind.SERVED, None, None),
+        (AnswerKind.FAILED, NodeAnswer(200, {}), None),
+    ],
+)
+def test_only_a_served_request_has_a_nodes_status(
+    kind: AnswerKind, answer: NodeAnswer | None, status: int | None
+) -> None:
+    pending = pending_request()
+    pending.settle(kind, answer)
+    assert pending.served_status == status
