--- a/fawnspool/gateway/acceptor_runner.py
+++ b/fawnspool/gateway/acceptor_runner.py
@@ -16,6 +16,7 @@
 from fawnspool.leases.acceptor import Acceptor
 from fawnspool.leases.actions import LeaseAction, PersistVotes, SendLeaseMessage
 from fawnspool.leases.messages import LeaseMessage
+from fawnspool.telemetry.logs import EventLogger
 
 
 class AcceptorRunner:
@@ -28,7 +29,7 @@
     """
 
     def __init__(
-        self, acceptor: Acceptor, votes: AcceptorLog, send: Callable[[list[SendLeaseMessage]], None], log: Any
+        self, acceptor: Acceptor, votes: AcceptorLog, send: Callable[[list[SendLeaseMessage]], None], log: EventLogger
     ) -> None:
         self.acceptor = acceptor
         self.votes = votes
--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -23,6 +23,7 @@
 from fawnspool.gossip.settings import GossipSettings
 from fawnspool.gossip.volume_participants import VolumeLimit
 from fawnspool.scheduling import interface
+from fawnspool.telemetry.logs import EventLogger
 
 MAX_STATUS_VOLUMES = 100
 MIN_SLEEP_S = 0.001
@@ -71,7 +72,7 @@
     """
 
     def __init__(
-        self, config: SharedBlock, place: FleetPlace, peers: PeerSocket, view: SchedulerView, log: Any
+        self, config: SharedBlock, place: FleetPlace, peers: PeerSocket, view: SchedulerView, log: EventLogger
     ) -> None:
         self.view = view
         self.log = log
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -35,6 +35,7 @@
     encode,
 )
 from fawnspool.leases.settings import LeaseSettings
+from fawnspool.telemetry.logs import EventLogger
 
 MAX_INBOX = 4096  # datagrams that wait for their turn
 RELEASE_PAUSE_S = 0.02  # between the two messages that all is given back, and for work to end before them
@@ -75,7 +76,9 @@
         Where the acceptor keeps its votes.
     """
 
-    def __init__(self, config: DutiesBlock, place: FleetPlace, folder: Path, peers: PeerSocket, log: Any) -> None:
+    def __init__(
+        self, config: DutiesBlock, place: FleetPlace, folder: Path, peers: PeerSocket, log: EventLogger
+    ) -> None:
         self.config = config
         self.log = log
         self.settings = lease_settings(config, place.gateway_count)
--- a/fawnspool/gateway/peer_channel.py
+++ b/fawnspool/gateway/peer_channel.py
@@ -7,9 +7,10 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any, Generic, TypeVar
+from typing import Generic, TypeVar
 
 from fawnspool.gateway.peers import PeerSocket
+from fawnspool.telemetry.logs import EventLogger
 
 MessageT = TypeVar("MessageT")
 
@@ -37,7 +38,7 @@
 class PeerChannel(Generic[MessageT]):
     """One subsystem's messages to and from the other gateways."""
 
-    def __init__(self, peers: PeerSocket, codec: PeerCodec[MessageT], log: Any) -> None:
+    def __init__(self, peers: PeerSocket, codec: PeerCodec[MessageT], log: EventLogger) -> None:
         self.peers = peers
         self.codec = codec
         self.log = log
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -20,6 +20,7 @@
 from fawnspool.gateway.map_client import MapClient, MapServiceError, OperatorRequests
 from fawnspool.leases.drain import partition_of
 from fawnspool.scheduling import interface
+from fawnspool.telemetry.logs import EventLogger
 
 POLL_INTERVAL_S = 1.0  # of operators' requests, for all roles of one gateway together
 POLLS_PER_LEASE = 2
@@ -51,7 +52,7 @@
         Calls the map service.
     """
 
-    def __init__(self, directory: ExtentDirectory, map_client: MapClient, view: GatewayView, log: Any) -> None:
+    def __init__(self, directory: ExtentDirectory, map_client: MapClient, view: GatewayView, log: EventLogger) -> None:
         self.directory = directory
         self.map_client = map_client
         self.view = view
