--- a/fawnspool/extents/map.py
+++ b/fawnspool/extents/map.py
@@ -204,11 +204,12 @@
         complete_to = partition.complete_to.version
         pending = partition.pending_ranges
     remaining: list[VersionRange] = []
-    for after, up_to in sorted({*pending, received}):
+    for versions in sorted({*pending, received}):
+        after, up_to = versions
         if after <= complete_to:
             complete_to = max(complete_to, up_to)
         elif remaining and after <= remaining[-1].up_to:
             remaining[-1] = VersionRange(remaining[-1].after, max(remaining[-1].up_to, up_to))
         else:
-            remaining.append(VersionRange(after, up_to))
+            remaining.append(versions)
     return LogPosition(epoch, complete_to), tuple(remaining[:MAX_PENDING_RANGES])
