--- a/fawnspool/standins/catalogue.py
+++ b/fawnspool/standins/catalogue.py
@@ -35,7 +35,7 @@
 )
 from fawnspool.leases.fencing import Fence, StaleTokenError
 from fawnspool.net.exceptions import HttpError
-from fawnspool.net.server_connection import Exchange
+from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import MAGIC, FrameReader
 from fawnspool.standins.service import Service
 
