--- a/fawnspool/cli/duty.py
+++ b/fawnspool/cli/duty.py
@@ -26,11 +26,11 @@
         self.lease = config.duties.lease
         self.kinds = [d.name for d in config.duties.duty]
         self.names = lease_settings(config.duties, config.head.heads).role_names
-        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
+        self.map_client = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
 
     def wishes(self) -> OperatorRequests:
         with reached():
-            return self.places.operator_requests()
+            return self.map_client.operator_requests()
 
     def named(self, name: str, kinds: bool = False) -> str:
         if name in self.names or (kinds and name in self.kinds):
@@ -115,14 +115,14 @@
     if had is None:
         fail(f"{name}: no head has shown a token for it, so there is nothing to release", BROKEN)
     with reached():
-        duties.places.set_operator_request(RELEASE + name, str(had.token))
+        duties.map_client.set_operator_request(RELEASE + name, str(had.token))
     end = time.monotonic() + within
     while time.monotonic() < end:
         time.sleep(0.1)
         now = next((h for h in duties.wishes().holders if h.role == name), None)
         if now is not None and now.token > had.token:
             with reached():
-                duties.places.set_operator_request(RELEASE + name, None)
+                duties.map_client.set_operator_request(RELEASE + name, None)
             return click.echo(
                 f"{name}: head {now.gateway_id} holds it, token {now.token}; before, head {had.gateway_id}"
             )
@@ -138,5 +138,5 @@
     duties = _Duties(config_file)
     name = duties.named(duty, kinds=True)
     with reached():
-        duties.places.set_operator_request(PAUSE + name, None if off else "")
+        duties.map_client.set_operator_request(PAUSE + name, None if off else "")
     click.echo(f"{name}: {'goes on' if off else 'is paused'}")
--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -28,7 +28,7 @@
         if config.embedded is not None:
             fail(f"{config_file}: a head with embedded nodes has its map inside; nothing can be moved from here")
         self.volumes = {v.name for v in config.volume}
-        self.places = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
+        self.map_client = MapClient(parse_address(config.catalogue.address), config.catalogue.call_timeout)
         self.nodes = self._listed(config.list.address, config.list.call_timeout)
         self.drains = config.duties is not None and any(d.name == "drain" for d in config.duties.duty)
 
@@ -52,7 +52,7 @@
         if volume not in self.volumes:
             fail(f"there is no volume {volume!r}; known: {', '.join(sorted(self.volumes))}")
         try:
-            found = self.places.find_record(volume, key)
+            found = self.map_client.find_record(volume, key)
         except MapServiceError as bad:
             fail(str(bad), UNREACHED)
         if found is None:
@@ -60,7 +60,7 @@
         return found
 
     def mover(self) -> Migrator:
-        return Migrator(self.nodes.get, self.places)
+        return Migrator(self.nodes.get, self.map_client)
 
 
 @click.group("extents", epilog=EXIT_CODES)
@@ -152,13 +152,13 @@
     name = f"{DRAIN}{cell}"
     try:
         if cancel:
-            fleet.places.set_operator_request(name, None)
+            fleet.map_client.set_operator_request(name, None)
             return click.echo(f"cell {cell}: nothing more is moved out of it")
         if not status:
             if cell not in fleet.nodes:
                 fail(f"cell {cell} has no node in the list; there are {', '.join(map(str, sorted(fleet.nodes)))}")
-            fleet.places.set_operator_request(name, "")
-        w, (left, size) = fleet.places.operator_requests(), fleet.places.usage(cell)
+            fleet.map_client.set_operator_request(name, "")
+        w, (left, size) = fleet.map_client.operator_requests(), fleet.map_client.usage(cell)
     except MapServiceError as bad:
         fail(str(bad), UNREACHED)
     holders = [h for h in w.holders if h.role.startswith("drain/")]
