--- a/fawnspool/model/report.py
+++ b/fawnspool/model/report.py
@@ -32,7 +32,7 @@
 <h1>Comparison {{ ident }}</h1>
 <p>Simulated. A: {{ a }}. B: {{ b }}. Differences are B less A, of worth earned over due; intervals hold at 95% over all
 looks that were taken. Rows in colour can be told from no difference.</p>
-{% for text in broken %}<p class="broken">ConnectionBroken rule. {{ text }}</p>
+{% for text in broken %}<p class="broken">Broken rule. {{ text }}</p>
 {% endfor %}
 <ul>
 {% for text in answers %}<li>{{ text }}</li>
