--- a/tests/e2e/relayrig.py
+++ b/tests/e2e/relayrig.py
@@ -114,7 +114,7 @@
         self.program = RelayProcess(load(str(self.path), {}), str(self.path), {})
         self.core = self.program.core
         self.program.start()
-        wait_for(lambda: self.discovery.watchers and self.program.discovery.version == self.discovery.seq)
+        wait_for(lambda: self.discovery.watchers and self.program.discovery.version == self.discovery.version)
 
     def write(self, discovery: DiscoveryServer) -> None:
         self.path.write_text(
@@ -125,7 +125,7 @@
                     "discovery": discovery.address,
                     "seed": "8c1f30d27a5be964",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-                    "known": discovery.whole() | {"seq": 0},
+                    "known": discovery.snapshot() | {"seq": 0},
                     "settings": self.settings,
                 }
             )
@@ -142,12 +142,12 @@
 
     def asked(self) -> list[str]:
         """Ids that reached the shelfs whole."""
-        return [a.ident for shelf in self.shelfs for a in shelf.asked]
+        return [a.ident for shelf in self.shelfs for a in shelf.requests]
 
     def stop(self) -> None:
         self.program.stop()
         for shelf in self.shelfs:
-            shelf.hold.set()
+            shelf.may_respond.set()
             shelf.server.stop()
         self.discovery.server.stop()
 
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -84,7 +84,7 @@
     rig = RelayRig(tmp_path, classes=keyed_window(1.0))
     try:
         seen, shelf = outcomes(rig), rig.shelfs[0]
-        shelf.ends = True
+        shelf.closes_after_script = True
         shelf.script = lambda asked: b""  # a reset-like end behind a request that may have run
         late.asked, late.at_once = 0, 1  # the first has its connection: the second waits
         sock = rig.raw(text("/note", headers("w1", wait="8000") | {"Idempotency-Key": "k"}, "PUT", b"x"))
@@ -101,8 +101,8 @@
     rig = RelayRig(tmp_path, classes=keyed_window(6.0))
     try:
         shelf = rig.shelfs[0]
-        shelf.ends = True
-        shelf.script = lambda asked: b"" if len(shelf.asked) == 1 else None
+        shelf.closes_after_script = True
+        shelf.script = lambda asked: b"" if len(shelf.requests) == 1 else None
         got: Any = rig.client().ask("PUT", "/note", b"x", **headers("w1"), **KEYED)
         assert got.status == 200 and rig.asked() == ["w1", "w1"]
     finally:
@@ -140,7 +140,7 @@
 def test_nothing_is_sent_again_for_a_client_that_left_between_two_attempts(rig: RelayRig) -> None:
     rig.core.checks.stop()
     shelf, seen = rig.shelfs[0], outcomes(rig)
-    shelf.ends = True
+    shelf.closes_after_script = True
     sock = rig.raw(b"")
 
     def script(asked: Any) -> bytes:
@@ -158,7 +158,7 @@
 def test_an_end_behind_unread_bytes_is_seen(rig: RelayRig, behind: int) -> None:
     """The next request, or noise, lies between the request in hand and the end of its connection."""
     shelf, seen = rig.shelfs[0], outcomes(rig)
-    shelf.hold.clear()
+    shelf.may_respond.clear()
     sock = plain_sock(rig.listen)
     sock.sendall(text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
@@ -171,7 +171,7 @@
 
 def test_a_request_behind_another_is_served_in_its_turn(rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
     shelf = rig.shelfs[0]
-    shelf.hold.clear()
+    shelf.may_respond.clear()
     sock = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
     looks, real = list[int](), SocketStream.peek
@@ -180,7 +180,7 @@
     before = len(looks)
     wait_for(lambda: len(looks) >= before + 3)  # the sweep has looked behind the first
     assert rig.program.handler.server.states() == {"in hand": 1}
-    shelf.hold.set()
+    shelf.may_respond.set()
     sock.sendall(text("/read", headers("r3", shard=1))[50:])
     got = b""
     while got.count(b"HTTP/1.1 200") < 3 or not got.endswith(b"r3 GET /read"):
@@ -195,7 +195,7 @@
     rig = RelayRig(tmp_path, sockets=1024)
     try:
         rig.core.checks.stop()
-        rig.shelfs[0].hold.clear()
+        rig.shelfs[0].may_respond.clear()
         first = rig.raw(text("/read", headers("first", volume="1", obj="1")))
         wait_for(lambda: rig.asked() == ["first"])
         rig.core.loop.module.node_queues[0].concurrency.limit = 1.0
@@ -207,7 +207,7 @@
         wait_for(lambda: rig.core.loop.module.node_queues[0].queue.queued == 200)
         for sock in socks:
             sock.close()
-        rig.shelfs[0].hold.set()
+        rig.shelfs[0].may_respond.set()
         assert first.recv(4096).startswith(b"HTTP/1.1 200")
         gone(rig)
         assert rig.asked() == ["first"]
@@ -220,7 +220,7 @@
     sock = rig.raw(text("/read", headers("r1", wait="600")))
     wait_for(lambda: late.asked == 1)
     rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
-    wait_for(lambda: rig.program.discovery.version == rig.discovery.seq)
+    wait_for(lambda: rig.program.discovery.version == rig.discovery.version)
     late.go.set()
     assert sock.recv(4096).startswith(b"HTTP/1.1 50")
     assert rig.asked() == []
@@ -365,7 +365,7 @@
     rig = RelayRig(tmp_path, sockets=64)
     try:
         server, shelf = rig.program.handler.server, rig.shelfs[0]
-        shelf.hold.clear()
+        shelf.may_respond.clear()
         rig.core.loop.module._shed_load = lambda node_queue: None
         busy = [
             plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
@@ -435,7 +435,7 @@
     rig.core.loop.post(lambda: failed[99])
     wait_for(lambda: failed)
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     sock = rig.raw(text("/read", headers("r2")))
     wait_for(lambda: rig.asked() == ["r1", "r2"])
     sock.close()
@@ -451,7 +451,7 @@
     shelf, server = rig.shelfs[0], rig.program.handler.server
     kept = rests(rig, "k0")
     if hangs == "before its answer":
-        shelf.hold.clear()
+        shelf.may_respond.clear()
     else:
         shelf.script = lambda asked: b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
     rig.core.loop.module._shed_load = lambda node_queue: None
@@ -490,7 +490,7 @@
 def test_a_start_waits_for_nobody(tmp_path: Path) -> None:
     """Discovery is down, and idle clients come in a flood: health is answered and the saved list is served from."""
     rig = RelayRig(tmp_path, sockets=128)
-    rig.discovery.down = True
+    rig.discovery.is_down = True
     with process_of(rig, 128):
         flood = [plain_sock(rig.listen) for _ in range(200)]
         assert rig.client().ask("GET", "/_health").status == 200
@@ -501,7 +501,7 @@
     """SIGHUP before any handler of ours stands ends a process; one that is only ignored would be missed."""
     rig = RelayRig(tmp_path)
     other = DiscoveryServer()
-    other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
+    other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     start = (
         "import os, runpy, signal, sys, fawnspool.relay.config as c\n"
         "real = c.load\n"
@@ -526,7 +526,7 @@
 
 
 def row(rig: RelayRig, health: str = "active", host: str = "s-0") -> dict[str, Any]:
-    return rig.discovery.rows[host] | {"health": health}
+    return rig.discovery.hosts[host] | {"health": health}
 
 
 def line(seq: int, *rows: dict[str, Any], whole: bool = False, indent: int | None = None) -> bytes:
@@ -564,7 +564,7 @@
 @pytest.mark.parametrize("case", SILENT)
 def test_a_watch_that_falls_silent_is_opened_anew_at_once(rig: RelayRig, case: str) -> None:
     """What it misses counts as told 6 s after it fell silent: there is no time for a pause before the next."""
-    lists, when, seq = told(rig, interface.EndpointUpdate), list[float](), rig.discovery.seq
+    lists, when, seq = told(rig, interface.EndpointUpdate), list[float](), rig.discovery.version
 
     def script(number: int, sock: Any, target: str) -> None:
         when.append(time.monotonic())
@@ -581,7 +581,7 @@
 
 
 def test_a_drain_is_heard_though_watches_fall_silent_are_reset_and_refused_before(rig: RelayRig) -> None:
-    seq, when = rig.discovery.seq, list[float]()
+    seq, when = rig.discovery.version, list[float]()
 
     def script(number: int, sock: Any, target: str) -> None:
         when.append(time.monotonic())
@@ -598,13 +598,13 @@
     with raw_discovery(rig, script) as raw:
         wait_for(lambda: drained(rig), 6)
         assert len(raw.asked) == 5 and when[-1] - when[0] < 6.0
-    before = len(rig.shelfs[0].asked)
+    before = len(rig.shelfs[0].requests)
     assert rig.client().ask("GET", "/read", **headers("r1", wait="300")).status in (502, 503, 504)
-    assert len(rig.shelfs[0].asked) == before
+    assert len(rig.shelfs[0].requests) == before
 
 
 def test_bytes_without_a_whole_line_keep_no_watch_alive(rig: RelayRig) -> None:
-    seq = rig.discovery.seq
+    seq = rig.discovery.version
 
     def script(number: int, sock: Any, target: str) -> None:
         if number:
@@ -626,7 +626,7 @@
 
 
 def test_an_object_may_stand_on_several_lines(rig: RelayRig) -> None:
-    seq = rig.discovery.seq
+    seq = rig.discovery.version
     odd = row(rig, "leaving") | {"note": 'a "brace" { [ and a back\\slash'}
     bytes_of = WATCH + line(seq + 1, odd, indent=2) + chunk(b"\n") + line(seq + 2, row(rig, "leaving", "s-1"), indent=1)
     with raw_discovery(rig, lambda number, sock, target: sock.sendall(bytes_of)):
@@ -646,7 +646,7 @@
 
 
 def test_an_older_whole_list_behind_a_newer_change_brings_no_node_back(rig: RelayRig) -> None:
-    seq, before = rig.discovery.seq, rig.discovery.whole()["hosts"]
+    seq, before = rig.discovery.version, rig.discovery.snapshot()["hosts"]
 
     def script(number: int, sock: Any, target: str) -> None:
         if number == 0:
@@ -659,7 +659,7 @@
 
 
 def test_a_service_that_counts_anew_is_believed_in_the_end(rig: RelayRig) -> None:
-    rows = rig.discovery.whole()["hosts"]
+    rows = rig.discovery.snapshot()["hosts"]
     with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH + line(1, *rows, whole=True)), 1.0):
         wait_for(lambda: rig.program.discovery.version == 1)
 
@@ -667,15 +667,15 @@
 def test_a_watch_with_nothing_to_tell_confirms_the_saved_list(rig: RelayRig) -> None:
     lists, kinds = told(rig, interface.EndpointUpdate), [interface.UpdateKind.CACHED, interface.UpdateKind.DELTA]
     with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH + chunk(b"\n"))):
-        rig.program.discovery.start(rig.discovery.whole())
+        rig.program.discovery.start(rig.discovery.snapshot())
         wait_for(lambda: [event.kind for event in lists] == kinds)
         assert lists[1].entries == () and not rig.core.loop.module.endpoints.is_cached
 
 
 def test_two_new_configurations_one_behind_the_other_end_at_the_last(rig: RelayRig) -> None:
     first, last = DiscoveryServer(), DiscoveryServer()
-    first.rows = last.rows = dict(rig.discovery.rows)
-    first.seq = last.seq = rig.discovery.seq
+    first.hosts = last.hosts = dict(rig.discovery.hosts)
+    first.version = last.version = rig.discovery.version
     for other in (first, last):
         rig.write(other)
         gevent.spawn(rig.program.reload)
@@ -693,11 +693,11 @@
     try:
         rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
         wait_for(lambda: drained(rig))
-        rig.discovery.down = True
+        rig.discovery.is_down = True
         for queue in list(rig.discovery.watchers):
             queue.put(None)
         wait_for(lambda: not rig.discovery.watchers)
-        rig.discovery.down = False
+        rig.discovery.is_down = False
         wait_for(lambda: rig.discovery.watchers)
     finally:
         rig.stop()
@@ -706,19 +706,19 @@
 def test_idle_clients_do_not_keep_the_head_from_the_list(tmp_path: Path) -> None:
     """Every descriptor but the head's own few is a client's while discovery is down."""
     rig = RelayRig(tmp_path, sockets=64)
-    rig.discovery.down = True
+    rig.discovery.is_down = True
     with process_of(rig, 64) as process:
         kept = [rig.raw(text("/read", headers(f"k{k}", shard=k % 2))) for k in range(80)]
         assert kept[0].recv(4096).startswith(b"HTTP/1.1 ")
         quiet = [rig.raw(b"") for _ in range(80)]
         rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
-        rig.discovery.down = False
+        rig.discovery.is_down = False
         wait_for(lambda: rig.discovery.watchers, 6)
         assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200
         gevent.sleep(0.05)
-        before = len(rig.shelfs[0].asked)
+        before = len(rig.shelfs[0].requests)
         assert rig.client().ask("GET", "/read", **headers("r1", wait="300")).status in (502, 503, 504)
-        assert len(rig.shelfs[0].asked) == before and process.poll() is None and quiet
+        assert len(rig.shelfs[0].requests) == before and process.poll() is None and quiet
 
 
 def no_descriptor(monkeypatch: pytest.MonkeyPatch, target: Any, name: str, times: int) -> list[int]:
@@ -749,7 +749,7 @@
     rig: RelayRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     other = DiscoveryServer()
-    other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
+    other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     rig.write(other)
     rests(rig, "r0")
     failed = no_descriptor(monkeypatch, Path, "read_text", 1)
@@ -772,7 +772,7 @@
     monkeypatch.setattr(time, "time", lambda: real() + step)
     rig.program.handler.server.draining = True
     assert answer(sock).startswith(b"HTTP/1.1 200")
-    left = [int(a.headers[b"request-timeout-ms"]) for a in rig.shelfs[0].asked if a.ident == "r1"]
+    left = [int(a.headers[b"request-timeout-ms"]) for a in rig.shelfs[0].requests if a.ident == "r1"]
     assert len(left) == 1 and 300 < left[0] <= 1000 * SETTINGS["classes"][0]["aim"]
     assert rig.client().ask("GET", "/read", **headers("r2")).status == 200
 
@@ -784,7 +784,7 @@
     shelf = rig.shelfs[0]
 
     def twice(asked: Any) -> bytes:
-        raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(asked.made()) + asked.made()
+        raw = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(asked.plain_body()) + asked.plain_body()
         conn = next(c for c in shelf.server.connections if c not in shelf.server.idle)
         gevent.sleep(0.03)  # longer than the second answer of the one before is late
         gevent.spawn_later(0.008, conn.send, raw)
@@ -802,7 +802,7 @@
     shelf = rig.shelfs[0]
 
     def script(asked: Any) -> bytes | None:
-        if len(shelf.asked) > 1:
+        if len(shelf.requests) > 1:
             return None
         conn = next(c for c in shelf.server.connections if c not in shelf.server.idle)
         conn.send(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -865,8 +865,8 @@
 )
 def test_a_close_ends_no_answer_that_says_where_it_ends(rig: RelayRig, said: bytes) -> None:
     shelf, seen = rig.shelfs[0], outcomes(rig)
-    shelf.ends = True
-    shelf.script = lambda asked: said if len(shelf.asked) == 1 else None
+    shelf.closes_after_script = True
+    shelf.script = lambda asked: said if len(shelf.requests) == 1 else None
     got: Any = rig.client().ask("GET", "/read", **headers("r1"))
     assert (got.status, got.data) == (200, b"r1 GET /read")
     assert [o.result for o in seen] == [interface.Result.RESET, interface.Result.SERVED]
@@ -947,7 +947,7 @@
 def test_a_new_configuration_that_is_just_written_is_taken_when_it_is_whole(rig: RelayRig, there: str) -> None:
     """The signal comes between two writes, or between taking the old file away and putting the new one there."""
     other = DiscoveryServer()
-    other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
+    other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     rig.write(other)
     whole = rig.path.read_text()
     if there == "half":
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -21,7 +21,7 @@
 
 from fawnspool.relay.config import ConfigError
 from fawnspool.scheduling import interface
-from fawnspool.standins.platform import Asked, DiscoveryServer
+from fawnspool.standins.platform import DiscoveryServer, ShelfRequest
 from tests.e2e.relayrig import SETTINGS, RelayRig, headers, text
 from tests.e2e.rig import wait_for
 
@@ -69,7 +69,7 @@
     assert (got.status, got.data) == (200, b"r1 GET /read/a?b=c")
     got = c.ask("PUT", "/note", b"x" * 60_000, **headers("w1"), Idempotency_Key="k-9")
     assert (got.status, got.data) == (200, b"w1 PUT /note")
-    write = rig.shelfs[0].asked[0]
+    write = rig.shelfs[0].requests[0]
     assert write.body == b"x" * 60_000 and write.headers[b"idempotency-key"] == b"k-9"
     assert 0 < int(write.headers[b"request-timeout-ms"]) <= 1500
     assert (seen[0].result, seen[0].units_by_others, seen[0].volume_usage, seen[0].load_report) == (
@@ -118,7 +118,7 @@
         assert sock.recv(4096).startswith(b"HTTP/1.1 100")
         sock.sendall(b"abcd")
     assert sock.recv(4096).startswith(b"HTTP/1.1 200")
-    asked = rig.shelfs[0].asked[0]
+    asked = rig.shelfs[0].requests[0]
     assert (asked.ident, asked.body, asked.headers[b"idempotency-key"]) == ("w1", b"abcd", b"k-9")
 
 
@@ -128,7 +128,7 @@
     memory = rig.program.handler.long_bodies
     memory.total_bytes = 8 * 250_000
     try:
-        rig.shelfs[0].hold.clear()
+        rig.shelfs[0].may_respond.clear()
 
         def ask(ident: str, size: int) -> Any:
             rows = headers(ident) | {"Idempotency-Key": "k"}
@@ -143,11 +143,11 @@
         assert ask("w2", 200_000).recv(4096).startswith(b"HTTP/1.1 503")  # not beside the first
         usual = ask("w3", 40_000)
         wait_for(lambda: rig.asked() == ["w1", "w3"])
-        rig.shelfs[0].hold.set()
+        rig.shelfs[0].may_respond.set()
         assert first.recv(4096).startswith(b"HTTP/1.1 200") and usual.recv(4096).startswith(b"HTTP/1.1 200")
         wait_for(lambda: memory.used_bytes == 0 and not memory.by_exchange)
         assert ask("w4", 200_000).recv(4096).startswith(b"HTTP/1.1 200")
-        assert [len(a.body) for a in rig.shelfs[0].asked] == [120_000, 40_000, 200_000]
+        assert [len(a.body) for a in rig.shelfs[0].requests] == [120_000, 40_000, 200_000]
     finally:
         rig.stop()
 
@@ -191,11 +191,11 @@
 
 
 def test_an_open_id_is_not_taken_twice(rig: RelayRig) -> None:
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     first = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 409
-    rig.shelfs[0].hold.set()
+    rig.shelfs[0].may_respond.set()
     assert b"r1 GET /read" in first.recv(4096)
     assert rig.asked() == ["r1"]
 
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("case", SPOILT)
 def test_a_spoilt_answer_is_never_passed_on(rig: RelayRig, case: str) -> None:
     seen = outcomes(rig)
-    rig.shelfs[0].script = lambda asked: SPOILT[case] if len(rig.shelfs[0].asked) == 1 else None
+    rig.shelfs[0].script = lambda asked: SPOILT[case] if len(rig.shelfs[0].requests) == 1 else None
     began = time.monotonic()
     got: Any = rig.client().ask("GET", "/read", **headers("r1"))
     assert (got.status, got.data) == (200, b"r1 GET /read")  # the second try
@@ -273,14 +273,14 @@
     assert time.monotonic() - began < 1.0
 
 
-def plain(asked: Asked, more: bytes = b"") -> bytes:
-    return b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: %d\r\n\r\n" % len(asked.made()) + asked.made()
+def plain(asked: ShelfRequest, more: bytes = b"") -> bytes:
+    return b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: %d\r\n\r\n" % len(asked.plain_body()) + asked.plain_body()
 
 
 def test_an_answer_cut_short_is_never_passed_on(rig: RelayRig) -> None:
     seen, shelf = outcomes(rig), rig.shelfs[0]
-    shelf.ends = True
-    shelf.script = lambda asked: plain(asked)[:-3] if len(shelf.asked) == 1 else None
+    shelf.closes_after_script = True
+    shelf.script = lambda asked: plain(asked)[:-3] if len(shelf.requests) == 1 else None
     got: Any = rig.client().ask("GET", "/read", **headers("r1"))
     assert (got.status, got.data) == (200, b"r1 GET /read")
     assert [o.result for o in seen] == [interface.Result.RESET, interface.Result.SERVED]
@@ -304,7 +304,7 @@
 
 def test_a_client_that_leaves_ends_its_attempt(rig: RelayRig) -> None:
     seen, shelf = outcomes(rig), rig.shelfs[0]
-    shelf.hold.clear()
+    shelf.may_respond.clear()
     sock = rig.raw(text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
     sock.close()
@@ -355,7 +355,7 @@
 
 
 def test_ever_new_ids_leave_nothing_behind(rig: RelayRig) -> None:
-    first, discovery, module = rig.discovery.whole(), rig.program.discovery, rig.core.loop.module
+    first, discovery, module = rig.discovery.snapshot(), rig.program.discovery, rig.core.loop.module
     row = first["hosts"][0]
     for k in range(2000):
         rows = [row | {"host": f"new-{k}"}, row | {"host": f"new-{k - 1}", "health": "left"}]
@@ -376,7 +376,7 @@
     """The real process in the place of the rig's own program, held to so many descriptors. up: is it there? Without:
     when it asked discovery. log: where its log goes."""
     rig.program.stop()
-    before = len(rig.discovery.calls)
+    before = len(rig.discovery.targets)
     process = subprocess.Popen(
         [sys.executable, *start],
         cwd=Path(__file__).parents[2],
@@ -385,13 +385,13 @@
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
     )
     try:
-        wait_for(up or (lambda: len(rig.discovery.calls) > before), 30)
+        wait_for(up or (lambda: len(rig.discovery.targets) > before), 30)
         yield process
     finally:
         process.kill()
         process.wait()
         for shelf in rig.shelfs:
-            shelf.hold.set()
+            shelf.may_respond.set()
             shelf.server.stop()
         rig.discovery.server.stop()
 
@@ -439,10 +439,10 @@
     """The real process: it serves, follows discovery on SIGHUP, answers all and ends on SIGTERM."""
     rig = RelayRig(tmp_path, classes=[c | {"aim": 8.0, "deadline": 9.0} for c in SETTINGS["classes"]])
     other = DiscoveryServer()
-    other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
+    other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     with process_of(rig) as process:
         assert rig.client().ask("GET", "/_health").status == 200
-        rig.shelfs[0].hold.clear()
+        rig.shelfs[0].may_respond.clear()
         sock = rig.raw(text("/read", headers("r1", wait="8000")))
         wait_for(lambda: rig.asked() == ["r1"])
         rig.write(other)
@@ -450,7 +450,7 @@
         wait_for(lambda: other.watchers)
         process.send_signal(signal.SIGTERM)
         assert rig.client().ask("GET", "/read", **headers("r2", shard=1)).status == 200
-        rig.shelfs[0].hold.set()
+        rig.shelfs[0].may_respond.set()
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
         wait_for(lambda: process.poll() is not None, 10)
         assert process.returncode == 0
@@ -477,14 +477,14 @@
 def test_one_break_of_a_kept_connection_is_enough_to_distrust_the_older_ones(rig: RelayRig) -> None:
     shelf, seen = rig.shelfs[0], outcomes(rig)
     rig.core.loop.module.node_queues[0].concurrency.limit = 8.0
-    shelf.hold.clear()
+    shelf.may_respond.clear()
     socks = [rig.raw(text("/read", headers(f"a{k}", volume=f"{k + 1:016x}", obj=f"{k + 1:x}"))) for k in range(4)]
-    wait_for(lambda: len(shelf.asked) == 4)
-    shelf.hold.set()
+    wait_for(lambda: len(shelf.requests) == 4)
+    shelf.may_respond.set()
     assert all(s.recv(4096).startswith(b"HTTP/1.1 200") for s in socks)
     pool = rig.core.pools.by_address[shelf.server.address]
     wait_for(lambda: len(pool.idle) == 4)
-    shelf.cuts_kept = True
+    shelf.resets_reused = True
     seen.clear()
     assert rig.client().ask("GET", "/read", **headers("b")).status == 200
     assert [(o.result, o.reused_connection) for o in seen] == [
@@ -496,17 +496,17 @@
 
 def test_a_leaving_shelf_gets_nothing_new(rig: RelayRig) -> None:
     rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
-    wait_for(lambda: rig.program.discovery.version == rig.discovery.seq)
+    wait_for(lambda: rig.program.discovery.version == rig.discovery.version)
     assert rig.client().ask("GET", "/read", **headers("r1", wait="300")).status in (502, 503, 504)
     assert rig.client().ask("GET", "/read", **headers("r2", shard=-1)).status == 200
-    assert [a.ident for a in rig.shelfs[1].asked] == ["r2"] and rig.shelfs[0].asked == []
+    assert [a.ident for a in rig.shelfs[1].requests] == ["r2"] and rig.shelfs[0].requests == []
 
 
 def test_connections_to_shelfs_that_left_or_closed_are_given_back(rig: RelayRig) -> None:
     for k in range(2):
         assert rig.client().ask("GET", "/read", **headers(f"r{k}", shard=k)).status == 200
     wait_for(lambda: sum(p.open_count for p in rig.core.pools.by_address.values()) == 2)
-    rig.discovery.change(rig.discovery.rows["s-0"] | {"health": "left"})
+    rig.discovery.change(rig.discovery.hosts["s-0"] | {"health": "left"})
     wait_for(lambda: rig.shelfs[0].server.address not in rig.core.pools.by_address)
     wait_for(lambda: not rig.shelfs[0].server.connections)  # seen from the other end
     pool = rig.core.pools.by_address[rig.shelfs[1].server.address]
@@ -521,20 +521,20 @@
 
 def test_discovery_that_fails_is_asked_again_and_one_that_moves_is_followed(rig: RelayRig) -> None:
     lists = told(rig, interface.EndpointUpdate)
-    rig.discovery.down = True
+    rig.discovery.is_down = True
     for queue in list(rig.discovery.watchers):
-        queue.put(rig.discovery.whole())
+        queue.put(rig.discovery.snapshot())
     wait_for(lambda: interface.UpdateKind.POLL_FAILED in [event.kind for event in lists])
-    rig.discovery.down = False
+    rig.discovery.is_down = False
     wait_for(lambda: rig.discovery.watchers)
     other = DiscoveryServer()
-    other.rows, other.seq = dict(rig.discovery.rows), rig.discovery.seq
+    other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     rig.write(other)
     rig.program.reload()
     wait_for(lambda: other.watchers)
     wait_for(lambda: not rig.discovery.watchers)
     other.put(rig.shelfs[0], "s-0", "left")
-    wait_for(lambda: rig.program.discovery.version == other.seq)
+    wait_for(lambda: rig.program.discovery.version == other.version)
     assert len(rig.program.discovery.nodes) == 1
     rig.path.write_text("{")
     rig.program.reload()  # a file that does not read changes nothing
@@ -544,19 +544,19 @@
 
 @pytest.mark.parametrize("line", [b"not JSON", b"[" * 200_000, b'{"seq": 9, "hosts": 7}', b'{"seq": "x"}', b"[]"])
 def test_a_line_of_a_watch_that_does_not_read_is_a_failed_watch(rig: RelayRig, line: bytes) -> None:
-    before = len(rig.discovery.calls)
+    before = len(rig.discovery.targets)
     for queue in list(rig.discovery.watchers):
         queue.put(line)
-    wait_for(lambda: len(rig.discovery.calls) > before)  # the module was told, and asks again
+    wait_for(lambda: len(rig.discovery.targets) > before)  # the module was told, and asks again
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
 
 
 def test_entries_that_do_not_read_are_left_out_and_leave_no_number(rig: RelayRig) -> None:
-    row, discovery = rig.discovery.rows["s-0"], rig.program.discovery
+    row, discovery = rig.discovery.hosts["s-0"], rig.program.discovery
     numbers = dict(discovery.numbers)
     for change in ({"dial": "nowhere"}, {"health": "odd"}, {"block": "x"}, {"born_ms": "soon"}):
         rig.discovery.change(row | {"host": f"bad-{len(change)}-{next(iter(change))}"} | change)
-    wait_for(lambda: discovery.version == rig.discovery.seq)
+    wait_for(lambda: discovery.version == rig.discovery.version)
     assert discovery.numbers == numbers and len(discovery.nodes) == 2
 
 
@@ -577,7 +577,7 @@
     """Kept connections are used as long as they stay open; all is answered before the platform may kill the head."""
     kept = rig.client()
     assert kept.ask("GET", "/read", **headers("r0", shard=1)).status == 200
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     early = rig.raw(text("/read", headers("r1", wait="2000")))
     wait_for(lambda: "r1" in rig.asked())
     began = time.monotonic()
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -94,7 +94,7 @@
 
 def hanging_nodes(rig: RelayRig, tmp: Path, deadline: float) -> list[tuple[str, int, str]]:
     """One node takes requests and answers none from before the signal to behind the end."""
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     return forty_clients(rig, tmp, deadline, least=0.0)
 
 
@@ -116,7 +116,7 @@
 def behind_its_word(rig: RelayRig, tmp: Path, deadline: float) -> list[tuple[str, int, str]]:
     """As in the incident: a connection opened as the idle ones are closed, a request on it as the head says "ended"."""
     log = tmp / "log"
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     with process_of(rig, start=("-c", SLOW_STOP), log=log) as process:
         kept = plain_sock(rig.listen, text("/read", headers("kept", shard=1)))
         wait_for(lambda: "kept" in rig.asked())
@@ -241,7 +241,7 @@
 
 def test_a_client_that_sends_too_much_behind_its_request_is_told_so(rig: RelayRig) -> None:
     """No end can be seen behind it, so it counts as gone; what has been read of it is answered all the same."""
-    rig.shelfs[0].hold.clear()
+    rig.shelfs[0].may_respond.clear()
     sock = plain_sock(rig.listen, text("/read", headers("r1")))
     wait_for(lambda: rig.asked() == ["r1"])
     sock.sendall(b"x" * 40_000)
