--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -13,8 +13,6 @@
 from fawnspool.relay.errors import ConfigError, IncompleteConfigError, NoDescriptorLeftError
 from fawnspool.scheduling.interface import Settings
 
-__all__ = ["ConfigError", "IncompleteConfigError", "NoDescriptorLeftError", "RelayConfig", "load"]
-
 CONFIG_VARIABLE = "RELAY_CONFIG"
 _NAME_VARIABLE = "RELAY_NAME"
 _LISTEN_VARIABLE = "RELAY_LISTEN"
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -19,7 +19,7 @@
 import gevent
 import pytest
 
-from fawnspool.relay.config import ConfigError
+from fawnspool.relay.errors import ConfigError
 from fawnspool.scheduling import interface
 from fawnspool.standins.platform import Asked, DiscoveryServer
 from tests.e2e.relayrig import SETTINGS, RelayRig, headers, text
