--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -61,10 +61,10 @@
     max_buffered_bytes: int
     streams_large: bool
 
-    def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
+    def request_head(self, request: ClientRequest, attempt: NodeAttempt) -> bytes:
         """Return the head of the request to the node."""
 
-    def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
+    def feedback(self, request: ClientRequest, head: ResponseHead) -> NodeFeedback:
         """Return what the response's headers tell. Raises ValueError where that spoils the response."""
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
@@ -122,17 +122,17 @@
 
 
 def run_attempt(
-    pending: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks
+    request: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks
 ) -> AttemptOutcome:
     """Run an attempt to its end, on a connection of its node's pool."""
-    return _AttemptRun(pending, attempt, pool, hooks).run()
+    return _AttemptRun(request, attempt, pool, hooks).run()
 
 
 class _AttemptRun:
     """One attempt while it runs."""
 
-    def __init__(self, pending: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks) -> None:
-        self.pending = pending
+    def __init__(self, request: ClientRequest, attempt: NodeAttempt, pool: ConnectionPool, hooks: AttemptHooks) -> None:
+        self.request = request
         self.attempt = attempt
         self.pool = pool
         self.hooks = hooks
@@ -193,20 +193,20 @@
         """What was true before the wait for a connection is a guess by now: nothing is sent without a new look."""
         if self.hooks.is_withdrawn(self.attempt.node):
             raise _AttemptEndedError(AttemptEnding.NODE_DRAINING)
-        if self.attempt.cancelled or self.pending.state is RequestState.SETTLED:
+        if self.attempt.cancelled or self.request.state is RequestState.SETTLED:
             raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
         if time.monotonic() >= self.attempt.write_deadline:
             raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME)
-        if self.pending.exchange is not None and self.pending.exchange.client_left():
+        if self.request.exchange is not None and self.request.exchange.client_left():
             raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_UNSENT)
 
     # ------------------------------------------------------------ the request
 
     def _send_request(self, connection: ClientConnection) -> None:
-        body = self.pending.body
+        body = self.request.body
         if body.spent:
             raise _AttemptEndedError(AttemptEnding.BODY_CONSUMED)
-        head = self.hooks.protocol.request_head(self.pending, self.attempt)
+        head = self.hooks.protocol.request_head(self.request, self.attempt)
         deadline = self.attempt.write_deadline
         self.attempt.sent = True
         try:
@@ -221,7 +221,7 @@
 
     def _stream_body(self, connection: ClientConnection, head: bytes, deadline: float) -> None:
         """Send a body of which the rest comes from the client, once."""
-        body = self.pending.body
+        body = self.request.body
         body.spent = True
         chunked = body.length is None
         connection.send(head + (format_chunk(body.start) if chunked else body.start), deadline)
@@ -232,7 +232,7 @@
 
     def _rest_of_body(self) -> Iterator[bytes]:
         """Read what is left of the client's body."""
-        body = self.pending.body
+        body = self.request.body
         assert body.rest is not None
         while True:
             try:
@@ -262,7 +262,7 @@
 
     def _read_feedback(self, head: ResponseHead) -> NodeFeedback:
         try:
-            return self.hooks.protocol.feedback(self.pending, head)
+            return self.hooks.protocol.feedback(self.request, head)
         except ValueError:
             raise _AttemptEndedError(AttemptEnding.MALFORMED_RESPONSE) from None
 
@@ -298,20 +298,20 @@
 
     def _stream_response(self, connection: ClientConnection, head: ResponseHead) -> None:
         """Pass a large response on as it comes, as fast as the client takes it."""
-        pending = self.pending
-        if not pending.start_streaming():
+        request = self.request
+        if not request.start_streaming():
             raise _AttemptEndedError(AttemptEnding.CANCELLED)
-        self.hooks.on_stream_started(pending, self.attempt)
-        exchange = pending.exchange
+        self.hooks.on_stream_started(request, self.attempt)
+        exchange = request.exchange
         chunked = head.length is None
         sent = 0
         try:
-            exchange.begin(head.code, _streamed_headers(pending, head), head.length)
+            exchange.begin(head.code, _streamed_headers(request, head), head.length)
             while (piece := self._read_streamed_piece(connection)) is not None:
-                exchange.write(format_chunk(piece) if chunked else piece, pending.deadline)
+                exchange.write(format_chunk(piece) if chunked else piece, request.deadline)
                 sent += len(piece)
             if chunked:
-                exchange.write(LAST_CHUNK, pending.deadline)
+                exchange.write(LAST_CHUNK, request.deadline)
         except OSError:
             exchange.finish(False)
             raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_STREAMING) from None
@@ -320,9 +320,9 @@
 
     def _read_streamed_piece(self, connection: ClientConnection) -> bytes | None:
         try:
-            return connection.read_piece(self.pending.deadline)
+            return connection.read_piece(self.request.deadline)
         except (TimeoutError, ConnectionLostError, HttpError):
-            self.pending.exchange.finish(False)
+            self.request.exchange.finish(False)
             raise _AttemptEndedError(AttemptEnding.TRUNCATED_RESPONSE) from None
 
     def _lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
@@ -348,7 +348,7 @@
     return AttemptEnding.MALFORMED_RESPONSE
 
 
-def _streamed_headers(pending: ClientRequest, head: ResponseHead) -> list[tuple[bytes, bytes]]:
+def _streamed_headers(request: ClientRequest, head: ResponseHead) -> list[tuple[bytes, bytes]]:
     headers = []
     if b"etag" in head.headers:
         headers.append((b"ETag", head.headers[b"etag"]))
@@ -357,6 +357,6 @@
     return [
         *headers,
         (b"Accept-Ranges", b"bytes"),
-        (b"Fawn-Request-Id", pending.operation_id.encode()),
-        *pending.answer_headers,
+        (b"Fawn-Request-Id", request.operation_id.encode()),
+        *request.answer_headers,
     ]
--- /dev/null
+++ b/tests/test_http.py
@@ -0,0 +1,77 @@
+"""Reading HTTP/1.1 messages: framing, bounds, and bytes behind a response."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from fawnspool.net.exceptions import (
+    HttpError,
+    TrailingDataError,
+)
+from fawnspool.net.http import END_OF_MESSAGE, MessageLimits, RequestHead, RequestParser, ResponseHead, ResponseParser
+
+REQUESTS = (
+    b"PUT /a HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\n\r\nhello"
+    b"PUT /b HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
+    b"GET /c HTTP/1.1\r\nHost: t\r\nX: 1\r\nX: 2\r\n\r\n"
+)
+
+
+@given(st.lists(st.integers(1, 30), max_size=40))
+def test_requests_read_the_same_however_they_are_cut(cuts: list[int]) -> None:
+    parser, at, seen = RequestParser(MessageLimits()), 0, []
+    for size in [*cuts, len(REQUESTS)]:
+        if at < len(REQUESTS):
+            parser.feed(REQUESTS[at : at + size])
+            at += size
+    body = b""
+    for event in parser.events:
+        if isinstance(event, RequestHead):
+            seen.append((event.method, event.target, event.length))
+            body = b""
+        elif event is END_OF_MESSAGE:
+            seen.append(body)
+        elif isinstance(event, bytes):
+            body += event
+    assert seen == [(b"PUT", b"/a", 5), b"hello", (b"PUT", b"/b", None), b"abc", (b"GET", b"/c", 0), b""]
+
+
+@given(st.binary(min_size=1, max_size=300))
+def test_no_bytes_make_the_parsers_raise_anything_else(data: bytes) -> None:
+    for parser in (RequestParser(MessageLimits(200, 8)), ResponseParser(MessageLimits(200, 8))):
+        try:
+            parser.feed(data)
+            parser.feed(data)
+        except HttpError as bad:
+            assert 400 <= bad.status < 600
+
+
+def test_answers_one_behind_the_other_and_bytes_behind_the_end() -> None:
+    parser = ResponseParser(MessageLimits())
+    parser.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+    head, body, end = parser.events
+    assert (
+        isinstance(head, ResponseHead)
+        and (head.code, head.length, body) == (200, 2, b"ok")
+        and end is END_OF_MESSAGE
+        and parser.complete
+    )
+    parser.events.clear()
+    parser.expect_response()
+    parser.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
+    assert parser.complete
+    with pytest.raises(TrailingDataError, match="behind"):
+        parser.feed(b"HTTP/1.1 200 OK\r\n")
+    other = ResponseParser(MessageLimits())
+    with pytest.raises(TrailingDataError, match="behind"):
+        other.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
+
+
+def test_space_around_an_answers_field_values_is_no_part_of_them() -> None:
+    parser = ResponseParser(MessageLimits())
+    parser.feed(b"HTTP/1.1 503 No\r\nNot-Started:\t1 \t\r\nServer-Load:  rif=1,lat_ms=2 \r\nContent-Length: 0 \r\n\r\n")
+    status = parser.events[0]
+    assert isinstance(status, ResponseHead) and status.headers[b"not-started"] == b"1" and status.length == 0
+    assert status.headers[b"server-load"] == b"rif=1,lat_ms=2" and parser.complete
