--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -80,7 +80,7 @@
                 first_request_timeout_s=clients.idle_close,
                 read_timeout_s=clients.request_timeout,
                 max_connections=clients.connections,
-                max_starts_per_turn=clients.turn or None,
+                max_starts_per_iteration=clients.turn or None,
             ),
             ServerCallbacks(
                 on_error=self._on_error, on_rejected=self._on_rejected, start_deadline=self.reader.start_deadline
--- a/fawnspool/connections/body_limits.py
+++ b/fawnspool/connections/body_limits.py
@@ -5,16 +5,16 @@
 LONG_BODY_DIVISOR = 8  # of the process's memory, one such part
 
 
-def admits_long_body(size: int, held: int, memory: int) -> bool:
+def admits_long_body(size_bytes: int, held_bytes: int, memory_bytes: int) -> bool:
     """Tell whether one more long body may be held: clients decide how many of them come at once.
 
     Parameters
     ----------
-    size
-        Bytes of the body.
-    held
-        Bytes of long bodies held already.
-    memory
-        Bytes that the process may use in all.
+    size_bytes
+        Of the body.
+    held_bytes
+        Of long bodies in memory already.
+    memory_bytes
+        That the process may use in all.
     """
-    return held + size <= memory // LONG_BODY_DIVISOR
+    return held_bytes + size_bytes <= memory_bytes // LONG_BODY_DIVISOR
--- a/fawnspool/connections/states.py
+++ b/fawnspool/connections/states.py
@@ -84,7 +84,7 @@
     KILLED = "the process ended under it"
 
 
-_CLIENT_GONE = frozenset((CloseCause.PEER_CLOSED, CloseCause.RESET))
+_CLIENT_LEFT = frozenset((CloseCause.PEER_CLOSED, CloseCause.RESET))
 
 # By the state in which a request without a response is cut short: the status by cause, where it is not 500.
 _STATUS_BY_CAUSE: dict[ConnectionState, dict[CloseCause, HTTPStatus]] = {
@@ -116,6 +116,6 @@
 def owed_status(state: ConnectionState, cause: CloseCause) -> HTTPStatus | None:
     """Return the status owed where a connection ends and its request has no response yet; None: nothing is owed."""
     by_cause = _STATUS_BY_CAUSE.get(state)
-    if by_cause is None or cause in _CLIENT_GONE:
+    if by_cause is None or cause in _CLIENT_LEFT:
         return None
     return by_cause.get(cause, HTTPStatus.INTERNAL_SERVER_ERROR)
--- a/fawnspool/net/admission_throttle.py
+++ b/fawnspool/net/admission_throttle.py
@@ -1,4 +1,4 @@
-"""A bound on the greenlets that may begin their work in one turn of the event loop."""
+"""A bound on the greenlets that may begin their work in one iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 
 
 class AdmissionThrottle:
-    """Lets at most `max_per_turn` greenlets pass in one turn of the loop; the others wait in order of arrival.
+    """Lets `max_per_iteration` greenlets at most pass in one iteration of the loop; others wait in order of arrival.
 
     Without it a thousand requests that arrive together are all begun before the loop comes back to what is already
     under way, and everything takes as long as the whole thousand.
     """
 
-    def __init__(self, max_per_turn: int) -> None:
-        self.max_per_turn = max_per_turn
-        self._passed = 0  # in this turn
+    def __init__(self, max_per_iteration: int) -> None:
+        self.max_per_iteration = max_per_iteration
+        self._passed = 0  # in this iteration
         self._waiting: deque[WakeupEvent] = deque()
         loop = get_hub().loop
-        self._turn_watcher = loop.check()
-        self._turn_watcher.start(self._begin_turn)
+        self._iteration_watcher = loop.check()
+        self._iteration_watcher.start(self._begin_iteration)
         self._keep_awake = loop.timer(0.0)  # the loop must not sleep while some wait
 
     def enter(self, deadline: float | None = None) -> None:
-        """Pass, or wait for a turn. Past the deadline it passes in any case, as there is little left to do for it.
+        """Pass, or wait for a later iteration; past the deadline pass in any case, as little is left to do then.
 
         Parameters
         ----------
         deadline
             Monotonic seconds; None: no limit.
         """
-        if self._passed < self.max_per_turn and not self._waiting:
+        if self._passed < self.max_per_iteration and not self._waiting:
             self._passed += 1
             return
-        turn = WakeupEvent()
-        self._waiting.append(turn)
+        permit = WakeupEvent()
+        self._waiting.append(permit)
         if len(self._waiting) == 1:
             self._keep_awake.start(_do_nothing)
-        if not turn.wait(deadline):
-            self._waiting.remove(turn)
+        if not permit.wait(deadline):
+            self._waiting.remove(permit)
 
     def close(self) -> None:
         """Let all that wait pass and watch the loop no longer."""
-        self._turn_watcher.stop()
-        self._turn_watcher.close()
+        self._iteration_watcher.stop()
+        self._iteration_watcher.close()
         self._keep_awake.stop()
         self._keep_awake.close()
         while self._waiting:
             self._waiting.popleft().set()
 
-    def _begin_turn(self) -> None:
+    def _begin_iteration(self) -> None:
         self._passed = 0
-        while self._waiting and self._passed < self.max_per_turn:
+        while self._waiting and self._passed < self.max_per_iteration:
             self._passed += 1
             self._waiting.popleft().set()
         if self._waiting:
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -35,7 +35,7 @@
 
 _EVICTION_CANDIDATES = 64  # waiting connections looked at, of either kind
 _FULL_RETRY_S = 0.01  # a full server looks again so soon
-_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop, at most
+_ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the loop, at most
 _HANDSHAKE_S = 0.02  # handshakes under way as new connections are refused end within it
 _KILL_TIMEOUT_S = 1.0  # what is killed has so long to end
 _POLL_S = 0.002
@@ -103,8 +103,8 @@
         self.closing_until = math.inf
         self.reading_ended = False
         self.throttle: AdmissionThrottle | None = None
-        if self.options.max_starts_per_turn is not None:
-            self.throttle = AdmissionThrottle(self.options.max_starts_per_turn)
+        if self.options.max_starts_per_iteration is not None:
+            self.throttle = AdmissionThrottle(self.options.max_starts_per_iteration)
         self.sock = listener if listener is not None else bind(address)
         self.address: tuple[str, int] = self.sock.getsockname()[:2]
         self._listener_closed = False
@@ -118,10 +118,10 @@
     # ------------------------------------------------------------ accepting
 
     def _accept(self) -> None:
-        turns = 0
+        accepts = 0
         while not self._listener_closed:
-            turns += 1
-            if turns % _ACCEPTS_PER_TURN == 0:
+            accepts += 1
+            if accepts % _ACCEPTS_PER_ITERATION == 0:
                 gevent.sleep(0)  # a flood of connections must not hold up those that stand
             try:
                 if self.options.untrusted_clients and self._is_full() and not self._make_room():
--- a/fawnspool/net/server_options.py
+++ b/fawnspool/net/server_options.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class ServerOptions:
-    """What a server holds its clients to; it may be changed while the server runs, but for `max_starts_per_turn`.
+    """What a server holds its clients to; it may be changed while the server runs, but for `max_starts_per_iteration`.
 
     Attributes
     ----------
@@ -23,8 +23,8 @@
         For the next piece of a request, and for a response to be taken.
     max_connections
         Open at once.
-    max_starts_per_turn
-        Requests begun in one turn of the event loop; None: no bound.
+    max_starts_per_iteration
+        Requests begun in one iteration of the event loop; None: no bound.
     untrusted_clients
         Clients are held to more: a complete request must come within `read_timeout_s`, where `max_connections` are open
         the one that has waited longest without a request is evicted, and a client that sends too much behind a request
@@ -38,6 +38,6 @@
     first_request_timeout_s: float = 60.0
     read_timeout_s: float = 10.0
     max_connections: int = 4096
-    max_starts_per_turn: int | None = None
+    max_starts_per_iteration: int | None = None
     untrusted_clients: bool = False
     crowded_from: int | None = None
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -118,7 +118,7 @@
                 first_request_timeout_s=REQUEST_TIMEOUT_S,
                 read_timeout_s=REQUEST_TIMEOUT_S,
                 max_connections=limits.clients,
-                max_starts_per_turn=MAX_REQUESTS_PER_ITERATION,
+                max_starts_per_iteration=MAX_REQUESTS_PER_ITERATION,
                 untrusted_clients=True,
                 crowded_from=limits.crowded_from,
             ),
