--- a/benchmarks/shared_model.py
+++ b/benchmarks/shared_model.py
@@ -21,7 +21,9 @@
 from fawnspool.days.terms import terms_of
 from fawnspool.days.troubles import targets
 from fawnspool.days.worth import count
-from fawnspool.model.world import BEGIN, World, _Head
+from fawnspool.model.simulated_gateway import SimulatedGateway
+from fawnspool.model.simulation import BEGIN
+from fawnspool.model.world import World
 from fawnspool.rules.judge import judge
 from fawnspool.rules.shared import judge_shared
 from fawnspool.rules.story import read
@@ -57,8 +59,8 @@
         found.asked,
         tuple(f"{f.rule}: {b.text}" for f in verdict.findings for b in f.breaches),
         next(f.nearest for f in verdict.findings if f.rule == "limits kept"),
-        max(world.between.sent.values(), default=0) / day.day.length,
-        max(world.between.bytes.values(), default=0) / day.day.length,
+        max(world.network.gossip_sent.values(), default=0) / day.day.length,
+        max(world.network.gossip_bytes.values(), default=0) / day.day.length,
         wrongly(world),
     )
 
@@ -66,13 +68,13 @@
 def wrongly(world: World) -> int:
     """Times a head of those that tell the truth shunned a well node on hearsay."""
     ill = {
-        world.cells[k].number
+        world.node_number(k)
         for x in world.day.trouble
         if x.kind in NODE_FAULTS
         for k in targets(world.day, world.seed, x)[0]
     }
     liars = {h for x in world.day.trouble if x.kind == "head_lies" for h in targets(world.day, world.seed, x)[1]}
-    told = {(h, o.node) for _, h, o in world.between.hearsay if not o.healthy and h not in liars}
+    told = {(h, o.node) for _, h, o in world.network.gossiped_health if not o.healthy and h not in liars}
     return len({x for x in told if x[1] not in ill})
 
 
@@ -122,20 +124,20 @@
     worth; bytes a second of the busiest head; (head, well node) pairs shunned on hearsay; tries a second meanwhile."""
     world = World(day, seed, Scheduler)
     x = day.trouble[0]
-    number = world.cells[targets(day, seed, x)[0][0]].number
+    number = world.node_number(targets(day, seed, x)[0][0])
     sent: list[float] = []
-    real = _Head._send
+    real = SimulatedGateway._send
 
-    def send(self: _Head, action: interface.Send) -> None:
-        if self.world is world and action.node == number:
+    def send(self: SimulatedGateway, action: interface.Send) -> None:
+        if self in world.gateways and action.node == number:
             sent.append(world.engine.now - BEGIN)
         real(self, action)
 
-    _Head._send = send  # type: ignore[method-assign]
+    SimulatedGateway._send = send  # type: ignore[method-assign]
     try:
         ops = world.run()
     finally:
-        _Head._send = real  # type: ignore[method-assign]
+        SimulatedGateway._send = real  # type: ignore[method-assign]
     usual = sum(2.0 <= t < x.at for t in sent) / (x.at - 2.0)
     window = max(0.5, 10 / usual)  # such that a tenth is one request
 
@@ -150,7 +152,7 @@
         left,
         back,
         count(day, ops).whole.share,
-        max(world.between.bytes.values(), default=0) / day.day.length,
+        max(world.network.gossip_bytes.values(), default=0) / day.day.length,
         wrongly(world),
         tries,
     )
--- a/fawnspool/model/staged.py
+++ b/fawnspool/model/staged.py
@@ -17,7 +17,9 @@
 from fawnspool.days.terms import terms_of
 from fawnspool.days.worth import count
 from fawnspool.model.params import Params
-from fawnspool.model.world import BEGIN, Policy, World
+from fawnspool.model.simulated_gateway import Policy
+from fawnspool.model.simulation import BEGIN
+from fawnspool.model.world import World
 from fawnspool.rollout.controller import RolloutController, RolloutVerdict, Window
 from fawnspool.rollout.limits import RolloutLimits
 from fawnspool.rollout.plan import GatewayInfo, plan_batches, restart_rounds
@@ -148,7 +150,7 @@
         for h in heads:
             w.policies[h] = policy
             self.restarts.append((w.engine.now - BEGIN, h))
-        w.restart(list(heads), self.down)
+        w.restart_gateways(list(heads), self.down)
 
     def _seen(self, k: int) -> Window:
         w, length = self.world, self.bound.window_s
@@ -157,8 +159,8 @@
         if self.rollout.batch_index is None:
             self.usual.append(asked)
         usual = float(np.median(self.usual)) or 1.0
-        raised = {h: n - self.raised.get(h, 0) for h, n in w.raised.items() if n > self.raised.get(h, 0)}
-        self.raised = dict(w.raised)
+        raised = {h: n - self.raised.get(h, 0) for h, n in w.errors_by_gateway.items() if n > self.raised.get(h, 0)}
+        self.raised = dict(w.errors_by_gateway)
         back = {h: at + self.down for at, h in self.restarts}  # the latest of each
         # A window whose requests began before its heads had changed still shows the old version.
         away = frozenset(h for h in self.rollout.started_gateways() if back.get(h, end) > start)
--- a/tests/test_model_kept.py
+++ b/tests/test_model_kept.py
@@ -159,7 +159,8 @@
 
     day = load(small(tmp_path), Day, check)
     worlds = [World(day, 1, Scheduler, luck=k) for k in (0, 1, 2)]
-    assert worlds[0].ops == worlds[1].ops and worlds[0].slow == worlds[1].slow and worlds[0].held == worlds[1].held
+    assert worlds[0].ops == worlds[1].ops
+    assert worlds[0].slow_cells == worlds[1].slow_cells and worlds[0].held_sizes == worlds[1].held_sizes
     assert len({str(w.run()) for w in worlds}) == 3
 
 
