--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -2,7 +2,7 @@
 
 An object's bytes follow from its volume and key alone, so that any client can tell a wrong one. They retry as their
 class allows: safe requests after any end but a served one, others only after a refusal or where no head was reached.
-What passes their sockets goes to a recording; see fawnspool/rules/story.py for the forms.
+What passes their sockets goes to a recording; see fawnspool/rules/history.py for the forms.
 """
 
 from __future__ import annotations
