--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -166,10 +166,10 @@
             size = 0 if is_head else read_requested_bytes(exchange, location.size)
             return self._submit(operation, location.shard, size)
 
-        pending = self._submit_where_found(operation, deadline, submit)
+        pending = self._read_with_one_fresh_lookup(operation, deadline, submit)
         self.answers.finish(pending)
 
-    def _submit_where_found(
+    def _read_with_one_fresh_lookup(
         self, operation: _Operation, deadline: float, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
         """Read at the location that the map has; where no object is there, ask the map service once and read again."""
@@ -278,7 +278,7 @@
     # ------------------------------------------------------------ the steps of a request
 
     def _find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
-        """Return where the object is, None: there is none; `fresh`: by the map service's own word."""
+        """Return where the object is, None: there is none; `fresh`: ask the map service, not the local map."""
         try:
             return self.gateway.extent_directory.find(volume, key, deadline, fresh)
         except MapServiceError as error:
--- a/fawnspool/config/head.py
+++ b/fawnspool/config/head.py
@@ -1,4 +1,7 @@
-"""The settings of one gateway as an operator writes them: the names of blocks and fields are those of the files."""
+"""The HCL schema of `fawnspool serve`.
+
+Names of blocks and fields are those of the files, where a gateway is a head.
+"""
 
 from __future__ import annotations
 
--- a/fawnspool/extents/migration.py
+++ b/fawnspool/extents/migration.py
@@ -34,7 +34,7 @@
     UPDATE_MAP = "flip"
     DISCARD_SOURCE = "forget"
     DONE = "done"
-    SUPERSEDED = "lost"  # another migration has won, or this one is impossible: drop what was filled
+    SUPERSEDED = "lost"  # another migration has won, or this one is impossible; nothing is sent
     CANCEL = "cancel"  # first half of an undo: the target must never be activated
     REACTIVATE = "reopen"  # second half of an undo
     WAIT = "wait"  # a node does not answer, or is unconfirmed
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -34,17 +34,17 @@
 
     Attributes
     ----------
-    served_elsewhere
+    units_by_others
         Units served of the volume for other gateways.
-    volume_use
+    volume_usage
         The volume's use everywhere, as a fraction of its rate; None: no figure.
-    load
+    load_report
         The node's load report, in the order of the settings.
     """
 
-    served_elsewhere: int = 0
-    volume_use: float | None = None
-    load: tuple[float, ...] = ()
+    units_by_others: int = 0
+    volume_usage: float | None = None
+    load_report: tuple[float, ...] = ()
 
 
 class NodeProtocol(Protocol):
@@ -190,7 +190,7 @@
             raise _AttemptEndedError(_connect_ending(error)) from None
 
     def _check_before_send(self) -> None:
-        """What was true before the wait for a connection is a guess by now: nothing is sent without a new look."""
+        """Check again before sending: what was true before the wait for a connection may be outdated."""
         if self.hooks.is_withdrawn(self.attempt.node):
             raise _AttemptEndedError(AttemptEnding.NODE_DRAINING)
         if self.attempt.cancelled or self.request.state is RequestState.SETTLED:
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -25,6 +25,7 @@
 from fawnspool.net.connection_pool import PoolOptions
 from fawnspool.net.socket_stream import observe_clocks
 from fawnspool.scheduling import interface
+from fawnspool.scheduling.timer_tokens import request_of_token
 
 _MAX_IDLE_GREENLETS = 256
 _REQUEST_ID_BITS_PER_MILLISECOND = 20
@@ -270,9 +271,9 @@
             elapsed_s=outcome.duration_s,
             result=result,
             final=pending.state is RequestState.SETTLED,
-            units_by_others=feedback.served_elsewhere if feedback is not None else 0,
-            volume_usage=feedback.volume_use if feedback is not None else None,
-            load_report=feedback.load if feedback is not None and feedback.load else None,
+            units_by_others=feedback.units_by_others if feedback is not None else 0,
+            volume_usage=feedback.volume_usage if feedback is not None else None,
+            load_report=feedback.load_report if feedback is not None and feedback.load_report else None,
             reused_connection=outcome.reused_connection,
         )
 
@@ -332,8 +333,10 @@
         """Fail the request that the module raised on, as it still needs its one answer."""
         if isinstance(event, interface.Request | interface.Outcome | interface.ClientDisconnected):
             self._answer(event.id, AnswerKind.FAILED)
-        elif isinstance(event, interface.Timer) and event.token:
-            self._answer(event.token - 1, AnswerKind.FAILED)
+        elif isinstance(event, interface.Timer):
+            request_id = request_of_token(event.token)
+            if request_id is not None:
+                self._answer(request_id, AnswerKind.FAILED)
 
     # ------------------------------------------------------------ other actions
 
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -115,7 +115,7 @@
         while self.inbox and handled < _MAX_EVENTS_PER_ITERATION:
             queued = self.inbox.popleft()
             handled += 1
-            event = self._made(queued) if callable(queued) else queued
+            event = self._make_event(queued) if callable(queued) else queued
             if event is not None:
                 self._handle(event)
 
@@ -127,13 +127,13 @@
             self._handle(interface.Timer(token))
 
     def _sleep(self) -> None:
-        """Until an event is posted or the earliest timer is due."""
+        """Wait until an event is posted or the earliest timer is due."""
         self.wake.clear()
         self.asleep = True
         self.wake.wait(self.timers[0][0] if self.timers else None)
         self.asleep = False
 
-    def _made(self, make: EventFactory) -> interface.Event | None:
+    def _make_event(self, make: EventFactory) -> interface.Event | None:
         try:
             return make()
         except Exception:  # the loop must outlive whatever making an event meets
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -38,7 +38,8 @@
 from fawnspool.telemetry.logs import EventLogger
 
 MAX_INBOX = 4096  # datagrams that wait for their turn
-RELEASE_PAUSE_S = 0.02  # between the two messages that all is given back, and for work to end before them
+RELEASE_PAUSE_S = 0.02  # after each of the two release messages
+WORK_KILL_TIMEOUT_S = 0.02
 WORK_FINISHED = "its work is over"
 RELEASED_BY_OPERATOR = "released by hand"
 CODEC = PeerCodec("leases", LEADING_BYTE, encode, decode, LeaseMessageError)
@@ -122,18 +123,18 @@
         self._greenlets.append(gevent.spawn(work.poll_operator_requests, self))
 
     def hand_over(self) -> None:
-        """Stop all work, then give everything back: once this returns another gateway may have it."""
+        """Stop the work of all roles, then release every lease, each message sent twice as datagrams are lost."""
         if self.holder.is_leaving:
             return
         working = [lease.greenlet for lease in self.leases.values() if lease.greenlet is not None]
-        gevent.killall(working, timeout=RELEASE_PAUSE_S)
+        gevent.killall(working, timeout=WORK_KILL_TIMEOUT_S)
         self._carry_out(self.holder.leave(self.clock()))
         gevent.sleep(RELEASE_PAUSE_S)
         self._carry_out(self.holder.repeat_releases(self.clock()))
         gevent.sleep(RELEASE_PAUSE_S)
 
     def stop(self) -> None:
-        """Give everything back and end."""
+        """Release every lease and end."""
         self.hand_over()
         gevent.killall(self._greenlets)
         if self.acceptor is not None:
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -46,7 +46,8 @@
     guard
         The lease that each step is subject to; by default none.
     before_step
-        Called before each step, to observe it or to raise and so prevent it.
+        Called before each step that `next_step` returns, not before an ownership notice, to observe it or to raise and
+        so prevent it.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         Raises
         ------
         StaleTokenError
-            If a place has seen a newer token than the guard's.
+            If a node or the map service has seen a newer token than the guard's.
         """
         migration = begun
         polls_without_step = 0
@@ -140,7 +141,7 @@
             notice = required_notice(migration, source, target, map_generation, record.shard)
             if notice is not None:
                 self.replicas.send_command(notice.shard, key, notice.command, notice.generation, mine=notice.is_owner)
-                return MigrationStep.COPY
+                return MigrationStep.COPY  # nothing was copied: any step but WAIT makes migrate() look again at once
         step = next_step(migration, source, target, map_generation, undo)
         if record is None and step is MigrationStep.SUPERSEDED:
             return step
--- a/fawnspool/gateway/node_protocol.py
+++ b/fawnspool/gateway/node_protocol.py
@@ -61,10 +61,10 @@
             They do not read, which spoils the answer.
         """
         report = parse_node_report(head.headers.get(REPORT_HEADER))
-        volume_use = self._volume_use(pending, report.volume_units_per_s)
-        return NodeFeedback(report.served_elsewhere, volume_use, report.load)
+        volume_usage = self._volume_usage(pending, report.volume_units_per_s)
+        return NodeFeedback(report.served_elsewhere, volume_usage, report.load)
 
-    def _volume_use(self, pending: ClientRequest, units_per_s: float | None) -> float | None:
+    def _volume_usage(self, pending: ClientRequest, units_per_s: float | None) -> float | None:
         """The volume's use as a fraction of its rate; None: not known."""
         rate = self.settings.plans[pending.request.plan_index].rate
         if units_per_s is None or rate <= 0:
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -129,7 +129,7 @@
     Attributes
     ----------
     request
-        The event that the decision module gets.
+        The scheduler's `Request` event; the scheduler keeps a `PendingRequest` of its own for it.
     forwarded_headers
         Headers of the client that go to the node.
     exchange
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class ServerCallbacks:
-    """Whom a server tells what; all may be left out.
+    """Optional callbacks of a server.
 
     Attributes
     ----------
@@ -137,9 +137,9 @@
         return len(self.connections) >= self.options.max_connections
 
     def _make_room(self) -> bool:
-        """Wait for somebody to come, then evict a connection. False: none may be evicted yet.
+        """Wait for a connection in the backlog, then evict an idle one. False: none may be evicted yet.
 
-        Whoever comes to a full server waits to be accepted until a place is free: it is not closed unheard.
+        A connection that comes to a full server waits in the backlog until there is room: it is not closed unread.
         """
         socket.wait_read(self.sock.fileno())
         if self.evict_waiting():
@@ -159,7 +159,7 @@
         self.connections[connection] = gevent.spawn(self._run, connection)
 
     def _accept_failed(self, error: OSError) -> None:
-        """Whatever it is, a server that takes nobody is worse than one that tries again."""
+        """Wait and accept again: an accept error must never stop the server."""
         if error.errno in (errno.EMFILE, errno.ENFILE):
             if not self.options.untrusted_clients or not self.evict_waiting():
                 gevent.sleep(_FULL_RETRY_S)  # out of descriptors: wait for one to be closed
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -188,7 +188,7 @@
         if request_id in self.open:
             raise HttpError(409, "a request of this id is open")
         margin_s = min(self.settings.answer_slack_s, request.timeout_s / 4)
-        pending = self._pending(exchange, request, body, margin_s)
+        pending = self._make_client_request(exchange, request, body, margin_s)
         self.open[request_id] = pending
         try:
             self.core.accept(pending)
@@ -197,7 +197,7 @@
             del self.open[request_id]
         self._finish(pending, exchange)
 
-    def _pending(self, exchange: Exchange, request: Request, body: bytes, margin_s: float) -> ClientRequest:
+    def _make_client_request(self, exchange: Exchange, request: Request, body: bytes, margin_s: float) -> ClientRequest:
         head = exchange.head
         deadline = exchange.arrived_at + request.timeout_s - margin_s
         return ClientRequest(
--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -2,7 +2,8 @@
 
 Plain records; nothing here decides anything. Times are seconds on the caller's clock, sizes are units of work, and
 nodes, volumes, extents and shards are opaque numbers. Fields keep the values that stand in recordings, where 0 or -1
-may say that there is none.
+may say that there is none. Some records exist for the wire and for recordings alone; the scheduler makes nothing of
+them (docs/design.md).
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What clients expect of requests of one kind. Weights are worth a unit, relative to other classes."""
+    """What clients expect of requests of one kind. Priority weights are per unit of work, relative to other classes."""
 
     name: str
     latency_objective_s: float
@@ -80,7 +81,7 @@
 
     name: str
     rate: float  # nominal units a second of one volume
-    reserved_rate: float  # units a second that earn their full worth
+    reserved_rate: float  # units a second that keep their full priority weight
     weight: float
     priority_factor: float
     rate_limit: float  # units a second; 0: none
@@ -161,7 +162,7 @@
     id: int
     class_index: int
     plan_index: int
-    extent: int  # 0: none
+    extent: int  # hash of the extent, or of the run it belongs to: order and runs go by it; 0: none
     timeout_s: float  # until the client gives up on this attempt
     volume: int
     units: float
--- a/fawnspool/scheduling/pending_request.py
+++ b/fawnspool/scheduling/pending_request.py
@@ -35,7 +35,7 @@
     expires_at : float
         When its client gives up.
     due_at : float
-        Until when it earns its full worth; of a late request, until when it earns any.
+        Until when it has its class's full priority weight; of a late request, until when it has any.
     shard : int or None
         The shard in whose queue it was last.
     order_key : int or None
--- a/fawnspool/scheduling/placement.py
+++ b/fawnspool/scheduling/placement.py
@@ -17,7 +17,9 @@
     expected_response_s: Callable[[NodeQueue], float],
     random: Random,
 ) -> NodeQueue | None:
-    """Return the better of two drawn nodes, or None where there is no node.
+    """Draw some nodes and return the better of the first two that are fit; None where there is no node.
+
+    Fit are those that show no failure and may be fed, or else those that are available.
 
     Parameters
     ----------
--- a/fawnspool/scheduling/retries.py
+++ b/fawnspool/scheduling/retries.py
@@ -63,9 +63,9 @@
     def may_send(self, pending: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
         """Return whether a request may go to this node now.
 
-        Not while an earlier attempt is open, unless hedging is allowed; not beyond the attempts and the budget. What
-        may have run goes again only where that does no harm: a request with a key within its deduplication window,
-        to nodes that drop each other's repeats.
+        Not while an earlier attempt is open, unless the settings allow hedging (no rule here starts a hedged request);
+        not beyond the attempts and the budget. What may have run goes again only where that does no harm: a request
+        with a key within its deduplication window, to nodes that drop each other's repeats.
         """
         settings = self._settings
         if pending.has_open_attempt() and not settings.hedging:
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -48,10 +48,9 @@
 from fawnspool.scheduling.rate_limits import RateLimiter, RateLimits
 from fawnspool.scheduling.response_times import FleetResponseTimes
 from fawnspool.scheduling.retries import RetryPolicy
+from fawnspool.scheduling.timer_tokens import CHECK_TOKEN, POLL_TOKEN, expiry_token, request_of_token
 
 CHECKS_PER_OBJECTIVE = 8  # of all queues within the least latency objective: a late check costs an eighth of it
-CHECK_TOKEN = 0  # of the timer for the check of all queues
-POLL_TOKEN = 2**63  # of the timer for a repeated poll of the endpoint list; all others are a request's
 EXPIRY_LEAD_TICKS = 3  # of the caller's clock, by which a queued request's timer comes before its client gives up
 EXPIRY_MARGIN_TICKS = 4
 
@@ -60,14 +59,6 @@
 ANSWERED = (Result.SERVED, Result.ERROR, Result.OVERLOADED)
 
 
-def _expiry_token(request_id: int) -> int:
-    return 1 + request_id
-
-
-def _request_of_token(token: int) -> int:
-    return token - 1
-
-
 class Scheduler:
     """One gateway's decisions: the same events give the same actions.
 
@@ -217,7 +208,7 @@
         if left_s <= 0:
             self._give_up(pending)
         else:
-            self.actions.append(SetTimer(left_s, _expiry_token(pending.request.id)))
+            self.actions.append(SetTimer(left_s, expiry_token(pending.request.id)))
             self._request_units(pending)
 
     def _limiter(self, pending: PendingRequest) -> RateLimiter:
@@ -340,7 +331,7 @@
         node_queue = self._queue_of(pending)
         assert node_queue is not None
         if node_queue.in_flight.pop((event.id, event.attempt), None) is not None:
-            self._learn(node_queue, pending, event, attempt)
+            self._record_attempt_end(node_queue, pending, event, attempt)
         self.rate_limits.record_outcome(pending, event, self.now)
         if event.final or pending.is_answered:
             self._finish(pending)
@@ -348,7 +339,9 @@
             self._retry_or_give_up(pending, node_queue, event.result)
         self._serve_queue(node_queue)
 
-    def _learn(self, node_queue: NodeQueue, pending: PendingRequest, event: Outcome, attempt: Attempt) -> None:
+    def _record_attempt_end(
+        self, node_queue: NodeQueue, pending: PendingRequest, event: Outcome, attempt: Attempt
+    ) -> None:
         """Take in what an attempt's end shows of its node."""
         node_queue.queue.record_end(pending.request.volume)
         # Otherwise the node was heard of since: the attempt was lost on its way.
@@ -483,7 +476,9 @@
         elif event.token == CHECK_TOKEN:
             self._check_queues()
         else:
-            self._expire(_request_of_token(event.token))
+            request_id = request_of_token(event.token)
+            assert request_id is not None  # all other tokens are a request's
+            self._expire(request_id)
 
     def _expire(self, request_id: int) -> None:
         """Give a queued request up just before its client does."""
