--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -93,14 +93,15 @@
 
 def full_disk() -> None:
     """An acceptor whose disk is full from some seconds after its start on."""
-    real, began = acceptor_log.AcceptorLog.persist, time.monotonic()
+    persist = acceptor_log.AcceptorLog.persist
+    full_at = time.monotonic() + 4.0
 
-    def keep(self: Any, what: Any) -> None:
-        if time.monotonic() - began > 4.0:
+    def persist_until_full(self: Any, votes: Any) -> None:
+        if time.monotonic() > full_at:
             raise OSError(errno.ENOSPC, "No space left on device")
-        real(self, what)
+        persist(self, votes)
 
-    acceptor_log.AcceptorLog.persist = keep  # type: ignore[method-assign]
+    acceptor_log.AcceptorLog.persist = persist_until_full  # type: ignore[method-assign]
 
 
 def wrong_place() -> None:
--- a/tests/e2e/test_gossip.py
+++ b/tests/e2e/test_gossip.py
@@ -29,36 +29,33 @@
     return Play(replace(day, trouble=(*day.trouble, *troubles)), FILE, tmp, 1, **more).run()
 
 
-def trouble(kind: str, at: float = 2.0, length: float = 5.0, **more: Any) -> TroubleBlock:
+def fault(kind: str, at: float = 2.0, length: float = 5.0, **more: Any) -> TroubleBlock:
     return TroubleBlock(name=kind, kind=kind, at=at, length=length, **more)
 
 
-def broken(result: Result) -> set[str]:
+def broken_rules(result: Result) -> set[str]:
     return {f.rule for f in result.verdict.findings if f.breaches}
 
 
-def test_limits_hold_while_heads_are_cut_stopped_killed_and_datagrams_go_astray(tmp_path: Path) -> None:
+def test_limits_hold_while_gateways_are_cut_stopped_killed_and_datagrams_go_astray(tmp_path: Path) -> None:
     result = play(
         tmp_path,
-        trouble("heads_cut", part=0.5, every=2.0),
-        trouble("head_stall", part=0.34, size=1.0, every=2.0),
-        trouble("head_kill", at=4.0, part=0.17, down=0.3),
-        trouble("bad_net", part=0.2, size=2.0),
+        fault("heads_cut", part=0.5, every=2.0),
+        fault("head_stall", part=0.34, size=1.0, every=2.0),
+        fault("head_kill", at=4.0, part=0.17, down=0.3),
+        fault("bad_net", part=0.2, size=2.0),
     )
-    assert "limits kept" not in broken(result) and "well nodes used" not in broken(result)
+    assert "limits kept" not in broken_rules(result) and "well nodes used" not in broken_rules(result)
     story = read(rows_of(tmp_path))
-    did = {row["what"] for row in story.dgrams}
-    assert (
-        did == {"cut", "lost", "passed"}
-        and story.stalls
-        and any(row["what"] == "killed" for rows in story.lives.values() for row in rows)
-    )  # each fault was caused
+    assert {row["what"] for row in story.dgrams} == {"cut", "lost", "passed"}
+    assert story.stalls
+    assert any(row["what"] == "killed" for rows in story.lives.values() for row in rows)
     assert result.shared is not None and result.shared.bytes > 0
     assert next(f for f in result.verdict.findings if f.rule == "limits kept").nearest > 0.1
 
 
 class _Asked(Play):
-    """A person asks a head while the day is played."""
+    """A person asks a gateway while the day is played."""
 
     shown: Any = None
     lines: str = ""
@@ -82,7 +79,7 @@
 def test_what_a_person_is_shown(tmp_path: Path) -> None:
     day = load(FILE, Day, check)
     played = _Asked(
-        replace(day, trouble=(*day.trouble, trouble("head_lies", at=1.0, part=0.17, size=0.0))), FILE, tmp_path, 1
+        replace(day, trouble=(*day.trouble, fault("head_lies", at=1.0, part=0.17, size=0.0))), FILE, tmp_path, 1
     )
     played.run()
     assert played.shown["heads"] == 6 and not played.shown["alone"] and played.shown["strangers"] == 0
@@ -100,12 +97,14 @@
     "head, troubles, rule",
     [
         ("keeps_lent", (), "limits kept"),
-        ("hearsay_alone", (trouble("head_lies", at=1.0, length=7.0, part=0.17, size=0.0),), "well nodes used"),
+        ("hearsay_alone", (fault("head_lies", at=1.0, length=7.0, part=0.17, size=0.0),), "well nodes used"),
     ],
 )
-def test_each_doctored_head_is_found(tmp_path: Path, head: str, troubles: tuple[TroubleBlock, ...], rule: str) -> None:
+def test_each_doctored_gateway_is_found(
+    tmp_path: Path, head: str, troubles: tuple[TroubleBlock, ...], rule: str
+) -> None:
     result = play(tmp_path, *troubles, head_command=(head, "serve"), head_module="tests.e2e.doctored")
-    assert rule in broken(result)
+    assert rule in broken_rules(result)
 
 
 def test_run_starts_and_imports_none_of_it() -> None:
--- a/tests/e2e/test_leases.py
+++ b/tests/e2e/test_leases.py
@@ -29,18 +29,18 @@
     return kind(replace(day, trouble=(*day.trouble, *troubles)), FILE, tmp, 1, **more).run()
 
 
-def trouble(kind: str, at: float = 3.5, length: float = 3.0, **more: Any) -> TroubleBlock:
+def fault(kind: str, at: float = 3.5, length: float = 3.0, **more: Any) -> TroubleBlock:
     return TroubleBlock(name=kind, kind=kind, at=at, length=length, **more)
 
 
-def broken(result: Result) -> list[str]:
+def breaches(result: Result) -> list[str]:
     assert result.duties is not None
     return [b.text for b in result.duties.finding.breaches]
 
 
 class _StopsASuccessor(Play):
-    """Stops a head that works, once others work on all that the killed one held: a kill and a stop that hit one duty
-    count as one fault, and a head that was stopped over duties it had done, or not taken yet, is followed by nobody."""
+    """Stops a gateway that works, once others work on all that the killed one held: a kill and a stop that hit one role
+    count as one fault, and a gateway that was stopped over roles it had done, or not taken yet, has no successor."""
 
     killed: dict[str, int] = {}  # noqa: RUF012  # duties of the killed head and the life that held them
 
@@ -80,18 +80,19 @@
 def test_a_drain_outlives_holders_that_are_killed_and_stopped(tmp_path: Path) -> None:
     result = play(
         tmp_path,
-        trouble("duty_kill", every=9.0, down=1.0),
-        trouble("duty_stall", at=4.5, every=9.0, size=2.5),
+        fault("duty_kill", every=9.0, down=1.0),
+        fault("duty_stall", at=4.5, every=9.0, size=2.5),
         kind=_StopsASuccessor,
     )
-    d = result.duties
-    assert d is not None and not broken(result), broken(result)
-    assert d.moved > 100 and d.left == 0 and {"killed", "stopped"} <= set(d.gaps), dict(d.gaps)
+    assert not breaches(result), breaches(result)
+    duties = result.duties
+    assert duties is not None and duties.moved > 100 and duties.left == 0
+    assert {"killed", "stopped"} <= set(duties.gaps), dict(duties.gaps)
     assert result.verdict.wrong_bytes == 0
 
 
 class _LateSteps(Play):
-    """Holds back the steps of the head that holds most, and cuts it off from the others, until one has acted."""
+    """Delays the steps of the gateway that holds most, and cuts it off from the others, until one has acted."""
 
     def _do_duty_nodes(self, x: TroubleBlock, cells: Any, heads: Any) -> None:
         for link in self.links.calls.values():
@@ -103,12 +104,13 @@
         self.links.cut_heads({head}, out=True, back=True)
 
 
-def test_a_step_that_was_held_back_until_a_successor_acted_is_refused(tmp_path: Path) -> None:
+def test_a_step_that_was_delayed_until_a_successor_acted_is_refused(tmp_path: Path) -> None:
     """Whether a step is under way when the cut comes is chance, so three cuts a play, and three plays at most."""
-    for k in range(3):
-        result = play(tmp_path / str(k), trouble("duty_nodes", length=3.0, every=1.2, size=1.8), kind=_LateSteps)
-        refused = read(rows_of(tmp_path / str(k))).fenced
-        found = [t for t in broken(result) if "still lie" not in t]  # it need not be complete after so many cuts
+    for attempt in range(3):
+        folder = tmp_path / str(attempt)
+        result = play(folder, fault("duty_nodes", length=3.0, every=1.2, size=1.8), kind=_LateSteps)
+        refused = read(rows_of(folder)).fenced
+        found = [t for t in breaches(result) if "still lie" not in t]  # it need not be complete after so many cuts
         assert not found and all(r["token"] < r["newest"] for r in refused), found
         if refused:
             return
@@ -116,7 +118,7 @@
 
 
 class _Clocks(Play):
-    """Clocks of heads run at `rates`, by number; others as they should."""
+    """Clocks of gateways run at `rates`, by number; others as they should."""
 
     rates: dict[int, float] = {}  # noqa: RUF012  # set by each test
 
@@ -129,31 +131,31 @@
     class Within(_Clocks):
         rates = {0: 1.009, 1: 0.991, 2: 1.0, 3: 0.991, 4: 1.009}  # noqa: RUF012
 
-    result = play(tmp_path, trouble("duty_cut", length=3.0, every=1.5, size=1.2), kind=Within)
-    assert not [t for t in broken(result) if "still lie" not in t], broken(result)
+    result = play(tmp_path, fault("duty_cut", length=3.0, every=1.5, size=1.2), kind=Within)
+    assert not [t for t in breaches(result) if "still lie" not in t], breaches(result)
 
 
 def test_a_clock_far_outside_the_bound_breaks_leases_and_no_fence(tmp_path: Path) -> None:
-    """Heads whose clocks run at half speed hold on when they are cut off. Which head is cut is drawn, so three plays at
-    most."""
+    """Gateways whose clocks run at half speed hold on when they are cut off. Which one is cut is drawn, so three plays
+    at most."""
 
     class Slow(_Clocks):
         rates = {3: 0.5, 4: 0.5}  # noqa: RUF012
 
-    for k in range(3):
-        result = play(tmp_path / str(k), trouble("duty_cut", length=3.5, every=0.9, size=2.0), kind=Slow)
-        found = broken(result)
+    for attempt in range(3):
+        result = play(tmp_path / str(attempt), fault("duty_cut", length=3.5, every=0.9, size=2.0), kind=Slow)
+        found = breaches(result)
         assert not [t for t in found if t.startswith("place") or "was given token" in t or "times" in t], found
         if [t for t in found if "hold it for" in t]:
             return
     raise AssertionError("no two heads held one duty in three plays")
 
 
-def test_full_disks_under_all_voters_rest_duties_and_nothing_else(tmp_path: Path) -> None:
+def test_full_disks_under_all_acceptors_rest_roles_and_nothing_else(tmp_path: Path) -> None:
     """Votes that can't be kept are not given; what is held goes on being renewed; requests go on."""
     result = play(
         tmp_path,
-        trouble("duty_kill", at=5.0, length=2.0, every=9.0, down=0.5),
+        fault("duty_kill", at=5.0, length=2.0, every=9.0, down=0.5),
         head_command=("full_disk", "serve"),
         head_module="tests.e2e.doctored",
     )
@@ -165,7 +167,7 @@
         if r["what"] == "took" and r["t"] > story.first + 8.0 and fresh.get(r["duty"]) != r["who"]
     ]  # the same life under a higher token is no new holder
     assert not late and [r for r in story.duties if r["what"] == "until" and r["t"] > story.first + 9.0]
-    assert not [t for t in broken(result) if "still lie" not in t], broken(result)
+    assert not [t for t in breaches(result) if "still lie" not in t], breaches(result)
     assert "votes_not_persisted" in "".join(p.read_text() for p in tmp_path.glob("head-*.log"))
     assert result.service.whole.in_time > 0.8 * result.service.whole.asked
 
@@ -185,11 +187,11 @@
 @pytest.mark.parametrize(
     "head, node, troubles, text",
     [
-        ("ignores_end", "", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after a newer holder had"),
+        ("ignores_end", "", (fault("duty_cut", length=1.0, every=9.0, size=3.0),), "after a newer holder had"),
         ("no_token", "", (), "without a token"),
-        ("forgets_votes", "", (trouble("duty_voters", down=0.3),), "was given token"),
+        ("forgets_votes", "", (fault("duty_voters", down=0.3),), "was given token"),
         ("votes_twice", "", (), "hold it for"),
-        ("ignores_end", "forgets_fence", (trouble("duty_cut", length=1.0, every=9.0, size=3.0),), "after"),
+        ("ignores_end", "forgets_fence", (fault("duty_cut", length=1.0, every=9.0, size=3.0),), "after"),
         ("wrong_place", "", (), "times"),
     ],
 )
@@ -205,7 +207,7 @@
         node_module="tests.e2e.doctored" if node else "fawnspool.cli",
         kind=_OnceHeld,
     )
-    assert any(text in t for t in broken(result)), broken(result)
+    assert any(text in t for t in breaches(result)), breaches(result)
     assert not result.verdict.kept
 
 
--- a/tests/test_lease_fleet.py
+++ b/tests/test_lease_fleet.py
@@ -40,9 +40,9 @@
     fleet.split({1}, False)
     fleet.split({2}, False)
     fleet.run(10)
-    assert not fleet.held() and all(
-        len(fleet.hosts[v].voter.vacant_for_s(fleet.clock(fleet.hosts[v]))) == 8 for v in range(3)
-    )
+    assert not fleet.held()
+    for host in fleet.hosts[:3]:
+        assert len(host.voter.vacant_for_s(fleet.clock(host))) == 8
     fleet.cut.clear()
     fleet.run(12)
     assert len(fleet.held()) == 8 and not fleet.wrong
@@ -51,12 +51,12 @@
 def test_all_acceptors_restart_at_once_and_one_with_an_empty_disk() -> None:
     fleet = Duties(terms(6, 3, 8), 3, Net())
     fleet.run(8)
-    for v in range(3):
-        fleet.kill(fleet.hosts[v])
+    for host in fleet.hosts[:3]:
+        fleet.kill(host)
     fleet.wipe(fleet.hosts[1])
     fleet.run(0.5)
-    for v in range(3):
-        fleet.start(fleet.hosts[v])
+    for host in fleet.hosts[:3]:
+        fleet.start(host)
     fleet.run(12)
     assert len(fleet.held()) == 8 and not fleet.wrong and fleet.hosts[1].floor > 0
 
--- a/tests/test_lease_work.py
+++ b/tests/test_lease_work.py
@@ -26,7 +26,9 @@
     ids=["bounded by moves", "bounded by bytes"],
 )
 def test_the_limiter_keeps_both_rates(moves_per_s: float, size: int, expected_per_s: float) -> None:
-    limiter, now, moved = MoveRateLimiter(moves_per_s, float(4 << 20), 5), 0.0, 0
+    limiter = MoveRateLimiter(moves_per_s, float(4 << 20), 5)
+    now = 0.0
+    moved = 0
     while now < 20.0:
         wait_s = limiter.wait_s(now, size, in_flight=0)
         moved += not wait_s
@@ -45,7 +47,8 @@
 
 
 def test_a_failed_extent_is_retried_later_each_time_and_the_table_is_bounded() -> None:
-    retries, extent = RetrySchedule(), ("v", "a")
+    retries = RetrySchedule()
+    extent = ("v", "a")
     retries.record_failure(0.0, extent)
     assert not retries.is_due(FIRST_BACKOFF_S / 2, extent) and retries.is_due(FIRST_BACKOFF_S, extent)
     assert FIRST_BACKOFF_S == 0.2
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -299,7 +299,8 @@
     for acceptor_id in (0, 1):
         respond(100.01, acceptor_id, requests[0].serial, 1)
     respond(100.02, 2, requests[0].serial, 5, REJECTED)  # it has promised a higher token to nobody now
-    now, raised = 100.0, None
+    now = 100.0
+    raised = None
     while raised is None:
         now += SETTINGS.renewal_interval_s
         for action in candidate.tick(now):
