--- a/tests/e2e/test_gossip.py
+++ b/tests/e2e/test_gossip.py
@@ -18,7 +18,7 @@
 from fawnspool.drill.play import Play, Result
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.records.frames import rows_of
-from fawnspool.rules.story import read
+from fawnspool.rules.history import read_history
 from tests.e2e.run_imports import modules_of_run
 
 FILE = Path(__file__).parent / "shared.hcl"
@@ -46,11 +46,11 @@
         fault("bad_net", part=0.2, size=2.0),
     )
     assert "limits kept" not in broken_rules(result) and "well nodes used" not in broken_rules(result)
-    story = read(rows_of(tmp_path))
-    assert {row["what"] for row in story.dgrams} == {"cut", "lost", "passed"}
-    assert story.stalls
-    assert any(row["what"] == "killed" for rows in story.lives.values() for row in rows)
-    assert result.shared is not None and result.shared.bytes > 0
+    history = read_history(rows_of(tmp_path))
+    assert {datagram.what for datagram in history.peer_datagrams} == {"cut", "lost", "passed"}
+    assert history.stalls
+    assert any(change.what == "killed" for changes in history.gateway_changes.values() for change in changes)
+    assert result.shared is not None and result.shared.bytes_per_s > 0
     assert next(f for f in result.verdict.findings if f.rule == "limits kept").nearest > 0.1
 
 
