--- a/fawnspool/leases/nominator.py
+++ b/fawnspool/leases/nominator.py
@@ -70,7 +70,10 @@
 
     def record_released_elsewhere(self, now: float, role: int, incarnation: int) -> None:
         """Note that an incarnation gives up what it may have held by other acceptors' votes."""
-        _, holder = self.held_elsewhere.get(role, (0.0, 0))
+        held = self.held_elsewhere.get(role)
+        if held is None:
+            return
+        _, holder = held
         if holder == incarnation:
             del self.held_elsewhere[role]
             self._schedule(role, now + self._turn_delay(role, now))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -251,6 +251,12 @@
     return candidate
 
 
+def test_a_release_by_no_incarnation_of_a_role_that_nobody_holds_changes_nothing(acceptor: Acceptor) -> None:
+    release = LeaseMessage(LeaseMessageType.RELEASE, SETTINGS.fingerprint, 0, 1, 0, 1, (BallotEntry(1, 4),))
+    acceptor.receive(10.0, 3, release)
+    assert not acceptor.nominator.held_elsewhere
+
+
 def test_gateways_whose_settings_name_other_acceptors_are_foreign_to_each_other() -> None:
     other = replace(SETTINGS, acceptors=(0, 1, 3))
     assert other.fingerprint != SETTINGS.fingerprint
