--- a/benchmarks/duties_days.py
+++ b/benchmarks/duties_days.py
@@ -23,7 +23,8 @@
 
 from fawnspool.config.render import render
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 
 DAYS = ("duty-kill", "duty-term", "duty-stall", "duty-cut", "duty-one-way", "duty-voters", "duty-overlap")
 
@@ -41,7 +42,7 @@
     runs = [(day, seed) for day in DAYS for seed in range(1, seeds + 1)]
     with tempfile.TemporaryDirectory() as folder:
         for name in DAYS:
-            day = load(f"days/{name}.hcl", Day, check)
+            day = load(f"days/{name}.hcl", Day, check_day)
             assert day.duties is not None
             if heads != day.day.heads:  # from 12 heads on five of them vote
                 voters = tuple(range(5 if heads >= 12 else 3))
@@ -80,7 +81,7 @@
 
 def worth(seeds: int) -> None:
     """The same day and seeds; the trouble `drain` is taken out, then the duties."""
-    day = load("days/duty-kill.hcl", Day, check)
+    day = load("days/duty-kill.hcl", Day, check_day)
     day = replace(day, trouble=tuple(x for x in day.trouble if x.kind == "drain"))
     arms = {"off": replace(day, duties=None, trouble=()), "idle": replace(day, trouble=()), "draining": day}
     with tempfile.TemporaryDirectory() as folder:
@@ -110,7 +111,7 @@
 
 def idle(seconds: int) -> None:
     """No trouble for so long, while as many processes as there are cores do nothing but count."""
-    day = load("days/duty-kill.hcl", Day, check)
+    day = load("days/duty-kill.hcl", Day, check_day)
     day = replace(day, trouble=(), day=replace(day.day, length=float(seconds)), load=replace(day.load, rate=10.0))
     busy = [multiprocessing.Process(target=_spin, args=(seconds + 10,)) for _ in range(os.cpu_count() or 1)]
     with tempfile.TemporaryDirectory() as folder:
@@ -144,7 +145,7 @@
             path = Path(f"days/{day_name}.hcl").resolve()
             with tempfile.TemporaryDirectory(dir="/dev/shm") as folder:
                 out = Play(
-                    load(path, Day, check),
+                    load(path, Day, check_day),
                     path,
                     Path(folder),
                     1,
--- a/benchmarks/first_question.py
+++ b/benchmarks/first_question.py
@@ -12,7 +12,8 @@
 
 from benchmarks.model_speed import FULL, at
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
 from fawnspool.model.compare import MAIN, Arm, compare, runner
 
 ROOT = Path(__file__).parent.parent
@@ -42,7 +43,7 @@
     parser.add_argument("--runs", type=int, default=6)
     parser.add_argument("--length", type=float, default=9.0)
     asked = parser.parse_args()
-    full = load(FULL, Day, check)
+    full = load(FULL, Day, check_day)
     run, began = runner(asked.workers), time.perf_counter()
     print("| heads | nodes | day | change | worth today | difference | 95% | runs | told | other figures told |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/benchmarks/model_power.py
+++ b/benchmarks/model_power.py
@@ -16,7 +16,8 @@
 import numpy as np
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model.compare import MAIN, Arm, compare, runner
 from fawnspool.model.params import Params
 
@@ -48,7 +49,7 @@
     parser.add_argument("--length", type=float, default=6.0)
     parser.add_argument("--runs", type=int, default=20)
     asked = parser.parse_args()
-    day = load(ROOT / f"days/{asked.day}.hcl", Day, check)
+    day = load(ROOT / f"days/{asked.day}.hcl", Day, check_day)
     day = replace(day, day=replace(day.day, length=asked.length))
     run = runner(asked.workers)
     began = time.perf_counter()
--- a/benchmarks/model_speed.py
+++ b/benchmarks/model_speed.py
@@ -13,9 +13,10 @@
 from pathlib import Path
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
-from fawnspool.days.terms import rule_terms
-from fawnspool.days.worth import count
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import value_service
 from fawnspool.model.world import World
 from fawnspool.rules.history import read_history
 from fawnspool.rules.judge import judge_run
@@ -40,7 +41,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--profile", action="store_true")
     asked = parser.parse_args()
-    full = load(FULL, Day, check)
+    full = load(FULL, Day, check_day)
     print("| heads | nodes | requests/s | took s | simulated s a second | us a module event | rules | worth |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for heads, nodes, rate in ((3, 10, 133.0), (30, 10, 133.0), (30, 45, 600.0), (190, 45, 300.0), (190, 45, 600.0)):
@@ -58,7 +59,7 @@
         print(
             f"| {heads} | {nodes} | {rate:.0f} | {took:.1f} | {day.day.length / took:.2f} | "
             f"{took / world.events * 1e6:.0f} | {'kept' if verdict.kept else 'BROKEN'} | "
-            f"{count(day, world.ended).whole.share:.3f} |",
+            f"{value_service(day, world.ended).whole.share:.3f} |",
             flush=True,
         )
 
--- a/benchmarks/same_actions.py
+++ b/benchmarks/same_actions.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model import versions
 from fawnspool.model.world import World
 from fawnspool.scheduling import interface
@@ -41,7 +42,7 @@
     old, _ = versions.load(sys.argv[1])
     events, differ = 0, []
     for name in DAYS:
-        day = load(f"days/{name}.hcl", Day, check)
+        day = load(f"days/{name}.hcl", Day, check_day)
         day = replace(day, day=replace(day.day, peers=False))
         for seed in (1, 2):
             a, b = told(old, day, seed), told(Scheduler, day, seed)
--- a/benchmarks/shared_days.py
+++ b/benchmarks/shared_days.py
@@ -17,7 +17,8 @@
 from benchmarks.duties_days import played
 from fawnspool.config.render import render
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 
 DAYS = (
     "shared-skew",
@@ -35,7 +36,7 @@
 
 def arms(name: str) -> dict[str, Day]:
     """One day: with even parts of limits alone, with units that the module lends, with parts lent as well."""
-    day = load(f"days/{name}.hcl", Day, check)
+    day = load(f"days/{name}.hcl", Day, check_day)
     still = tuple(x for x in day.trouble if x.kind != "heads_cut")
     return {
         "even": replace(day, shared=None, day=replace(day.day, peers=False), trouble=still),
@@ -54,7 +55,7 @@
 def faults(seeds: int, at_once: int, heads: int) -> None:
     with tempfile.TemporaryDirectory() as folder:
         for name in DAYS:
-            day = load(f"days/{name}.hcl", Day, check)
+            day = load(f"days/{name}.hcl", Day, check_day)
             if heads != day.day.heads:
                 more = tuple(replace(v, heads=heads) for v in day.volumes)
                 plans = tuple(replace(p, limit_depth=p.limit_depth * heads / day.day.heads) for p in day.plan)
--- a/benchmarks/shared_model.py
+++ b/benchmarks/shared_model.py
@@ -17,10 +17,12 @@
 
 from benchmarks.shared_days import GAIN, arms
 from fawnspool.config.schema import load
-from fawnspool.days.day import NODE_FAULTS, Day, TroubleBlock, check
-from fawnspool.days.terms import rule_terms
-from fawnspool.days.troubles import targets
-from fawnspool.days.worth import count
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
+from fawnspool.days.fault_kinds import NODE_FAULTS
+from fawnspool.days.faults import targets
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import value_service
 from fawnspool.model.world import BEGIN, World, _Head
 from fawnspool.rules.gossip import judge_gossip
 from fawnspool.rules.history import read_history
@@ -51,7 +53,7 @@
     verdict = judge_run(history, rule_terms(day))
     found = judge_gossip(history, rule_terms(day), day.day.heads)
     return Outcome(
-        count(day, ops).whole.share,
+        value_service(day, ops).whole.share,
         found.refused,
         found.refused_within_limit,
         found.asked,
@@ -102,7 +104,7 @@
 
 def bad_node(heads: int, nodes: int, rate: float, shared: bool, kind: str) -> Day:
     """Of the fleet one node stops answering for 6 s, or takes no connection."""
-    day = load("days/shared-skew.hcl", Day, check)
+    day = load("days/shared-skew.hcl", Day, check_day)
     volumes = tuple(replace(v, heads=min(heads, 6), count=v.count * max(1, heads // 6)) for v in day.volumes)
     x = TroubleBlock("bad node", kind, 6.0, 6.0, 1 / nodes, 1.0)
     assert day.shared is not None
@@ -149,7 +151,7 @@
     return (
         left,
         back,
-        count(day, ops).whole.share,
+        value_service(day, ops).whole.share,
         max(world.between.bytes.values(), default=0) / day.day.length,
         wrongly(world),
         tries,
@@ -199,7 +201,7 @@
 def fleet(heads: int, nodes: int, rate: float, news: float, shared: bool) -> Day:
     """A fleet in which one head in five says that every node is dead, and `news` of the heads hear nothing of the
     others for 8 s; 1: nobody hears anybody."""
-    day = load("days/shared-skew.hcl", Day, check)
+    day = load("days/shared-skew.hcl", Day, check_day)
     assert day.shared is not None
     volumes = tuple(replace(v, heads=min(heads, 6), count=v.count * max(1, heads // 6)) for v in day.volumes)
     troubles = [TroubleBlock("lies", "head_lies", 2.0, 14.0, 0.2, 0.0)] if heads >= 5 else []
@@ -258,7 +260,7 @@
     for k in range(2000):
         agent.run_round(200.0 + k * 0.3, 45, [(101, 1)])
     a_look = (time.perf_counter() - began) / 2000 * 1e6
-    day = load("days/shared-skew.hcl", Day, check)
+    day = load("days/shared-skew.hcl", Day, check_day)
     spent = 0.0
     real = Scheduler.handle
 
--- a/benchmarks/staged.py
+++ b/benchmarks/staged.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
 from fawnspool.model.staged import Staged, Trial, spread_of
 from fawnspool.rollout.limits import RolloutLimits
 from fawnspool.scheduling import interface
@@ -85,7 +86,7 @@
 
 
 def day() -> Day:
-    one = load(Path(__file__).parent.parent / "days/lead-moves.hcl", Day, check)
+    one = load(Path(__file__).parent.parent / "days/lead-moves.hcl", Day, check_day)
     surges = tuple(TroubleBlock(f"surge {k}", "burst", 60.0 + 45 * k, 10.0, size=2.2) for k in range(2))
     return replace(
         one,
--- a/fawnspool/cli/drill.py
+++ b/fawnspool/cli/drill.py
@@ -15,7 +15,8 @@
 from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, seeds_of, table
 from fawnspool.config.render import render
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 
 
 @click.group("drill", epilog=EXIT_CODES)
@@ -44,7 +45,7 @@
     rows = []
     for path in sorted(Path(folder).glob("*.hcl")):
         try:
-            day = load(path, Day, check)
+            day = load(path, Day, check_day)
         except ConfigError as bad:
             config_error(bad, as_json)
         rows.append(
@@ -81,7 +82,7 @@
 
     path = _find(day_name, folder)
     try:
-        day = load(path, Day, check)
+        day = load(path, Day, check_day)
     except ConfigError as bad:
         config_error(bad, as_json)
     number = day.day.seed if seed is None else seed
@@ -186,7 +187,7 @@
 
     path = _find(day_name, folder)
     try:
-        day = load(path, Day, check)
+        day = load(path, Day, check_day)
     except ConfigError as bad:
         config_error(bad, False)
     rows, kept = [], True
--- a/fawnspool/cli/model_run.py
+++ b/fawnspool/cli/model_run.py
@@ -12,7 +12,8 @@
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, config_error, fail, print_json, table
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model.params import Params
 
 
@@ -29,7 +30,7 @@
             known = ", ".join(sorted(p.stem for p in Path(folder).glob("*.hcl"))) or f"none in {folder}/"
             fail(f"there is no day {name!r}; days here: {known}")
         try:
-            out.append((path.stem, load(path, Day, check)))
+            out.append((path.stem, load(path, Day, check_day)))
         except ConfigError as bad:
             config_error(bad, False)
     return out
@@ -91,7 +92,7 @@
     from fawnspool.records.frames import RecordingError, rows_of
 
     try:
-        return load(Path(folder) / "day.hcl", Day, check), list(rows_of(Path(folder) / "module"))
+        return load(Path(folder) / "day.hcl", Day, check_day), list(rows_of(Path(folder) / "module"))
     except ConfigError as bad:
         config_error(bad, as_json)
     except RecordingError as bad:
--- a/fawnspool/cli/model_store.py
+++ b/fawnspool/cli/model_store.py
@@ -11,7 +11,8 @@
 from fawnspool.cli.common import BROKEN, fail, print_json, table
 from fawnspool.cli.model_run import command
 from fawnspool.config.schema import ConfigError, parse
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model import compare as comparing
 from fawnspool.model.fit import Fit
 from fawnspool.model.params import Params
@@ -107,7 +108,7 @@
         now = tuple(version(arm.version, dict(arm.constants))[1] for arm in (q.a, q.b))
         if now != q.versions:
             fail(f"the versions have changed: {', '.join(q.versions)} then, {', '.join(now)} now")
-        days = [(d.name, parse(d.text, d.name, Day, check)) for d in q.days]
+        days = [(d.name, parse(d.text, d.name, Day, check_day)) for d in q.days]
         answers = [
             comparing.compare(
                 name,
--- a/fawnspool/cli/rules.py
+++ b/fawnspool/cli/rules.py
@@ -11,8 +11,9 @@
 
 from fawnspool.cli.common import BROKEN, EXIT_CODES, config_error, fail, print_json, table
 from fawnspool.config.schema import ConfigError, load
-from fawnspool.days.day import Day, check
-from fawnspool.days.terms import rule_terms
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
+from fawnspool.days.rule_terms import rule_terms
 from fawnspool.records.frames import FrameReader, RecordingError
 from fawnspool.rules.history import read_history
 from fawnspool.rules.judge import RunVerdict, judge_run
@@ -41,7 +42,7 @@
 def check_rules(recording: str, day_file: str, as_json: bool) -> None:
     """Judge RECORDING: a folder that `drill run --out` left (DIR/module), or one .rec file."""
     try:
-        day = load(day_file, Day, check)
+        day = load(day_file, Day, check_day)
     except ConfigError as error:
         config_error(error, as_json)
     recorded = _read_recording(recording)
--- a/fawnspool/days/__init__.py
+++ b/fawnspool/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days as data: a scripted day's fleet, traffic and troubles, and what service on it is worth. No I/O, no clock."""
+"""Days as data: a scripted day's fleet, traffic and faults, and the value of the service on it. No I/O, no clock."""
--- a/fawnspool/days/day.py
+++ b/fawnspool/days/day.py
@@ -1,10 +1,10 @@
-"""The form of a day file (`days/*.hcl`)."""
+"""The form of a day file (`days/*.hcl`); times are in seconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from itertools import combinations
 
-from fawnspool.config.checks import check_gossip, check_leases
 from fawnspool.config.head import (
     AttemptsBlock,
     ClassBlock,
@@ -16,49 +16,14 @@
     SharedBlock,
     UnitsBlock,
 )
-from fawnspool.config.schema import Reader, block, spec
-
-NODE_FAULTS = (
-    "slow",
-    "neighbour",
-    "pauses",
-    "crash",
-    "preempt",
-    "ageing",
-    "answers_lost",
-    "resets",
-    "refused",
-    "half_answers",
-    "garbled",
-    "wrong_lengths",
-    "hang_ups",
-    "node_errors",
-    "wrong_bytes",
-    "unlisted_restart",
-)
-LIST_FAULTS = ("list_gone", "list_late")
-TRAFFIC_FAULTS = ("burst", "plan_burst", "hot_volumes", "scan", "lead_moves", "impatient", "leavers")
-HEAD_FAULTS = ("head_roll", "head_stall", "head_kill")
-MAP_FAULTS = ("moves", "map_gone")
-LINK_FAULTS = ("heads_cut", "heads_deaf", "heads_mute", "bad_net", "head_lies")
-DUTY_FAULTS = (
-    "drain",
-    "duty_kill",
-    "duty_stall",
-    "duty_cut",
-    "duty_one_way",
-    "duty_nodes",
-    "duty_voters",
-    "duty_lost",
-    "duty_net",
-    "duty_quiet",
-    "duty_term",
-)
-KINDS = DUTY_FAULTS + LINK_FAULTS + NODE_FAULTS + LIST_FAULTS + TRAFFIC_FAULTS + HEAD_FAULTS + MAP_FAULTS
+from fawnspool.config.schema import block, spec
+from fawnspool.days.fault_kinds import FAULT_KINDS
 
 
 @dataclass(frozen=True)
 class DayBlock:
+    """The day as a whole, and the size of its fleet."""
+
     title: str = spec()
     length: float = spec(kind="time", low=1)
     heads: int = spec(1, low=1, high=1024)
@@ -72,7 +37,7 @@
 
 @dataclass(frozen=True)
 class FleetBlock:
-    """What the nodes are like; the rule for cold nodes stands in `nodes`."""
+    """What the nodes are like; the rule for nodes that warm up stands in `nodes`."""
 
     cores: int = spec(2, low=1)
     unit_time: float = spec(0.02, kind="time")
@@ -100,6 +65,8 @@
 
 @dataclass(frozen=True)
 class LoadBlock:
+    """Traffic in all, and how its clients behave."""
+
     rate: float = spec(low=0.1)  # first tries a second, through all heads
     retries: int = spec(1, low=0, high=5)
     backoff: float = spec(0.1, kind="time")
@@ -120,11 +87,13 @@
 
 @dataclass(frozen=True)
 class TroubleBlock:
-    """Something that goes wrong; the label is a name for people. What `part`, `size`, `every` and `down` mean goes
-    by kind: docs/days.md has the table."""
+    """A scripted fault; the label is a name for people.
+
+    What `part`, `size`, `every` and `down` mean depends on the kind: docs/days.md has the table.
+    """
 
     name: str = spec(label=True)
-    kind: str = spec(among=KINDS)
+    kind: str = spec(among=FAULT_KINDS)
     at: float = spec(kind="time")
     length: float = spec(1.0, kind="time")
     part: float = spec(0.2, low=0, high=1)
@@ -133,6 +102,10 @@
     down: float = spec(2.0, kind="time")
     plan: str = spec("")
 
+    def is_active(self, time: float) -> bool:
+        """Whether the fault is on, so many seconds after the day's start."""
+        return self.at <= time < self.at + self.length
+
 
 @dataclass(frozen=True)
 class Day:
@@ -156,81 +129,32 @@
 
     @property
     def title(self) -> str:
+        """The day's title, for people."""
         return self.day.title
 
-    def volume_names(self) -> list[tuple[str, VolumesBlock]]:
-        """All volumes, in order, with the block each comes from."""
-        return [(f"{v.name}-{k}", v) for v in self.volumes for k in range(v.count)]
-
     @property
     def linked(self) -> bool:
-        """Do heads reach each other through links that a drill can cut?"""
+        """Whether gateways reach each other through links that a drill can cut."""
         return self.duties is not None or self.shared is not None
 
+    def volume_names(self) -> list[tuple[str, VolumesBlock]]:
+        """Return all volumes, in order, with the block each comes from."""
+        return [(f"{block.name}-{index}", block) for block in self.volumes for index in range(block.count)]
+
     def kinds(self) -> list[str]:
-        return sorted({t.kind for t in self.trouble})
+        """Return the kinds of the scripted faults, sorted."""
+        return sorted({trouble.kind for trouble in self.trouble})
 
     def overlaps(self) -> list[tuple[str, str]]:
-        """Pairs of troubles of different kinds that are on at the same time."""
-        spans = [(t.at, t.at + max(t.length, 0.0), t) for t in self.trouble]
+        """Return pairs of faults of different kinds that are on at the same time."""
         return [
-            (a[2].name, b[2].name)
-            for k, a in enumerate(spans)
-            for b in spans[k + 1 :]
-            if a[2].kind != b[2].kind and a[0] < b[1] and b[0] < a[1]
+            (first.name, second.name)
+            for first, second in combinations(self.trouble, 2)
+            if first.kind != second.kind and _overlap(first, second)
         ]
 
 
-def check(day: Day, reader: Reader) -> None:
-    """What only the document as a whole shows."""
-    classes, plans = {c.name for c in day.class_}, {p.name: p for p in day.plan}
-    for name, rows in (("class", day.class_), ("plan", day.plan), ("volumes", day.volumes), ("traffic", day.traffic)):
-        if not rows:
-            reader.wrong(0, name, f'at least one is needed: {name} "name" {{ ... }}')
-    for t in day.traffic:
-        if t.name not in classes:
-            reader.wrong(t, f"traffic.{t.name}", f"the label is a class: {', '.join(sorted(classes))}")
-    for v in day.volumes:
-        if v.name not in plans:
-            reader.wrong(v, f"volumes.{v.name}", f"the label is a plan: {', '.join(sorted(plans))}")
-            continue
-        if v.heads > day.day.heads:
-            reader.wrong(v, f"volumes.{v.name}.heads", f"there are only {day.day.heads} heads (day.heads)")
-        if v.nodes > day.day.nodes:
-            reader.wrong(v, f"volumes.{v.name}.nodes", f"there are only {day.day.nodes} nodes (day.nodes)")
-        p = plans[v.name]
-        if p.limit and p.limit_depth < day.units.largest * v.heads:
-            reader.wrong(
-                p,
-                f"plan.{p.name}.limit_depth",
-                f"through {v.heads} heads it is {day.units.largest * v.heads} at least, or the largest "
-                "request never fits",
-            )
-    if day.duties is not None:
-        check_leases(day.duties, day.day.heads, reader)
-        if not day.day.peers:
-            reader.wrong(day.duties, "duties", "heads speak about them by datagrams: set day.peers")
-    if day.shared is not None:
-        check_gossip(day.shared, reader)
-        if not day.day.peers:
-            reader.wrong(day.shared, "shared", "heads speak by datagrams: set day.peers")
-    for x in day.trouble:
-        if x.kind in LINK_FAULTS and not day.linked:
-            reader.wrong(x, f"trouble.{x.name}.kind", f"{x.kind} needs a duties or a shared block")
-        if x.kind in DUTY_FAULTS and day.duties is None:
-            reader.wrong(x, f"trouble.{x.name}.kind", f"{x.kind} needs a duties block")
-        if x.at >= day.day.length:
-            reader.wrong(x, f"trouble.{x.name}.at", f"lies behind the day's end at {day.day.length:g} s")
-        if x.kind == "plan_burst" and x.plan not in plans:
-            reader.wrong(x, f"trouble.{x.name}.plan", f"expected one of {', '.join(sorted(plans))}, found {x.plan!r}")
-    if day.fleet.cold_from < day.nodes.cold_capacity:
-        reader.wrong(day.fleet, "fleet.cold_from", "lies under nodes.cold_capacity: heads are promised more")
-    if day.fleet.warm_after > day.nodes.cold_warm_after:
-        reader.wrong(day.fleet, "fleet.warm_after", "lies over nodes.cold_warm_after: heads are promised less")
-    power = day.fleet.cores / day.fleet.unit_time * day.nodes.cold_capacity if day.fleet.unit_time else float("inf")
-    if day.nodes.cold_units > day.nodes.cold_multiple * power * day.nodes.cold_fall:
-        reader.wrong(
-            day.nodes,
-            "nodes.cold_units",
-            f"more than a cold node surely bears: at most {day.nodes.cold_multiple * power * day.nodes.cold_fall:g}",
-        )
+def _overlap(first: TroubleBlock, second: TroubleBlock) -> bool:
+    first_end = first.at + max(first.length, 0.0)
+    second_end = second.at + max(second.length, 0.0)
+    return first.at < second_end and second.at < first_end
--- a/fawnspool/drill/clients.py
+++ b/fawnspool/drill/clients.py
@@ -10,8 +10,9 @@
 import msgspec
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
-from fawnspool.days.traffic import held_objects, make
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
+from fawnspool.days.traffic import draw_operations, held_objects
 from fawnspool.records.frames import FrameWriter
 from fawnspool.standins.clients import Clients, lag_meter
 
@@ -19,7 +20,7 @@
 def run(spec_file: Path) -> None:
     """Play the script named in the spec; see fawnspool.drill.play."""
     spec = msgspec.json.decode(spec_file.read_bytes())
-    day, seed = load(spec["day"], Day, check), int(spec["seed"])
+    day, seed = load(spec["day"], Day, check_day), int(spec["seed"])
     record = FrameWriter(spec["record"])
 
     def note(kind: str, t: float | None = None, **more: Any) -> None:
@@ -27,7 +28,7 @@
 
     held = {(volume, key): size for volume, key, size, _ in held_objects(day, seed)}
     heads = {int(k): ("127.0.0.1", int(port)) for k, port in spec["heads"].items()}
-    clients = Clients(day, make(day, seed), heads, note, seed, held)
+    clients = Clients(day, draw_operations(day, seed), heads, note, seed, held)
     gc.collect()
     gc.freeze()  # a full collection over the script would look like a late answer
     lag_meter(note, "clients")
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -18,11 +18,19 @@
 
 from fawnspool.config.head import CatalogueBlock, HeadBlock, HeadConfig, ListBlock, PeerBlock, VolumeBlock
 from fawnspool.config.render import render
-from fawnspool.days.day import NODE_FAULTS, Day, TroubleBlock
-from fawnspool.days.terms import rule_terms
+from fawnspool.days.day import Day, TroubleBlock
+from fawnspool.days.fault_kinds import NODE_FAULTS
+from fawnspool.days.faults import (
+    NO_FAULT_SETTINGS,
+    NODE_FAULT_SETTINGS,
+    preemption_waves,
+    restart_batches,
+    stall_times,
+    targets,
+)
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import EndedOperation, ServiceValue, value_service
 from fawnspool.days.traffic import held_objects
-from fawnspool.days.troubles import CALM, NODE_SETTINGS, batches, stall_times, targets, waves
-from fawnspool.days.worth import Served, Service, count
 from fawnspool.drill.fleet import DrillError, Process, free_ports, post
 from fawnspool.drill.links import Links, Weather
 from fawnspool.extents.records import LOG_START, ExtentKey, ExtentRecord, MapDelta
@@ -52,8 +60,8 @@
     """What came of a day."""
 
     verdict: RunVerdict
-    service: Service
-    ops: list[Served]
+    service: ServiceValue
+    ops: list[EndedOperation]
     events: list[tuple[float, str]] = field(default_factory=list)
     wrong: MisdirectedSends | None = None  # where extents moved
     duties: LeaseFinding | None = None  # where heads held some
@@ -375,7 +383,7 @@
         try:
             if x.kind == "neighbour":
                 self._on_and_off(x, cells)
-            elif x.kind in NODE_SETTINGS:
+            elif x.kind in NODE_FAULT_SETTINGS:
                 self._faulty(x, cells, x.length)
             else:
                 special = getattr(self, f"_do_{x.kind}", None)
@@ -397,7 +405,7 @@
                     raise
 
     def _faulty(self, x: TroubleBlock, cells: list[_Cell], length: float) -> None:
-        given = NODE_SETTINGS[x.kind](x)
+        given = NODE_FAULT_SETTINGS[x.kind](x)
         for cell in cells:
             self._fault(cell, given)
         if x.kind == "refused":  # its control is refused too: a new listener comes by a signal
@@ -408,7 +416,7 @@
             return
         gevent.sleep(length)
         for cell in cells:
-            self._fault(cell, {name: CALM[name] for name in given if name in CALM})
+            self._fault(cell, {name: NO_FAULT_SETTINGS[name] for name in given if name in NO_FAULT_SETTINGS})
 
     def _on_and_off(self, x: TroubleBlock, cells: list[_Cell]) -> None:
         end = time.monotonic() + x.length
@@ -462,7 +470,7 @@
 
     def _do_preempt(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """Waves: told to drain, dead `size` seconds later, a new cold node in its place after `down`."""
-        for some in waves(x, [c.cell for c in cells]):
+        for some in preemption_waves(x, [c.cell for c in cells]):
             self.tasks.append(gevent.spawn(self._preempt, x, [self.cells[k] for k in some]))
             gevent.sleep(x.every)
 
@@ -555,7 +563,7 @@
         gevent.joinall([gevent.spawn(self._kill_head, k, x.down) for k in heads], raise_error=True)
 
     def _do_head_roll(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        rounds = batches(self.day, x)
+        rounds = restart_batches(self.day, x)
         for some in rounds:
             began = time.monotonic()
             gevent.joinall([gevent.spawn(self._kill_head, k, x.down) for k in some], raise_error=True)
@@ -788,7 +796,7 @@
         verdict = judge_run(history, rule_terms(self.day))
         plan_of = {name: b.name for name, b in self.day.volume_names()}
         ops = [
-            Served(r[0], r[1], plan_of[r[1]], r[2], r[3], r[4], r[5])
+            EndedOperation(r[0], r[1], plan_of[r[1]], r[2], r[3], r[4], r[5])
             for r in msgspec.json.decode((self.folder / "ended.json").read_bytes())
         ]
         duties = None
@@ -799,4 +807,4 @@
         shared = judge_gossip(history, rule_terms(self.day), self.day.day.heads)
         if self.day.shared is not None:
             verdict.findings.append(shared.node_use)
-        return Result(verdict, count(self.day, ops), ops, self.events, wrong, duties, shared, self.head_cpu)
+        return Result(verdict, value_service(self.day, ops), ops, self.events, wrong, duties, shared, self.head_cpu)
--- a/fawnspool/drill/report.py
+++ b/fawnspool/drill/report.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fawnspool.days.day import Day
-from fawnspool.days.worth import Row
+from fawnspool.days.service_value import ServiceTotals
 from fawnspool.drill.play import Result
 from fawnspool.rules.leases import LeaseFinding
 from fawnspool.rules.misdirected import DELAY_EDGES_S
@@ -15,7 +15,7 @@
 WRONG_COLUMNS = ("before the flip", *(f"under {1000 * e:g} ms" for e in DELAY_EDGES_S), "later")
 
 
-def _row(row: Row) -> dict[str, Any]:
+def _row(row: ServiceTotals) -> dict[str, Any]:
     return {
         "asked": row.asked,
         "in time": row.in_time,
--- a/fawnspool/model/compare.py
+++ b/fawnspool/model/compare.py
@@ -16,9 +16,9 @@
 import numpy as np
 
 from fawnspool.days.day import Day
-from fawnspool.days.terms import rule_terms
-from fawnspool.days.traffic import Op
-from fawnspool.days.worth import count
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import value_service
+from fawnspool.days.traffic import Operation
 from fawnspool.model.params import Params
 from fawnspool.model.seen import Recorded
 from fawnspool.model.stats import Interval, holm, looks, paired
@@ -98,7 +98,7 @@
     return dataclasses.replace(node, **{name: new})
 
 
-def asked(traffic: Traffic, day: Day, seed: int) -> tuple[Day, list[Op] | None]:
+def asked(traffic: Traffic, day: Day, seed: int) -> tuple[Day, list[Operation] | None]:
     """The day and what is asked on it; None: its own script."""
     if isinstance(traffic, Recorded):
         return replayed(traffic, day)
@@ -117,7 +117,7 @@
 
     day, ops = asked(traffic, day, seed)
     world = World(day, seed, shifted, params, ops, luck=arm.luck)
-    service = count(day, world.run())
+    service = value_service(day, world.run())
     verdict = judge_run(read_history(world.rows), rule_terms(day))
     figures = {
         MAIN: service.whole.share,
--- a/fawnspool/model/staged.py
+++ b/fawnspool/model/staged.py
@@ -14,8 +14,8 @@
 import numpy as np
 
 from fawnspool.days.day import Day
-from fawnspool.days.terms import rule_terms
-from fawnspool.days.worth import count
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import value_service
 from fawnspool.model.params import Params
 from fawnspool.model.world import BEGIN, Policy, World
 from fawnspool.rollout.controller import RolloutController, RolloutVerdict, Window
@@ -74,7 +74,7 @@
 
 def _shares(day: Day, world: World, k: int, window: float) -> dict[int, float]:
     ops = [op for op in world.ended if k * window <= op.at < (k + 1) * window]
-    return {h: row.share for h, row in count(day, ops).heads.items() if row.due > 0 and h >= 0}
+    return {h: row.share for h, row in value_service(day, ops).heads.items() if row.due > 0 and h >= 0}
 
 
 class Staged:
@@ -109,7 +109,7 @@
         for k in range(int(self.day.day.length / self.bound.window_s)):
             w.engine.at(BEGIN + (k + 1) * self.bound.window_s + late, self._window, k)
         ended = w.run()
-        self.out.share = count(self.day, ended).whole.share
+        self.out.share = value_service(self.day, ended).whole.share
         verdict = judge_run(read_history(w.rows), rule_terms(self.day))
         self.out.broken = tuple(f"{f.rule}: {f.breaches[0].text}" for f in verdict.findings if f.breaches)
         self.out.lost = self.rollout.lost_gateway_s
--- a/fawnspool/model/traffic.py
+++ b/fawnspool/model/traffic.py
@@ -26,7 +26,7 @@
 from numpy.typing import NDArray
 
 from fawnspool.days.day import Day
-from fawnspool.days.traffic import Op
+from fawnspool.days.traffic import Operation
 from fawnspool.model.seen import Asked, Recorded, TrafficError
 
 LEAST = 40  # observations under which an estimate counts as poor
@@ -287,14 +287,14 @@
     return factors
 
 
-def draw(d: Described, day: Day, seed: int) -> list[Op]:
+def draw(d: Described, day: Day, seed: int) -> list[Operation]:
     """Operations of a day made by `scaled`, in order of time. The day's own traffic troubles (a burst, leads that move)
     are not in it: what bursts the records held are in the description."""
     seconds = max(1, math.ceil(day.day.length))
     together = _walk(d.together, seconds, stream(seed, "together"))
     rates = _rates(d, day, seed)
     total = sum(rates.values())
-    out: list[Op] = []
+    out: list[Operation] = []
     for name, block in day.volume_names():
         shape = d.plans[block.name]
         factor = together * _walk(d.alone, seconds, stream(seed, "alone", name))
@@ -325,7 +325,7 @@
     return values
 
 
-def _volume(day: Day, seed: int, name: str, shape: PlanShape, d: Described, times: Floats) -> list[Op]:
+def _volume(day: Day, seed: int, name: str, shape: PlanShape, d: Described, times: Floats) -> list[Operation]:
     n = len(times)
     names = list(shape.classes)
     shares = np.array([shape.classes[c].share for c in names])
@@ -334,7 +334,7 @@
     parts, keys = stream(seed, "sizes", name), stream(seed, "keys", name)
     patient = stream(seed, "patience", name)
     classes = [c.name for c in day.class_]
-    out: list[Op] = []
+    out: list[Operation] = []
     for k in range(n):
         cls = names[which[k]]
         c = shape.classes[cls]
@@ -345,7 +345,7 @@
             size = max(64, int((units - float(parts.random()) * 0.999) * day.units.bytes))
             ident = f"s{seed}{name}g{k}m{m}"
             out.append(
-                Op(
+                Operation(
                     ident,
                     float(times[k]) + 0.004 * m,
                     name,
@@ -382,7 +382,7 @@
     return out
 
 
-def replayed(seen: Recorded, day: Day) -> tuple[Day, list[Op]]:
+def replayed(seen: Recorded, day: Day) -> tuple[Day, list[Operation]]:
     """The recorded requests themselves as operations, and the day with volumes to match. Volumes take the day's own
     names where they are known there, else names by plan in order of first use. Raises TrafficError."""
     plans, classes = {p.name for p in day.plan}, [c.name for c in day.class_]
@@ -416,7 +416,7 @@
         held = f"held/{int(rng.integers(day.load.objects))}"
         others = tuple(h for h in using[a.volume] if h != a.head)
         out.append(
-            Op(
+            Operation(
                 f"p{k}",
                 a.t,
                 volume,
--- a/fawnspool/model/world.py
+++ b/fawnspool/model/world.py
@@ -25,11 +25,19 @@
     VolumeBlock,
 )
 from fawnspool.config.scheduler_settings import scheduler_settings
-from fawnspool.days.day import LINK_FAULTS, Day, TroubleBlock
-from fawnspool.days.retry import pause_before_next
-from fawnspool.days.traffic import Op, held_objects, make
-from fawnspool.days.troubles import CALM, NODE_SETTINGS, batches, stall_times, targets, waves
-from fawnspool.days.worth import Served
+from fawnspool.days.day import Day, TroubleBlock
+from fawnspool.days.fault_kinds import LINK_FAULTS
+from fawnspool.days.faults import (
+    NO_FAULT_SETTINGS,
+    NODE_FAULT_SETTINGS,
+    preemption_waves,
+    restart_batches,
+    stall_times,
+    targets,
+)
+from fawnspool.days.retries import EndedAttempt, pause_before_retry
+from fawnspool.days.service_value import EndedOperation
+from fawnspool.days.traffic import Operation, draw_operations, held_objects
 from fawnspool.model.between import Between, sharing
 from fawnspool.model.engine import Engine
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
@@ -46,7 +54,7 @@
 class _Try:
     """One try of a client at a head."""
 
-    op: Op
+    op: Operation
     n: int
     head: int
     began: float
@@ -86,7 +94,7 @@
 
     def __init__(self, world: World, number: int, cell: int, cold: bool) -> None:
         self.world, self.number, self.cell, self.life, self.up = world, number, cell, 0, False
-        self.faults: dict[str, Any] = dict(CALM)
+        self.faults: dict[str, Any] = dict(NO_FAULT_SETTINGS)
         self.phase, self.started = "ready", -1.0
         self.random = Random(f"{world.own}-node-{number}")
         self.start(cold)
@@ -113,7 +121,7 @@
         self.sums: dict[int, float] = {}
         self.told: dict[tuple[int, int], float] = {}
         self.up, self.life = True, self.life + 1
-        self.set({k: v for k, v in self.faults.items() if v != CALM[k]})
+        self.set({k: v for k, v in self.faults.items() if v != NO_FAULT_SETTINGS[k]})
         w.note(
             "up",
             node=self.number,
@@ -531,7 +539,7 @@
         seed: int,
         policy: Policy,
         params: Params | None = None,
-        ops: list[Op] | None = None,
+        ops: list[Operation] | None = None,
         luck: int = 0,
     ) -> None:
         self.day, self.seed, self.params = day, seed, params or Params()
@@ -545,7 +553,7 @@
         self.errors: list[str] = []
         self.raised: dict[int, int] = {}
         self.events = 0
-        self.ended: list[Served] = []
+        self.ended: list[EndedOperation] = []
         self.zones = tuple(f"zone-{chr(97 + k)}" for k in range(day.fleet.zones))
         slow = round(day.fleet.slow_share * day.day.nodes)
         self.slow = set(Random(f"{seed}-slow").sample(range(day.day.nodes), slow))
@@ -570,7 +578,7 @@
         self.policies: list[Policy] = [policy] * day.day.heads  # of each head, from its next start on
         self.heads = [_Head(self, k) for k in range(day.day.heads)]
         self.fresh: dict[str, deque[tuple[str, int]]] = {}
-        self.ops = make(day, seed) if ops is None else ops
+        self.ops = draw_operations(day, seed) if ops is None else ops
 
     def note(self, kind: str, **more: Any) -> None:
         self.rows.append({"k": kind, "t": self.engine.now, **more})
@@ -600,7 +608,7 @@
 
     # ------------------------------------------------------------ run
 
-    def run(self) -> list[Served]:
+    def run(self) -> list[EndedOperation]:
         for head in self.heads:
             head.start(self.policies[head.number])
         begin = BEGIN
@@ -629,7 +637,7 @@
 
     # ------------------------------------------------------------ clients
 
-    def _operate(self, op: Op) -> None:
+    def _operate(self, op: Operation) -> None:
         key, size = op.key, op.size
         if not op.writes:
             if not key and (rows := self.fresh.get(op.volume)):
@@ -639,7 +647,7 @@
                 size = self.held[op.volume, key]
         self._try(op, key, size, 0, list(op.heads), self.engine.now)
 
-    def _try(self, op: Op, key: str, size: int, n: int, heads: list[int], began: float) -> None:
+    def _try(self, op: Operation, key: str, size: int, n: int, heads: list[int], began: float) -> None:
         now, cls, head = self.engine.now, self.day.class_[op.cls], heads[0]
         patience = min(op.patience, cls.deadline - (now - began))
         units = max(1, min(self.day.units.largest, -(-size // self.day.units.bytes)))
@@ -658,7 +666,7 @@
 
         def done(how: str, advice: float) -> None:
             elapsed = self.engine.now - began
-            pause = pause_before_next(self.day.load, cls, how, n + 1, elapsed, advice, self.retries)
+            pause = pause_before_retry(self.day.load, cls, EndedAttempt(how, n + 1, elapsed, advice), self.retries)
             if pause is not None:
                 turned = heads[1:] + heads[:1] if how == "unreached" and len(heads) > 1 else heads
                 return self.engine.after(pause, self._try, op, key, size, n + 1, turned, began)
@@ -693,7 +701,7 @@
         self.note("got", op=asked.op.name, n=asked.n, head=asked.head, how=how, s=status)
         asked.done(how, advice)
 
-    def _end(self, op: Op, key: str, size: int, how: str, elapsed: float, head: int) -> None:
+    def _end(self, op: Operation, key: str, size: int, how: str, elapsed: float, head: int) -> None:
         if how == "served":
             how = "in time" if elapsed <= self.day.class_[op.cls].aim else "late"
             if op.writes:
@@ -701,7 +709,7 @@
         elif how != "left":
             how = "refused" if how in ("refused", "unreached") else "failed"
         units = float(max(1, min(self.day.units.largest, -(-op.size // self.day.units.bytes))))
-        self.ended.append(Served(op.at, op.volume, self.plan_of[op.volume], op.cls, units, how, elapsed, head))
+        self.ended.append(EndedOperation(op.at, op.volume, self.plan_of[op.volume], op.cls, units, how, elapsed, head))
 
     # ------------------------------------------------------------ nodes
 
@@ -874,11 +882,11 @@
         if x.kind == "neighbour":
             at = 0.0
             while at < x.length:
-                after(at, self._set, nodes, NODE_SETTINGS[x.kind](x))
+                after(at, self._set, nodes, NODE_FAULT_SETTINGS[x.kind](x))
                 after(min(at + x.every, x.length), self._calm, nodes, x.kind, x)
                 at += 2 * x.every
-        elif x.kind in NODE_SETTINGS:
-            self._set(nodes, NODE_SETTINGS[x.kind](x))
+        elif x.kind in NODE_FAULT_SETTINGS:
+            self._set(nodes, NODE_FAULT_SETTINGS[x.kind](x))
             after(x.length, self._calm, nodes, x.kind, x)
         elif x.kind in ("crash", "unlisted_restart"):
             self._crash(x, nodes)
@@ -891,7 +899,7 @@
             after(x.length, self._set, nodes, {"slow": 1.0})
             after(x.length, self._crash, x, nodes)
         elif x.kind == "preempt":
-            for k, some in enumerate(waves(x, numbers)):
+            for k, some in enumerate(preemption_waves(x, numbers)):
                 after(k * x.every, self._preempt, x, some)
         elif x.kind == "list_gone":
             self.list_gone = True
@@ -910,7 +918,7 @@
             self.list_late = x.size
             after(x.length, self._list_in_time)
         elif x.kind in ("head_kill", "head_roll"):
-            rounds = [heads] if x.kind == "head_kill" else batches(self.day, x)
+            rounds = [heads] if x.kind == "head_kill" else restart_batches(self.day, x)
             for k, some in enumerate(rounds):
                 away = x.down + self.params.head_start
                 after(k * max(x.length / len(rounds), away), self.restart, some, away)
@@ -928,7 +936,8 @@
             node.set(given)
 
     def _calm(self, nodes: list[_Node], kind: str, x: TroubleBlock) -> None:
-        self._set(nodes, {name: CALM[name] for name in NODE_SETTINGS[kind](x) if name in CALM})
+        given = NODE_FAULT_SETTINGS[kind](x)
+        self._set(nodes, {name: NO_FAULT_SETTINGS[name] for name in given if name in NO_FAULT_SETTINGS})
 
     def _list_back(self) -> None:
         self.list_gone = False
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -20,8 +20,8 @@
 from gevent.pool import Pool as Greenlets
 
 from fawnspool.days.day import Day
-from fawnspool.days.retry import pause_before_next
-from fawnspool.days.traffic import Op
+from fawnspool.days.retries import EndedAttempt, pause_before_retry
+from fawnspool.days.traffic import Operation
 from fawnspool.net.client_connection import ClientConnection
 from fawnspool.net.exceptions import ConnectionLostError, HttpError
 from fawnspool.net.http import format_request_head
@@ -40,9 +40,9 @@
 
 @dataclass
 class Ended:
-    """How an operation ended, over all its tries. how as in fawnspool.days.worth."""
+    """How an operation ended, over all its tries. how as in fawnspool.days.service_value."""
 
-    op: Op
+    op: Operation
     how: str
     took: float
     tries: int
@@ -54,7 +54,7 @@
     def __init__(
         self,
         day: Day,
-        ops: list[Op],
+        ops: list[Operation],
         heads: dict[int, tuple[str, int]],
         note: Callable[..., None],
         seed: int,
@@ -77,7 +77,7 @@
         group.join()
         return self.ended
 
-    def _operate(self, op: Op) -> None:
+    def _operate(self, op: Operation) -> None:
         cls, began = self.day.class_[op.cls], time.monotonic()
         size, key = op.size, op.key
         if not op.writes:
@@ -88,7 +88,8 @@
             patience = min(op.patience, left)
             how, advice = self._try(op, key, size, n, heads[0], patience)
             n += 1
-            pause = pause_before_next(self.day.load, cls, how, n, time.monotonic() - began, advice, self.random)
+            attempt = EndedAttempt(how, n, time.monotonic() - began, advice)
+            pause = pause_before_retry(self.day.load, cls, attempt, self.random)
             if pause is None:
                 break
             if how == "unreached" and len(heads) > 1:
@@ -103,7 +104,7 @@
             how = "refused" if how in ("refused", "unreached") else "failed"
         self.ended.append(Ended(op, how, took, n))
 
-    def _object(self, op: Op) -> tuple[str, int]:
+    def _object(self, op: Operation) -> tuple[str, int]:
         """The object that a read is for: one held from the start, or one written in the seconds before."""
         if op.key:
             return op.key, self.held[op.volume, op.key]
@@ -113,7 +114,7 @@
         key = f"held/{int(op.pick * self.day.load.objects)}"
         return key, self.held[op.volume, key]
 
-    def _try(self, op: Op, key: str, size: int, n: int, head: int, patience: float) -> tuple[str, float]:
+    def _try(self, op: Operation, key: str, size: int, n: int, head: int, patience: float) -> tuple[str, float]:
         """One try: how it ended, and the seconds that the head advised to wait."""
         cls = self.day.class_[op.cls]
         body = content(op.volume, key, size) if op.writes else b""
@@ -215,7 +216,7 @@
             link.close()
         return ClientConnection(connect(self.heads[head], min(deadline, time.monotonic() + 0.5)))
 
-    def _keep(self, op: Op, n: int, head: int, link: ClientConnection, keep: bool) -> None:
+    def _keep(self, op: Operation, n: int, head: int, link: ClientConnection, keep: bool) -> None:
         if link.is_stale() and not link.stream.peer_left():
             self.note("extra", op=op.name, n=n, head=head)  # bytes behind the final answer
             link.close()
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -18,7 +18,7 @@
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.schema import parse
 from fawnspool.days.day import Day
-from fawnspool.days.traffic import Op
+from fawnspool.days.traffic import Operation
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.exchange import Exchange
 from fawnspool.records.frames import FrameReader, FrameWriter
@@ -121,7 +121,7 @@
         self.rig, self.record = rig, FrameWriter(rig.tmp / "run.rec")
         self.note("head", head=0, what="up")
         self.count = 0
-        self.ops: list[Op] = []
+        self.ops: list[Operation] = []
         self.held: dict[tuple[str, str], int] = {}
         for volume in ("v", "w"):
             for key in ("a", "b"):
@@ -141,7 +141,7 @@
         writes = cls in (KEYED, UNSAFE)
         name = f"o{self.count}"
         self.ops.append(
-            Op(
+            Operation(
                 name,
                 at,
                 volume,
--- a/tests/e2e/test_gossip.py
+++ b/tests/e2e/test_gossip.py
@@ -14,7 +14,8 @@
 import pytest
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
 from fawnspool.drill.play import Play, Result
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.records.frames import rows_of
@@ -25,7 +26,7 @@
 
 
 def play(tmp: Path, *troubles: TroubleBlock, **more: Any) -> Result:
-    day = load(FILE, Day, check)
+    day = load(FILE, Day, check_day)
     return Play(replace(day, trouble=(*day.trouble, *troubles)), FILE, tmp, 1, **more).run()
 
 
@@ -80,7 +81,7 @@
 
 
 def test_what_a_person_is_shown(tmp_path: Path) -> None:
-    day = load(FILE, Day, check)
+    day = load(FILE, Day, check_day)
     played = _Asked(
         replace(day, trouble=(*day.trouble, trouble("head_lies", at=1.0, part=0.17, size=0.0))), FILE, tmp_path, 1
     )
--- a/tests/e2e/test_leases.py
+++ b/tests/e2e/test_leases.py
@@ -13,7 +13,8 @@
 import pytest
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
 from fawnspool.drill.links import STEPS
 from fawnspool.drill.play import Play, Result
 from fawnspool.records.frames import rows_of
@@ -25,7 +26,7 @@
 
 
 def play(tmp: Path, *troubles: TroubleBlock, kind: type[Play] = Play, **more: Any) -> Result:
-    day = load(FILE, Day, check)
+    day = load(FILE, Day, check_day)
     return kind(replace(day, trouble=(*day.trouble, *troubles)), FILE, tmp, 1, **more).run()
 
 
@@ -175,7 +176,7 @@
     nothing to forget."""
 
     def _do_duty_voters(self, x: TroubleBlock, cells: Any, heads: Any, lost: bool = False) -> None:
-        duties = load(FILE, Day, check).duties
+        duties = load(FILE, Day, check_day).duties
         assert duties is not None
         shards = sum(d.shards for d in duties.duty if d.name == "drain")
         wait_for(lambda: sum(r.duty.startswith("drain") for r in self.catalogue.catalogue.holders()) >= shards, 20.0)
--- a/tests/e2e/test_processes.py
+++ b/tests/e2e/test_processes.py
@@ -19,7 +19,8 @@
 
 from fawnspool.config.render import render
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 
 ROOT = Path(__file__).parent.parent.parent
 CLI = [sys.executable, "-m", "fawnspool.cli"]
@@ -88,7 +89,7 @@
 
 def drill(tmp_path: Path, day: str, troubles: str, length: int = 5) -> dict[str, Any]:
     """Play a short day made from a kept one; its result."""
-    kept = load(ROOT / f"days/{day}.hcl", Day, check)
+    kept = load(ROOT / f"days/{day}.hcl", Day, check_day)
     text = render(replace(kept, day=replace(kept.day, length=float(length)), trouble=()))
     (tmp_path / "short.hcl").write_text(text + troubles)
     got = subprocess.run(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,8 +13,8 @@
 from fawnspool.config.render import render
 from fawnspool.config.scheduler_settings import scheduler_settings
 from fawnspool.config.schema import ConfigError, load, parse, spec
+from fawnspool.days.checks import check_day
 from fawnspool.days.day import Day
-from fawnspool.days.day import check as check_day
 from fawnspool.scheduling.interface import Idempotence
 
 EMBEDDED = Path(__file__).parent.parent / "fawnspool/cli/embedded.hcl"
--- a/tests/test_model_compare.py
+++ b/tests/test_model_compare.py
@@ -14,7 +14,8 @@
 
 from fawnspool.cli.main import main
 from fawnspool.config.schema import load as load_day
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model.compare import MAIN, Arm, ChangeError, RunFigures, change, compare, play, runner, words
 from fawnspool.model.params import Params
 from fawnspool.model.stats import holm, looks, paired
@@ -27,7 +28,7 @@
 
 
 def short(name: str = "burst", length: float = 3.0) -> Day:
-    day = load_day(ROOT / f"days/{name}.hcl", Day, check)
+    day = load_day(ROOT / f"days/{name}.hcl", Day, check_day)
     return replace(
         day,
         day=replace(day.day, length=length),
--- a/tests/test_model_fit.py
+++ b/tests/test_model_fit.py
@@ -11,7 +11,8 @@
 import pytest
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model.fit import Fit, fit
 from fawnspool.model.params import Params
 from fawnspool.model.service import Sample, cold_scale, fast_nodes, kinds, pause_scale, slow_times
@@ -25,7 +26,7 @@
 
 
 def quiet(length: float = 8.0) -> Day:
-    day = load(DAYS / "lead-moves.hcl", Day, check)
+    day = load(DAYS / "lead-moves.hcl", Day, check_day)
     return replace(day, day=replace(day.day, length=length), load=replace(day.load, rate=40.0))
 
 
@@ -63,7 +64,7 @@
     assert fit([]).poor == ["work of nodes", "network and head"]
     day = quiet()
     assert [t for t in got.refuses(day) if "fit of" not in t] == []
-    other = load(DAYS / "crash.hcl", Day, check)
+    other = load(DAYS / "crash.hcl", Day, check_day)
     assert any("no trouble of kind crash" in t for t in got.refuses(other))
     assert any("requests a second and node" in t for t in got.refuses(replace(day, load=replace(day.load, rate=400.0))))
     renamed = replace(day, class_=(replace(day.class_[0], name="unheard"), *day.class_[1:]))
@@ -74,7 +75,7 @@
     rows = [r for r in runs(range(1, 4))[0][1] if r.get("vol", "basic-0") == "basic-0"]
     one = fit([(quiet(), rows)])
     assert one.parts["unit_scale"].value > 0.5 and isinstance(one, Fit)
-    day = load(DAYS / "head-kill.hcl", Day, check)
+    day = load(DAYS / "head-kill.hcl", Day, check_day)
     world = World(day, 1, Scheduler, TRUTH)
     world.run()
     assert fit([(day, world.rows)]).parts["unit_scale"].value == pytest.approx(TRUTH.unit_scale, rel=0.25)
@@ -83,7 +84,7 @@
 @pytest.mark.parametrize(("name", "part", "truth"), [("crash", "node_start", 0.9), ("head-kill", "head_start", 0.8)])
 def test_how_long_processes_take_to_start_is_found_again(name: str, part: str, truth: float) -> None:
     """Days that kill, played with starts that take long; the fit is told only when who was up."""
-    day = load(DAYS / f"{name}.hcl", Day, check)
+    day = load(DAYS / f"{name}.hcl", Day, check_day)
     played: list[tuple[Day, list[Mapping[str, Any]]]] = []
     for seed in (1, 2):
         world = World(day, seed, Scheduler, replace(TRUTH, **{part: truth}))
@@ -100,7 +101,7 @@
     played: list[tuple[Day, list[Mapping[str, Any]]]] = []
     for name, seeds in (("lead-moves", range(1, 5)), ("crash", range(1, 5)), ("pauses", range(1, 7))):
         for seed in seeds:
-            day = load(DAYS / f"{name}.hcl", Day, check)
+            day = load(DAYS / f"{name}.hcl", Day, check_day)
             day = replace(
                 day,
                 day=replace(day.day, length=14.0),
--- a/tests/test_model_kept.py
+++ b/tests/test_model_kept.py
@@ -14,7 +14,8 @@
 from fawnspool.cli.main import main
 from fawnspool.config.render import render
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
 from fawnspool.model.compare import Arm, RunFigures, compare
 from fawnspool.model.fit import Fit, Part
 from fawnspool.model.predict import Predicted, Prediction, hold, misfit, predict
@@ -30,7 +31,7 @@
 
 def small(tmp_path: Path, name: str = "small", **day: object) -> Path:
     """A day of two seconds as a file."""
-    one = load(ROOT / "days/burst.hcl", Day, check)
+    one = load(ROOT / "days/burst.hcl", Day, check_day)
     one = replace(
         one,
         day=replace(one.day, length=2.0, **day),  # type: ignore[arg-type]
@@ -61,7 +62,7 @@
             for _, arm, seed, *_ in jobs
         ]  # type: ignore[attr-defined]
 
-    day = load(ROOT / "days/burst.hcl", Day, check)
+    day = load(ROOT / "days/burst.hcl", Day, check_day)
     return Kept(q, [compare("calm", day, q.a, q.b, 4, fake)])  # type: ignore[arg-type]
 
 
@@ -143,7 +144,7 @@
 
 
 def test_an_interval_holds_luck_and_what_the_model_misses() -> None:
-    day = load(ROOT / "days/burst.hcl", Day, check)
+    day = load(ROOT / "days/burst.hcl", Day, check_day)
     sure = predict("d", day, "h", 1, None, 12, shares([0.8]))  # type: ignore[arg-type]
     assert sure.low == pytest.approx(0.8) and sure.high == pytest.approx(0.8)
     luck = predict("d", day, "h", 1, None, 12, shares([0.79, 0.81]))  # type: ignore[arg-type]
@@ -157,7 +158,7 @@
     from fawnspool.model.world import World
     from fawnspool.scheduling.scheduler import Scheduler
 
-    day = load(small(tmp_path), Day, check)
+    day = load(small(tmp_path), Day, check_day)
     worlds = [World(day, 1, Scheduler, luck=k) for k in (0, 1, 2)]
     assert worlds[0].ops == worlds[1].ops and worlds[0].slow == worlds[1].slow and worlds[0].held == worlds[1].held
     assert len({str(w.run()) for w in worlds}) == 3
@@ -241,7 +242,7 @@
     from fawnspool.records.frames import FrameWriter
     from fawnspool.scheduling.scheduler import Scheduler
 
-    day = load(small(tmp_path), Day, check)
+    day = load(small(tmp_path), Day, check_day)
     day = replace(day, day=replace(day.day, length=12.0))
     world = World(day, 1, Scheduler)
     world.run()
--- a/tests/test_model_staged.py
+++ b/tests/test_model_staged.py
@@ -10,7 +10,8 @@
 
 from benchmarks.staged import Raises, Refuses, Twice
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
 from fawnspool.model.staged import Staged, Trial, facts, show, spread_of
 from fawnspool.model.world import World
 from fawnspool.rollout.controller import RolloutVerdict
@@ -31,7 +32,7 @@
 
 
 def day(length: float = 40.0, *troubles: TroubleBlock) -> Day:
-    one = load(ROOT / "days/lead-moves.hcl", Day, check)
+    one = load(ROOT / "days/lead-moves.hcl", Day, check_day)
     return replace(
         one, trouble=troubles, day=replace(one.day, heads=6, nodes=6, length=length), load=replace(one.load, rate=80)
     )
--- a/tests/test_model_traffic.py
+++ b/tests/test_model_traffic.py
@@ -12,8 +12,9 @@
 import pytest
 
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, TroubleBlock, check
-from fawnspool.days.traffic import Op
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day, TroubleBlock
+from fawnspool.days.traffic import Operation
 from fawnspool.model.seen import Asked, Recorded, TrafficError, from_clients, from_modules
 from fawnspool.model.traffic import Described, PlanShape, describe, draw, replayed, scaled, stream
 from fawnspool.model.world import World
@@ -26,13 +27,13 @@
 
 
 def day(length: float = 20.0, rate: float = 120.0, *troubles: TroubleBlock) -> Day:
-    one = load(ROOT / "days/lead-moves.hcl", Day, check)
+    one = load(ROOT / "days/lead-moves.hcl", Day, check_day)
     return replace(
         one, trouble=troubles, day=replace(one.day, heads=4, nodes=6, length=length), load=replace(one.load, rate=rate)
     )
 
 
-def seen_of(ops: list[Op], one: Day) -> Recorded:
+def seen_of(ops: list[Operation], one: Day) -> Recorded:
     """Operations as if each had been recorded by its client, which never needed a second try."""
     rows: list[dict[str, Any]] = []
     for op in ops:
@@ -56,7 +57,7 @@
     return from_clients(one, rows)
 
 
-def drawn(d: Described, one: Day, seed: int = 1, **size: Any) -> tuple[Day, list[Op]]:
+def drawn(d: Described, one: Day, seed: int = 1, **size: Any) -> tuple[Day, list[Operation]]:
     wants = {"heads": one.day.heads, "nodes": one.day.nodes, "rate": d.rate, "length": one.day.length} | size
     two = scaled(d, one, **wants)
     return two, draw(d, two, seed)
@@ -151,7 +152,7 @@
 
 
 def test_drawn_traffic_plays_on_the_model_and_keeps_the_rules(described: Described) -> None:
-    from fawnspool.days.terms import rule_terms
+    from fawnspool.days.rule_terms import rule_terms
     from fawnspool.rules.history import read_history
     from fawnspool.rules.judge import judge_run
 
@@ -316,7 +317,7 @@
 
 def test_a_replayed_surge_of_impatient_clients_is_answered_by_the_rules() -> None:
     """All clients have little time left: each still gets its one answer."""
-    from fawnspool.days.terms import rule_terms
+    from fawnspool.days.rule_terms import rule_terms
     from fawnspool.rules.history import read_history
     from fawnspool.rules.judge import judge_run
 
--- a/tests/test_model_world.py
+++ b/tests/test_model_world.py
@@ -10,9 +10,10 @@
 
 from fawnspool.baselines.passthrough import PassThrough
 from fawnspool.config.schema import load
-from fawnspool.days.day import Day, check
-from fawnspool.days.terms import rule_terms
-from fawnspool.days.worth import count
+from fawnspool.days.checks import check_day
+from fawnspool.days.day import Day
+from fawnspool.days.rule_terms import rule_terms
+from fawnspool.days.service_value import value_service
 from fawnspool.model.engine import Engine
 from fawnspool.model.params import Params
 from fawnspool.model.world import World
@@ -26,7 +27,7 @@
 
 
 def day(name: str) -> Day:
-    return load(DAYS / f"{name}.hcl", Day, check)
+    return load(DAYS / f"{name}.hcl", Day, check_day)
 
 
 def play(
@@ -34,7 +35,7 @@
 ) -> tuple[World, RunVerdict, float]:
     world = World(d, seed, policy, params)
     ended = world.run()
-    return world, judge_run(read_history(world.rows), rule_terms(d)), count(d, ended).whole.share
+    return world, judge_run(read_history(world.rows), rule_terms(d)), value_service(d, ended).whole.share
 
 
 def test_calls_run_in_order_of_time_then_of_their_setting() -> None:
