--- a/fawnspool/cli/common.py
+++ b/fawnspool/cli/common.py
@@ -16,36 +16,41 @@
 from fawnspool.config.head import HeadConfig
 from fawnspool.config.schema import ConfigError, load
 
-OK, BROKEN, USAGE, UNREACHED = 0, 1, 2, 3
+OK = 0
+BROKEN = 1
+USAGE = 2
+UNREACHED = 3
+PIPE_WIDTH = 160  # columns of a table that goes to a file or a pipe
 EXIT_CODES = "Exit codes: 0 all well; 1 a rule or a check is broken; 2 bad input; 3 something can't be reached."
 
 
 def fail(text: str, code: int = USAGE) -> NoReturn:
+    """End the command with a message on standard error."""
     click.echo(text, err=True)
     sys.exit(code)
 
 
-def config_error(bad: ConfigError, as_json: bool) -> NoReturn:
-    """Every problem, a line each."""
+def config_error(error: ConfigError, as_json: bool) -> NoReturn:
+    """End the command with every problem of a configuration, a line each."""
     if as_json:
-        click.echo(json.dumps({"ok": False, "problems": [vars(p) for p in bad.problems]}))
+        click.echo(json.dumps({"ok": False, "problems": [vars(problem) for problem in error.problems]}))
     else:
-        for problem in bad.problems:
+        for problem in error.problems:
             click.echo(str(problem), err=True)
-        click.echo(f"{len(bad.problems)} problem(s)", err=True)
+        click.echo(f"{len(error.problems)} problem(s)", err=True)
     sys.exit(USAGE)
 
 
 def load_gateway_config(config_file: str | Path) -> HeadConfig:
-    """The settings of a gateway; ends the command with every problem where they do not read."""
+    """Return the settings of a gateway; end the command with every problem where they can't be read."""
     try:
         return load(config_file, HeadConfig, check_gateway)
     except ConfigError as error:
         config_error(error, False)
 
 
-def seeds_of(text: str) -> list[int]:
-    """Numbers with commas between."""
+def parse_seeds(text: str) -> list[int]:
+    """Return the numbers of a list with commas between."""
     try:
         return [int(part) for part in text.split(",")]
     except ValueError:
@@ -53,15 +58,26 @@
 
 
 def table(title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]) -> None:
-    """A table on standard output; numbers to the right."""
-    out, data = Table(title=title or None, title_justify="left"), [list(r) for r in rows]
-    for k, name in enumerate(columns):
-        numeric = bool(data) and all(isinstance(r[k], int | float) or r[k] in ("", "-") for r in data)
-        out.add_column(name, justify="right" if numeric else "left", overflow="fold")
-    for row in data:
-        out.add_row(*(f"{x:.3f}" if isinstance(x, float) else str(x) for x in row))
-    Console(width=None if sys.stdout.isatty() else 160).print(out)
+    """Print a table on standard output, with numbers to the right."""
+    output = Table(title=title or None, title_justify="left")
+    cells = [list(row) for row in rows]
+    for index, name in enumerate(columns):
+        is_numeric = bool(cells) and all(_is_number_or_empty(row[index]) for row in cells)
+        output.add_column(name, justify="right" if is_numeric else "left", overflow="fold")
+    for row in cells:
+        output.add_row(*(f"{value:.3f}" if isinstance(value, float) else str(value) for value in row))
+    Console(width=None if sys.stdout.isatty() else PIPE_WIDTH).print(output)
+
+
+def or_dash(value: Any) -> Any:
+    """Return what a table shows of a value: a dash for None."""
+    return "-" if value is None else value
+
+
+def _is_number_or_empty(value: Any) -> bool:
+    return isinstance(value, int | float) or value in ("", "-")
 
 
 def print_json(value: Any) -> None:
+    """Print a value as JSON on standard output."""
     click.echo(json.dumps(value, indent=2, default=str))
--- a/fawnspool/cli/drill.py
+++ b/fawnspool/cli/drill.py
@@ -12,7 +12,7 @@
 
 import click
 
-from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, print_json, seeds_of, table
+from fawnspool.cli.common import BROKEN, EXIT_CODES, UNREACHED, config_error, fail, parse_seeds, print_json, table
 from fawnspool.config.render import render
 from fawnspool.config.schema import ConfigError, load
 from fawnspool.days.checks import check_day
@@ -191,7 +191,7 @@
     except ConfigError as bad:
         config_error(bad, False)
     rows, kept = [], True
-    for number in seeds_of(seeds):
+    for number in parse_seeds(seeds):
         began = time.monotonic()
         with tempfile.TemporaryDirectory(prefix="fawnspool-drill-", dir=_memory()) as temporary:
             try:
--- a/fawnspool/cli/main.py
+++ b/fawnspool/cli/main.py
@@ -23,23 +23,28 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
+    """A group that imports the module of a command when it is called; the module has its name."""
+
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of the commands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Return a command, or None where the name is not known."""
         if name not in COMMANDS:
             return None
-        found = importlib.import_module(f"fawnspool.cli.{name}").command
-        assert isinstance(found, click.Command)
-        return found
+        command = importlib.import_module(f"fawnspool.cli.{name}").command
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the commands and what they do, without importing them."""
         with formatter.section("Commands"):
             formatter.write_dl(list(COMMANDS.items()))
 
 
-@click.group(cls=Lazy, epilog=EXIT_CODES, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, epilog=EXIT_CODES, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="fawnspool")
 def main() -> None:
     """fawnspool: a storage gateway that schedules a host's reads and writes over shared storage nodes."""
--- a/fawnspool/cli/model_predict.py
+++ b/fawnspool/cli/model_predict.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from fawnspool.cli.common import BROKEN, fail, print_json, seeds_of, table
+from fawnspool.cli.common import BROKEN, fail, parse_seeds, print_json, table
 from fawnspool.cli.model_run import _constant, _days, _read_fit, command, measured, played
 from fawnspool.config.render import render
 from fawnspool.model import predict as predicting
@@ -46,7 +46,7 @@
     outside = [f"{n}: {text}" for n, day in days for text in got.refuses(day)] if got is not None else []
     if outside and not beyond:
         fail("outside what was seen (use --beyond to predict all the same):\n" + "\n".join(outside))
-    numbers, run, rows = seeds_of(seeds), runner(workers), []
+    numbers, run, rows = parse_seeds(seeds), runner(workers), []
     for name, day in days:
         digest = predicting.text_hash(render(day).encode())
         rows += [predicting.predict(name, day, digest, seed, got, runs, run) for seed in numbers]
--- a/fawnspool/cli/replay.py
+++ b/fawnspool/cli/replay.py
@@ -19,25 +19,26 @@
 def command(recording: str, as_json: bool) -> None:
     """Feed RECORDING (head.record) to a fresh module and compare its actions, one by one."""
     try:
-        first = open_recording(recording)
-        came = replay(recording, make_policy)
-    except (RecordingError, KeyError) as bad:
-        fail(f"{recording}: {bad}")
+        opened = open_recording(recording)
+        result = replay(recording, make_policy)
+    except (RecordingError, KeyError) as error:
+        fail(f"{recording}: {error}")
     if as_json:
         print_json(
             {
-                "equal": came.difference is None,
-                "events": came.events,
-                "actions": came.actions,
-                "differs": came.difference or "",
-                "torn": came.torn,
-                "module": first.header.module,
+                "equal": result.difference is None,
+                "events": result.events,
+                "actions": result.actions,
+                "differs": result.difference or "",
+                "torn": result.torn,
+                "module": opened.header.module,
             }
         )
     else:
-        click.echo(f"{came.events} events, {came.actions} actions: {'DIFFERENT' if came.difference else 'equal'}")
-        if came.difference:
-            click.echo(came.difference)
-        if came.torn:
-            click.echo(f"read up to the tear: {came.torn}")
-    sys.exit(BROKEN if came.difference else 0)
+        equality = "DIFFERENT" if result.difference else "equal"
+        click.echo(f"{result.events} events, {result.actions} actions: {equality}")
+        if result.difference:
+            click.echo(result.difference)
+        if result.torn:
+            click.echo(f"read up to the tear: {result.torn}")
+    sys.exit(BROKEN if result.difference else 0)
