--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -4,13 +4,13 @@
 
 import signal
 from pathlib import Path
-from typing import Any
+from typing import Protocol
 
 import click
 import gevent
 from gevent.event import Event
 
-from fawnspool.cli.common import EXIT_CODES, fail
+from fawnspool.cli.common import EXIT_CODES, UNREACHED, fail
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.listener import parse_address
 from fawnspool.records.frames import FrameWriter
@@ -20,16 +20,22 @@
 from fawnspool.standins.nodelist import Entry, NodeListServer
 
 
-def _until_told(*things: Any) -> None:
+class _Stoppable(Protocol):
+    def stop(self) -> None: ...
+
+
+def _serve_until_signal(*servers: _Stoppable) -> None:
+    """Wait for SIGTERM or SIGINT, then stop the servers."""
     end = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, end.set)
     end.wait()
-    for thing in things:
-        thing.stop()
+    for server in servers:
+        server.stop()
 
 
-def _where(text: str) -> tuple[str, int]:
+def _parse_where(text: str) -> tuple[str, int]:
+    """Return host and port; end the command where they can't be read."""
     try:
         return parse_address(text)
     except ValueError:
@@ -62,7 +68,7 @@
 @click.option("--record", type=click.Path(dir_okay=False), help="Record what passes its sockets.")
 @click.option("--groups", type=click.Path(file_okay=False), help="Folder that nodes of a group share.")
 @click.option("--seed", type=int, default=1)
-def node(
+def node(  # noqa: PLR0913, PLR0917 - one argument an option
     ident: int,
     listen: str,
     data: str,
@@ -96,11 +102,11 @@
         seek_saved=seek_saved,
         deferred=deferred,
     )
-    client = MeterClient(_where(meter), meter_every) if meter else None
+    client = MeterClient(_parse_where(meter), meter_every) if meter else None
     try:
-        made = NodeServer(
+        server = NodeServer(
             ident,
-            _where(listen),
+            _parse_where(listen),
             data,
             traits,
             cold=cold,
@@ -112,12 +118,12 @@
             meter=client.use if client else None,
             served=client.served if client else None,
         )
-    except OSError as bad:
-        fail(str(bad.strerror or bad), 3)
-    made.start()
-    gevent.signal_handler(signal.SIGUSR1, made.set_faults, {"refuse": False})
-    click.echo(f"node {ident} on 127.0.0.1:{made.address[1]}")
-    _until_told(made, *([client] if client else []))
+    except OSError as error:
+        fail(str(error.strerror or error), UNREACHED)
+    server.start()
+    gevent.signal_handler(signal.SIGUSR1, server.set_faults, {"refuse": False})
+    click.echo(f"node {ident} on 127.0.0.1:{server.address[1]}")
+    _serve_until_signal(server, *([client] if client else []))
 
 
 @command.command("list")
@@ -126,15 +132,15 @@
 def node_list(listen: str, nodes: tuple[str, ...]) -> None:
     """The node list; each node holds the cell of its place."""
     entries = []
-    for k, text in enumerate(nodes):
+    for shard, text in enumerate(nodes):
         number, _, where = text.partition("=")
         if not number.isdigit():
             fail(f"expected NUMBER=HOST:PORT, found {text!r}")
-        _where(where)
-        entries.append(Entry(int(number), where, "zone-a", k))
-    made = NodeListServer(_where(listen), entries)
-    click.echo(f"list on 127.0.0.1:{made.where[1]}")
-    _until_told(made)
+        _parse_where(where)
+        entries.append(Entry(int(number), where, "zone-a", shard))
+    server = NodeListServer(_parse_where(listen), entries)
+    click.echo(f"list on 127.0.0.1:{server.where[1]}")
+    _serve_until_signal(server)
 
 
 @command.command("meter")
@@ -142,9 +148,9 @@
 @click.option("--period", type=click.FloatRange(0.01), default=1.0, help="Seconds.")
 def meter(listen: str, period: float) -> None:
     """The volume meter."""
-    made = MeterServer(_where(listen), period)
-    click.echo(f"meter on 127.0.0.1:{made.address[1]}")
-    _until_told(made)
+    server = MeterServer(_parse_where(listen), period)
+    click.echo(f"meter on 127.0.0.1:{server.address[1]}")
+    _serve_until_signal(server)
 
 
 @command.command("catalogue")
@@ -152,6 +158,6 @@
 @click.option("--data", type=click.Path(dir_okay=False), help="File that keeps the places over a restart.")
 def catalogue(listen: str, data: str | None) -> None:
     """The shared catalogue of places."""
-    made = CatalogueServer(_where(listen), Catalogue(data))
-    click.echo(f"catalogue on 127.0.0.1:{made.address[1]}")
-    _until_told(made)
+    server = CatalogueServer(_parse_where(listen), Catalogue(data))
+    click.echo(f"catalogue on 127.0.0.1:{server.address[1]}")
+    _serve_until_signal(server)
