--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -64,7 +64,7 @@
         entries = msgspec.json.decode(data, type=EndpointMessage).entries
     except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as error:
         fail(f"the node list at {where} can't be read: {error or type(error).__name__}", UNREACHED)
-    return {entry.cell: parse_address(entry.address) for entry in entries if entry.phase != "gone"}
+    return {entry.shard: parse_address(entry.address) for entry in entries if entry.phase != "gone"}
 
 
 @click.group("extents", epilog=EXIT_CODES)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -44,12 +44,13 @@
 from fawnspool.rules.judge import RunVerdict, judge_run
 from fawnspool.rules.leases import LeaseFinding, judge_leases
 from fawnspool.rules.misdirected import MisdirectedSends, count_misdirected
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
 from fawnspool.standins.clients import content, lag_meter
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterServer
-from fawnspool.standins.moving import Sides
-from fawnspool.standins.nodelist import Entry, NodeListServer
-from fawnspool.standins.store import Store
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
+from fawnspool.standins.object_replicas import ObjectReplicas
+from fawnspool.standins.object_store import ObjectStore
 
 HEADS_MOST, NODES_MOST = 16, 32
 BEHIND_LINKS = ("duty_nodes",)  # troubles that cut heads off from nodes and services
@@ -163,7 +164,7 @@
         ports = free_ports(d.day.nodes + 2 * d.day.heads + 1)
         node_ports, head_ports = ports[: d.day.nodes], ports[d.day.nodes : d.day.nodes + d.day.heads]
         peer_ports = ports[d.day.nodes + d.day.heads : -1]
-        self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue(), self.note)
+        self.catalogue = MapServer(("127.0.0.1", 0), MapDatabase(), self.note)
         self.meter = MeterServer(("127.0.0.1", 0), d.service.meter) if d.service.meter else None
         self._hold_objects()
         zones = [f"zone-{chr(97 + k)}" for k in range(d.fleet.zones)]
@@ -201,12 +202,12 @@
 
     def _hold_objects(self) -> None:
         """What volumes hold from the start lies on the nodes' disks and in the catalogue."""
-        stores = [Store(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
+        stores = [ObjectStore(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
         for volume, key, size, cell in held_objects(self.day, self.seed):
             draft = stores[cell].draft()
             draft.add(content(volume, key, size))
             stores[cell].commit(draft, volume, key)
-            self.catalogue.catalogue.put(volume, key, cell, size)
+            self.catalogue.database.put(volume, key, cell, size)
 
     def _head_config(self, k: int, ports: list[int], peer_ports: list[int], zones: list[str]) -> HeadConfig:
         d = self.day
@@ -235,7 +236,7 @@
             plan=d.plan,
             volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()),
             peer=peers,
-            list=ListBlock(address=f"127.0.0.1:{self.list.where[1]}", mode=d.day.list_mode, call_timeout=1.0),
+            list=ListBlock(address=f"127.0.0.1:{self.list.address[1]}", mode=d.day.list_mode, call_timeout=1.0),
             catalogue=CatalogueBlock(address=service, watch=d.day.map_watch),
             duties=duties,
             shared=d.shared,
@@ -308,20 +309,20 @@
             ]
         return Process(f"node-{number}", arguments, port, self.folder / f"node-{number}.log", self.node_module)
 
-    def _entry(self, cell: _Cell, phase: str, started: float) -> Entry:
-        return Entry(
+    def _entry(self, cell: _Cell, phase: str, started: float) -> NodeListEntry:
+        return NodeListEntry(
             cell.node,
             f"127.0.0.1:{cell.process.port}",
             cell.zone,
             cell.cell,
             phase,
             size=float(self.day.fleet.cores),
-            started=started,
+            started_at=started,
         )
 
     def _told(self, head: int, phase: str, node: int, began: float) -> None:
         entry = self.list.entries.get(node)
-        age = -1.0 if entry is None or entry.started < 0 else time.monotonic() - entry.started
+        age = -1.0 if entry is None or entry.started_at < 0 else time.monotonic() - entry.started_at
         self.note("told", head=head, node=node, phase=phase, age=age, began=began)
 
     def _start_clients(self) -> None:
@@ -497,17 +498,17 @@
             self.list.change(self._entry(cell, "ready", time.monotonic()))
 
     def _do_list_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.gone()
+        self.list.stop()
         gevent.sleep(x.length)
         self.list.start()
 
     def _do_list_late(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.late = x.size
+        self.list.delay_s = x.size
         gevent.sleep(x.length)
-        self.list.late = 0.0
+        self.list.delay_s = 0.0
 
     def _do_map_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.catalogue.gone()
+        self.catalogue.stop()
         gevent.sleep(x.length)
         self.catalogue.start()
         self._hear_flips()
@@ -519,7 +520,7 @@
                     self.generations[f.volume, f.extent] = f.stamp.generation
                     self.note("flip", vol=f.volume, key=f.extent, gen=f.stamp.generation)
 
-        self.catalogue.catalogue.watchers[self] = heard
+        self.catalogue.database.watchers[self] = heard
 
     def _do_moves(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """Every `every` seconds `size` objects, each to another of the nodes, by movers of their own; one that is not
@@ -542,7 +543,7 @@
         while time.monotonic() < end:
             for _ in range(max(1, round(x.size))):
                 volume = random.choice(names)
-                keys, _ = self.catalogue.catalogue.list_keys(volume, "", "", 1000)
+                keys, _ = self.catalogue.database.list_keys(volume, "", "", 1000)
                 if keys:
                     done.append(gevent.spawn(one, volume, random.choice(keys)[0], random.choice(cells).cell))
             gevent.sleep(x.every)
@@ -589,8 +590,8 @@
     def _holders(self) -> dict[int, list[str]]:
         """Heads and the duties that they showed a token for last, as the map service has it."""
         out: dict[int, list[str]] = {}
-        for row in self.catalogue.catalogue.holders():
-            out.setdefault(row.head, []).append(row.duty)
+        for row in self.catalogue.database.roles.holders():
+            out.setdefault(row.gateway_id, []).append(row.role)
         return out
 
     def _busiest(self, random: Random) -> int:
@@ -608,7 +609,7 @@
         for cell in cells:
             self.drained.add(cell.cell)
             self.to_leave |= {(f.volume, f.extent) for f in there if f.shard == cell.cell}
-            self.catalogue.catalogue.wish(f"drain/{cell.cell}", "")
+            self.catalogue.database.roles.set_operator_request(f"drain/{cell.cell}", "")
         self.event(f"cells {', '.join(str(c.cell) for c in cells)} are to be drained")
 
     def _each(self, x: TroubleBlock, hit: Callable[[int], None]) -> None:
@@ -763,30 +764,34 @@
 
     def _facts(self) -> list[ExtentRecord]:
         """All that the map holds."""
-        c = self.catalogue.catalogue
-        return [f for k in range(c.shards) for d in c.since(k, LOG_START) for f in d.records if f.shard >= 0]
+        c = self.catalogue.database
+        return [
+            f for k in range(c.partition_count) for d in c.deltas_since(k, LOG_START) for f in d.records if f.shard >= 0
+        ]
 
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
         moments is not counted as left."""
-        sides = {
-            c.cell: Sides(self.folder / f"cell-{c.cell}", Store(self.folder / f"cell-{c.cell}" / "objects"))
+        replicas = {
+            c.cell: ObjectReplicas(
+                self.folder / f"cell-{c.cell}", ObjectStore(self.folder / f"cell-{c.cell}" / "objects")
+            )
             for c in self.cells
         }
         left = missing = twice = 0
         named = ""
         for f in self._facts():
             left += f.shard in self.drained and (f.volume, f.extent) in self.to_leave
-            serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is ReplicaRole.OWNER]
-            under_way = sides[f.shard].side(f.volume, f.extent)  # the day's end came in the middle of its move
+            serve = [k for k, r in replicas.items() if r.get(f.volume, f.extent).role is ReplicaRole.OWNER]
+            under_way = replicas[f.shard].get(f.volume, f.extent)  # the day's end came in the middle of its move
             missing += not serve and not (
                 under_way.role is ReplicaRole.FENCED and under_way.has_data and f.shard in self.drained
             )
             twice += len(serve) > 1
             if len(serve) != 1 and not named:
                 named = f"{f.volume}/{f.extent} by the map in cell {f.shard}, served by {serve}"
-        for s in sides.values():
-            s.close()
+        for held in replicas.values():
+            held.close()
         return {"left": left, "missing": missing, "twice": twice, "named": named}
 
     # ------------------------------------------------------------ the end
--- a/tests/e2e/rig.py
+++ b/tests/e2e/rig.py
@@ -19,9 +19,10 @@
 from fawnspool.gateway.gateway import Gateway
 from fawnspool.model.node import NodeTraits
 from fawnspool.records.frames import FrameReader, FrameWriter
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
-from fawnspool.standins.node import NodeServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
+from fawnspool.standins.node import NodeOptions, NodeServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 
 CONFIG = """
 head {{ listen = "127.0.0.1:0"
@@ -133,10 +134,10 @@
             [self.entry(k) for k in range(nodes)],
             lambda h, phase, node, _: self.told.append((time.monotonic(), h, phase, node)),
         )
-        self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue())
+        self.catalogue = MapServer(("127.0.0.1", 0), MapDatabase())
         parts = {"head": "", "catalogue": "", "nodes": "", "clients": "", "attempts": ""} | blocks
         text = CONFIG.format(
-            data=tmp / "head", list=self.list.where[1], where=self.catalogue.address[1], cells=nodes, **parts
+            data=tmp / "head", list=self.list.address[1], where=self.catalogue.address[1], cells=nodes, **parts
         )
         config = parse(text, "rig.hcl", HeadConfig, check_gateway)
         self.config = replace(config, head=replace(config.head, policy=policy))
@@ -153,16 +154,14 @@
             ("127.0.0.1", port),
             self.tmp / f"n{k}",
             self.traits,
-            cold=cold,
-            record=self.records[k],
-            load_fields=("queue",),
+            NodeOptions(cold=cold, load_fields=("queue",), recording=self.records[k]),
         )
         node.start()
         return node
 
-    def entry(self, k: int, phase: str = "ready") -> Entry:
+    def entry(self, k: int, phase: str = "ready") -> NodeListEntry:
         node = self.nodes[k]
-        return Entry(node.ident, f"127.0.0.1:{node.address[1]}", "zone-a", k, phase)
+        return NodeListEntry(node.ident, f"127.0.0.1:{node.address[1]}", "zone-a", k, phase)
 
     @property
     def address(self) -> tuple[str, int]:
--- a/tests/e2e/test_doctored.py
+++ b/tests/e2e/test_doctored.py
@@ -128,7 +128,7 @@
                 draft = rig.nodes[0].store.draft()
                 draft.add(content(volume, key, 1000))
                 rig.nodes[0].store.commit(draft, volume, key)
-                rig.catalogue.catalogue.put(volume, key, 0, 1000)
+                rig.catalogue.database.put(volume, key, 0, 1000)
                 self.held[volume, key] = 1000
 
     def note(self, kind: str, t: float | None = None, **more: Any) -> None:
@@ -315,9 +315,9 @@
     run.rig.nodes[0] = run.rig.make_node(0, cold=True, port=port)
     run.ages = {1: 0.0}
     entry = run.rig.entry(0)
-    entry.started = time.monotonic()
+    entry.started_at = time.monotonic()
     run.rig.list.change(entry)
-    wait_for(lambda: any(t > entry.started for t, *_ in run.rig.told))
+    wait_for(lambda: any(t > entry.started_at for t, *_ in run.rig.told))
     for k in range(200):
         run.ask(0.05 + k * 0.001)
     assert "cold nodes spared" in broken(run.play())
