--- a/fawnspool/model/exchanges.py
+++ b/fawnspool/model/exchanges.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from fawnspool.days.traffic import Op
+from fawnspool.days.traffic import Operation
 from fawnspool.model.simulated_node import SimulatedNode
 from fawnspool.scheduling import interface
 
@@ -31,7 +31,7 @@
     `on_end` gets the result and the advised pause in seconds, and is called once, by `SimulatedClients.answer`.
     """
 
-    op: Op
+    op: Operation
     number: int
     gateway: int
     patience_s: float
--- a/fawnspool/model/faults.py
+++ b/fawnspool/model/faults.py
@@ -5,8 +5,16 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from fawnspool.days.day import LINK_FAULTS, TroubleBlock
-from fawnspool.days.troubles import CALM, NODE_SETTINGS, batches, stall_times, targets, waves
+from fawnspool.days.day import TroubleBlock
+from fawnspool.days.fault_kinds import LINK_FAULTS
+from fawnspool.days.faults import (
+    NO_FAULT_SETTINGS,
+    NODE_FAULT_SETTINGS,
+    preemption_waves,
+    restart_batches,
+    stall_times,
+    targets,
+)
 from fawnspool.model.environment import Environment
 from fawnspool.model.simulated_gateway import SimulatedGateway
 from fawnspool.model.simulated_node import SimulatedNode
@@ -71,17 +79,17 @@
             case "ageing":
                 self._inject_ageing(fault, nodes)
             case "preempt":
-                for index, wave in enumerate(waves(fault, cells)):
+                for index, wave in enumerate(preemption_waves(fault, cells)):
                     self._after(index * fault.every, self._failures.preempt, fault, wave)
-            case kind if kind in NODE_SETTINGS:
-                _set_faults(nodes, NODE_SETTINGS[kind](fault))
+            case kind if kind in NODE_FAULT_SETTINGS:
+                _set_faults(nodes, NODE_FAULT_SETTINGS[kind](fault))
                 self._after(fault.length, _reset_faults, nodes, fault)
 
     def _inject_neighbour(self, fault: TroubleBlock, nodes: list[SimulatedNode]) -> None:
         """Let another tenant take the nodes' power on and off, for equal times."""
         start_s = 0.0
         while start_s < fault.length:
-            self._after(start_s, _set_faults, nodes, NODE_SETTINGS[fault.kind](fault))
+            self._after(start_s, _set_faults, nodes, NODE_FAULT_SETTINGS[fault.kind](fault))
             self._after(min(start_s + fault.every, fault.length), _reset_faults, nodes, fault)
             start_s += 2 * fault.every
 
@@ -91,7 +99,7 @@
         for step in range(1, steps + 1):
             slowdown = 1 + (fault.size - 1) * step / steps
             self._after((step - 1) * fault.length / steps, _set_faults, nodes, {"slow": slowdown})
-        self._after(fault.length, _set_faults, nodes, {"slow": CALM["slow"]})
+        self._after(fault.length, _set_faults, nodes, {"slow": NO_FAULT_SETTINGS["slow"]})
         self._after(fault.length, self._failures.crash, fault, nodes)
 
     # The endpoint service.
@@ -111,7 +119,7 @@
             case "head_kill":
                 self._schedule_restarts(fault, [gateways])
             case "head_roll":
-                self._schedule_restarts(fault, batches(self._simulation.day, fault))
+                self._schedule_restarts(fault, restart_batches(self._simulation.day, fault))
             case "head_stall":
                 self._schedule_stalls(fault, gateways)
 
@@ -137,5 +145,5 @@
 
 
 def _reset_faults(nodes: list[SimulatedNode], fault: TroubleBlock) -> None:
-    names = NODE_SETTINGS[fault.kind](fault)
-    _set_faults(nodes, {name: CALM[name] for name in names if name in CALM})
+    names = NODE_FAULT_SETTINGS[fault.kind](fault)
+    _set_faults(nodes, {name: NO_FAULT_SETTINGS[name] for name in names if name in NO_FAULT_SETTINGS})
--- a/fawnspool/model/simulated_clients.py
+++ b/fawnspool/model/simulated_clients.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from fawnspool.days.retry import pause_before_next
-from fawnspool.days.traffic import Op
-from fawnspool.days.worth import Served
+from fawnspool.days.retries import EndedAttempt, pause_before_retry
+from fawnspool.days.service_value import EndedOperation
+from fawnspool.days.traffic import Operation
 from fawnspool.model.exchanges import ClientTry, TryResult
 from fawnspool.model.simulated_gateway import SimulatedGateway
 from fawnspool.model.simulation import Simulation
@@ -23,7 +23,7 @@
 class _Operation:
     """What a client wants, over all its tries, with its object known."""
 
-    op: Op
+    op: Operation
     key: str
     size: int
     began: float
@@ -47,18 +47,18 @@
         self._random = simulation.random("clients")
         self._plans = {name: block.name for name, block in simulation.day.volume_names()}
         self._fresh: dict[str, deque[tuple[str, int]]] = {}
-        self.ended: list[Served] = []
+        self.ended: list[EndedOperation] = []
 
-    def schedule(self, ops: Iterable[Op], begin: float) -> None:
+    def schedule(self, ops: Iterable[Operation], begin: float) -> None:
         """Schedule operations; their times count from `begin`."""
         for op in ops:
             self._simulation.engine.at(begin + op.at, self._begin, op)
 
-    def _begin(self, op: Op) -> None:
+    def _begin(self, op: Operation) -> None:
         key, size = (op.key, op.size) if op.writes else self._object_to_read(op)
         self._try(_Operation(op, key, size, self._simulation.engine.now), 0, list(op.heads))
 
-    def _object_to_read(self, op: Op) -> tuple[str, int]:
+    def _object_to_read(self, op: Operation) -> tuple[str, int]:
         fresh = self._fresh.get(op.volume)
         if not op.key and fresh:
             return fresh[int(op.pick * len(fresh))]
@@ -139,7 +139,8 @@
         class_ = day.class_[operation.op.cls]
         elapsed_s = self._simulation.engine.now - operation.began
         tries = client_try.number + 1
-        pause_s = pause_before_next(day.load, class_, result.value, tries, elapsed_s, retry_after_s, self._random)
+        attempt = EndedAttempt(result.value, tries, elapsed_s, retry_after_s)
+        pause_s = pause_before_retry(day.load, class_, attempt, self._random)
         if pause_s is None:
             self._end(operation, client_try.gateway, result, elapsed_s)
             return
@@ -154,10 +155,12 @@
             fresh.append((operation.key, operation.size))
         units = float(self._simulation.units_of(op.size))
         how = self._judgement(op, result, elapsed_s)
-        self.ended.append(Served(op.at, op.volume, self._plans[op.volume], op.cls, units, how, elapsed_s, gateway))
+        self.ended.append(
+            EndedOperation(op.at, op.volume, self._plans[op.volume], op.cls, units, how, elapsed_s, gateway)
+        )
 
-    def _judgement(self, op: Op, result: TryResult, elapsed_s: float) -> str:
-        """Return the result of an operation in the words of `Served.how`."""
+    def _judgement(self, op: Operation, result: TryResult, elapsed_s: float) -> str:
+        """Return the result of an operation in the words of `EndedOperation.how`."""
         match result:
             case TryResult.SERVED:
                 return "in time" if elapsed_s <= self._simulation.day.class_[op.cls].aim else "late"
--- a/fawnspool/model/simulated_node.py
+++ b/fawnspool/model/simulated_node.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from fawnspool.days.troubles import CALM
+from fawnspool.days.faults import NO_FAULT_SETTINGS
 from fawnspool.model.node import NodeBehaviour, NodeTraits, Work
 from fawnspool.model.simulation import Simulation
 from fawnspool.scheduling.interface import Phase
@@ -30,7 +30,7 @@
         self.is_slow = is_slow
         self.life = 0
         self.up = False
-        self.faults: dict[str, Any] = dict(CALM)
+        self.faults: dict[str, Any] = dict(NO_FAULT_SETTINGS)
         self.phase = Phase.READY
         self.listed_start: float | None = None  # None: before the simulation
         self.random = simulation.random(f"node-{number}")
@@ -47,7 +47,7 @@
         self.reported_units: dict[tuple[int, int], float] = {}  # by (gateway, volume): `served_units` as last told
         self.up = True
         self.life += 1
-        self.set_faults({name: value for name, value in self.faults.items() if value != CALM[name]})
+        self.set_faults({name: value for name, value in self.faults.items() if value != NO_FAULT_SETTINGS[name]})
         fleet = self.simulation.day.fleet
         self.simulation.record(
             "up",
--- a/fawnspool/model/world.py
+++ b/fawnspool/model/world.py
@@ -19,8 +19,8 @@
     VolumeBlock,
 )
 from fawnspool.days.day import Day
-from fawnspool.days.traffic import Op, held_objects, make
-from fawnspool.days.worth import Served
+from fawnspool.days.service_value import EndedOperation
+from fawnspool.days.traffic import Operation, draw_operations, held_objects
 from fawnspool.model.endpoint_service import EndpointService
 from fawnspool.model.environment import Environment
 from fawnspool.model.faults import FaultInjector
@@ -66,14 +66,14 @@
         seed: int,
         policy: Policy,
         params: Params | None = None,
-        ops: list[Op] | None = None,
+        ops: list[Operation] | None = None,
         *,
         luck: int = 0,
     ) -> None:
         self.day = day
         self.seed = seed
         self.params = params or Params()
-        self.ops = make(day, seed) if ops is None else ops
+        self.ops = draw_operations(day, seed) if ops is None else ops
         self.policies: list[Policy] = [policy] * day.day.heads
         self._simulation = Simulation(day, seed, self.params, luck)
         self._meter = VolumeMeter(self._simulation)
@@ -105,7 +105,7 @@
             self._simulation.object_cells[volume, key] = cell
         return sizes
 
-    def run(self) -> list[Served]:
+    def run(self) -> list[EndedOperation]:
         """Play the day. Returns what came of each operation."""
         for gateway in self.gateways:
             gateway.start(self.policies[gateway.number])
@@ -143,7 +143,7 @@
         return self._simulation.rows
 
     @property
-    def ended(self) -> list[Served]:
+    def ended(self) -> list[EndedOperation]:
         """What came of each operation that has ended."""
         return self._clients.ended
 
