--- a/benchmarks/duties_walks.py
+++ b/benchmarks/duties_walks.py
@@ -14,9 +14,9 @@
 from random import Random
 
 from fawnspool.leases.settings import LeaseSettings
-from fawnspool.model.duties import Duties, Net
+from fawnspool.model.simulated_leases import NetworkConditions, SimulatedLeases
 
-BAD = Net(delay=0.005, loss=0.1, twice=0.1, late=0.1, late_by=5.0)
+BAD = NetworkConditions(delay_s=0.005, lost_share=0.1, repeated_share=0.1, late_share=0.1, late_by_s=5.0)
 
 
 def terms(heads: int, voters: int, shards: int = 64, lease: float = 2.0, drift: float = 0.01) -> LeaseSettings:
@@ -36,7 +36,9 @@
     clocks run off beyond the bound."""
     r = Random(f"{seed}-walk")
     off = drift + beyond
-    d = Duties(terms(heads, voters, shards, drift=drift), seed, BAD, [1 + r.uniform(-off, off) for _ in range(heads)])
+    d = SimulatedLeases(
+        terms(heads, voters, shards, drift=drift), seed, BAD, [1 + r.uniform(-off, off) for _ in range(heads)]
+    )
     end = seconds
     lost_until = 0.0  # a second disk is lost only once the first voter has learned
     while d.engine.now < end:
@@ -45,12 +47,12 @@
         if what < 0.2:
             d.kill(host)
         elif what < 0.3:
-            d.stop(host)
+            d.pause(host)
         elif what < 0.42:
-            d.cut.clear()
-            d.split(set(r.sample(range(heads), heads // 3)), r.random() < 0.4)
+            d.cut_links.clear()
+            d.partition(set(r.sample(range(heads), heads // 3)), one_way=r.random() < 0.4)
         elif what < 0.5:
-            d.cut.clear()
+            d.cut_links.clear()
         elif what < 0.55:
             for v in range(voters):
                 d.kill(d.hosts[v])
@@ -58,31 +60,31 @@
             what < 0.6
             and host.number < voters
             and d.engine.now > lost_until
-            and all(h.floor >= 0 and (h.voter is None or h.voter.is_voting) for h in d.hosts[:voters])
+            and all(h.disk.floor is not None and (h.acceptor is None or h.acceptor.is_voting) for h in d.hosts[:voters])
         ):
             d.kill(host)
-            d.wipe(host)
+            host.disk.erase()
             lost_until = d.engine.now + 3.0
-        elif what < 0.65 and host.up and not host.stopped:
-            d.end(host)
+        elif what < 0.65 and host.up and not host.paused:
+            d.terminate(host)
         elif what < 0.72:
-            host.full = not host.full
+            host.disk.full = not host.disk.full
         else:
             for h in d.hosts:
                 if not h.up:
                     d.start(h)
-                elif h.stopped:
-                    d.go_on(h)
-    d.cut.clear()
-    d.net = Net()
+                elif h.paused:
+                    d.resume(h)
+    d.cut_links.clear()
+    d.network = NetworkConditions()
     for h in d.hosts:
-        h.full = False
+        h.disk.full = False
         if not h.up:
             d.start(h)
-        elif h.stopped:
-            d.go_on(h)
+        elif h.paused:
+            d.resume(h)
     d.run(25.0)
-    return d.wrong, d.took, len(d.held())
+    return d.violations, d.acquired_count, len(d.held())
 
 
 def _walk(args: tuple[int, int, int, int, float]) -> tuple[list[str], int, int]:
@@ -122,24 +124,24 @@
         for fault in ("end", "kill", "stop", "cut", "one way"):
             gaps = list[float]()
             for seed in range(40 if heads < 100 else 10):
-                d = Duties(terms(heads, voters, shards), seed, Net())
+                d = SimulatedLeases(terms(heads, voters, shards), seed, NetworkConditions())
                 d.run(15.0)
                 holder = Counter(d.held().values()).most_common(1)[0][0]
                 host, mine = d.hosts[holder], [k for k, h in d.held().items() if h == holder]
                 began = d.engine.now
-                d.gaps.clear()
-                d.loses(host, fault)
+                d.vacancies.clear()
+                d.mark_vacant(host, fault)
                 if fault == "end":
-                    d.end(host)
+                    d.terminate(host)
                 elif fault == "kill":
                     d.kill(host)
                 elif fault == "stop":
-                    d.stop(host)
+                    d.pause(host)
                 else:
-                    d.split({holder}, fault == "one way")
+                    d.partition({holder}, one_way=fault == "one way")
                 d.run(10.0)
-                gaps += [g / 2.0 for duty, why, g in d.gaps if duty in mine and why == fault]
-                assert not d.wrong, d.wrong
+                gaps += [g / 2.0 for duty, why, g in d.vacancies if duty in mine and why == fault]
+                assert not d.violations, d.violations
                 assert began < d.engine.now
             gaps.sort()
             print(
@@ -152,11 +154,13 @@
 def cost() -> None:
     print("heads, voters, duties: datagrams and bytes a second, of a voter, of another head (mean), worst")
     for heads, voters in ((5, 3), (50, 5), (200, 5), (200, 7)):
-        d = Duties(terms(heads, voters), 1, Net())
+        d = SimulatedLeases(terms(heads, voters), 1, NetworkConditions())
         d.run(20.0)
-        before = [(h.sent, h.bytes) for h in d.hosts]
+        before = [(h.datagrams_sent, h.bytes_sent) for h in d.hosts]
         d.run(60.0)
-        rows = [((h.sent - s) / 60, (h.bytes - b) / 60) for h, (s, b) in zip(d.hosts, before, strict=True)]
+        rows = [
+            ((h.datagrams_sent - s) / 60, (h.bytes_sent - b) / 60) for h, (s, b) in zip(d.hosts, before, strict=True)
+        ]
         mine, others = rows[:voters], rows[voters:]
         print(
             f"{heads}, {voters}, 64: {sum(r[0] for r in mine) / voters:.0f} and "
