--- a/tests/test_node_model.py
+++ b/tests/test_node_model.py
@@ -78,7 +78,7 @@
 def test_deferred_writes_are_done_in_one_go() -> None:
     n = node(cores=1, deferred=0.5, flush_every=1.0)
     n.arrive(0.0, Work(1, 2.0, writes=True))
-    assert math.isclose(n.step(0.5)[0].ends, 0.1) and math.isclose(n.put_off, 1.0)
+    assert math.isclose(n.step(0.5)[0].ends, 0.1) and math.isclose(n.deferred_units, 1.0)
     n.arrive(1.2, Work(2, 1.0))
     assert math.isclose(n.step(2.0)[0].ends, 1.4)  # behind the put-off half
 
