--- a/fawnspool/cli/standin.py
+++ b/fawnspool/cli/standin.py
@@ -14,10 +14,11 @@
 from fawnspool.model.node import NodeTraits
 from fawnspool.net.listener import parse_address
 from fawnspool.records.frames import FrameWriter
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterClient, MeterServer
-from fawnspool.standins.node import NodeServer
-from fawnspool.standins.nodelist import Entry, NodeListServer
+from fawnspool.standins.node import NodeOptions, NodeServer
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
 
 
 def _until_told(*things: Any) -> None:
@@ -103,14 +104,16 @@
             _where(listen),
             data,
             traits,
-            cold=cold,
-            seed=seed,
-            zone=zone,
-            load_fields=tuple(load_fields.split(",")),
-            record=FrameWriter(record, append=True) if record else None,
-            groups=Path(groups) if groups else None,
-            meter=client.use if client else None,
-            served=client.served if client else None,
+            NodeOptions(
+                cold=cold,
+                seed=seed,
+                load_fields=tuple(load_fields.split(",")),
+                zone=zone,
+                groups_folder=Path(groups) if groups else None,
+                recording=FrameWriter(record, append=True) if record else None,
+                volume_use=client.units_per_s if client else None,
+                on_served=client.add_served if client else None,
+            ),
         )
     except OSError as bad:
         fail(str(bad.strerror or bad), 3)
@@ -131,9 +134,9 @@
         if not number.isdigit():
             fail(f"expected NUMBER=HOST:PORT, found {text!r}")
         _where(where)
-        entries.append(Entry(int(number), where, "zone-a", k))
+        entries.append(NodeListEntry(int(number), where, "zone-a", k))
     made = NodeListServer(_where(listen), entries)
-    click.echo(f"list on 127.0.0.1:{made.where[1]}")
+    click.echo(f"list on 127.0.0.1:{made.address[1]}")
     _until_told(made)
 
 
@@ -152,6 +155,6 @@
 @click.option("--data", type=click.Path(dir_okay=False), help="File that keeps the places over a restart.")
 def catalogue(listen: str, data: str | None) -> None:
     """The shared catalogue of places."""
-    made = CatalogueServer(_where(listen), Catalogue(data))
+    made = MapServer(_where(listen), MapDatabase(data))
     click.echo(f"catalogue on 127.0.0.1:{made.address[1]}")
     _until_told(made)
--- a/fawnspool/drill/play.py
+++ b/fawnspool/drill/play.py
@@ -19,7 +19,7 @@
 from fawnspool.config.head import CatalogueBlock, HeadBlock, HeadConfig, ListBlock, PeerBlock, VolumeBlock
 from fawnspool.config.render import render
 from fawnspool.days.day import NODE_FAULTS, Day, TroubleBlock
-from fawnspool.days.terms import terms_of
+from fawnspool.days.terms import rule_terms
 from fawnspool.days.traffic import held_objects
 from fawnspool.days.troubles import CALM, NODE_SETTINGS, batches, stall_times, targets, waves
 from fawnspool.days.worth import Served, Service, count
@@ -31,17 +31,18 @@
 from fawnspool.gateway.migrator import Migrator
 from fawnspool.gossip import messages
 from fawnspool.records.frames import FrameWriter, rows_of
-from fawnspool.rules.duties import DutyFinding, judge_duties
-from fawnspool.rules.judge import Verdict, judge
-from fawnspool.rules.shared import SharedFinding, judge_shared
-from fawnspool.rules.story import read
-from fawnspool.rules.wrong import WrongSends, wrong_sends
-from fawnspool.standins.catalogue import Catalogue, CatalogueServer
+from fawnspool.rules.gossip import GossipFinding, judge_gossip
+from fawnspool.rules.history import read_history
+from fawnspool.rules.judge import RunVerdict, judge_run
+from fawnspool.rules.leases import LeaseFinding, judge_leases
+from fawnspool.rules.misdirected import MisdirectedSends, count_misdirected
 from fawnspool.standins.clients import content, lag_meter
+from fawnspool.standins.map_database import MapDatabase
+from fawnspool.standins.map_service import MapServer
 from fawnspool.standins.meter import MeterServer
-from fawnspool.standins.moving import Sides
-from fawnspool.standins.nodelist import Entry, NodeListServer
-from fawnspool.standins.store import Store
+from fawnspool.standins.nodelist import NodeListEntry, NodeListServer
+from fawnspool.standins.object_replicas import ObjectReplicas
+from fawnspool.standins.object_store import ObjectStore
 
 HEADS_MOST, NODES_MOST = 16, 32
 BEHIND_LINKS = ("duty_nodes",)  # troubles that cut heads off from nodes and services
@@ -51,13 +52,13 @@
 class Result:
     """What came of a day."""
 
-    verdict: Verdict
+    verdict: RunVerdict
     service: Service
     ops: list[Served]
     events: list[tuple[float, str]] = field(default_factory=list)
-    wrong: WrongSends | None = None  # where extents moved
-    duties: DutyFinding | None = None  # where heads held some
-    shared: SharedFinding | None = None
+    wrong: MisdirectedSends | None = None  # where extents moved
+    duties: LeaseFinding | None = None  # where heads held some
+    shared: GossipFinding | None = None
     head_cpu: float = 0.0  # seconds of processor time of all heads, from when all are up (no restarts)
 
 
@@ -155,7 +156,7 @@
         ports = free_ports(d.day.nodes + 2 * d.day.heads + 1)
         node_ports, head_ports = ports[: d.day.nodes], ports[d.day.nodes : d.day.nodes + d.day.heads]
         peer_ports = ports[d.day.nodes + d.day.heads : -1]
-        self.catalogue = CatalogueServer(("127.0.0.1", 0), Catalogue(), self.note)
+        self.catalogue = MapServer(("127.0.0.1", 0), MapDatabase(), self.note)
         self.meter = MeterServer(("127.0.0.1", 0), d.service.meter) if d.service.meter else None
         self._hold_objects()
         zones = [f"zone-{chr(97 + k)}" for k in range(d.fleet.zones)]
@@ -193,12 +194,12 @@
 
     def _hold_objects(self) -> None:
         """What volumes hold from the start lies on the nodes' disks and in the catalogue."""
-        stores = [Store(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
+        stores = [ObjectStore(self.folder / f"cell-{k}" / "objects") for k in range(self.day.day.nodes)]
         for volume, key, size, cell in held_objects(self.day, self.seed):
             draft = stores[cell].draft()
             draft.add(content(volume, key, size))
             stores[cell].commit(draft, volume, key)
-            self.catalogue.catalogue.put(volume, key, cell, size)
+            self.catalogue.database.put(volume, key, cell, size)
 
     def _head_config(self, k: int, ports: list[int], peer_ports: list[int], zones: list[str]) -> HeadConfig:
         d = self.day
@@ -227,7 +228,7 @@
             plan=d.plan,
             volume=tuple(VolumeBlock(name, b.name, b.heads) for name, b in d.volume_names()),
             peer=peers,
-            list=ListBlock(address=f"127.0.0.1:{self.list.where[1]}", mode=d.day.list_mode, call_timeout=1.0),
+            list=ListBlock(address=f"127.0.0.1:{self.list.address[1]}", mode=d.day.list_mode, call_timeout=1.0),
             catalogue=CatalogueBlock(address=service, watch=d.day.map_watch),
             duties=duties,
             shared=d.shared,
@@ -300,20 +301,20 @@
             ]
         return Process(f"node-{number}", arguments, port, self.folder / f"node-{number}.log", self.node_module)
 
-    def _entry(self, cell: _Cell, phase: str, started: float) -> Entry:
-        return Entry(
+    def _entry(self, cell: _Cell, phase: str, started: float) -> NodeListEntry:
+        return NodeListEntry(
             cell.node,
             f"127.0.0.1:{cell.process.port}",
             cell.zone,
             cell.cell,
             phase,
             size=float(self.day.fleet.cores),
-            started=started,
+            started_at=started,
         )
 
     def _told(self, head: int, phase: str, node: int, began: float) -> None:
         entry = self.list.entries.get(node)
-        age = -1.0 if entry is None or entry.started < 0 else time.monotonic() - entry.started
+        age = -1.0 if entry is None or entry.started_at < 0 else time.monotonic() - entry.started_at
         self.note("told", head=head, node=node, phase=phase, age=age, began=began)
 
     def _start_clients(self) -> None:
@@ -489,17 +490,17 @@
             self.list.change(self._entry(cell, "ready", time.monotonic()))
 
     def _do_list_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.gone()
+        self.list.stop()
         gevent.sleep(x.length)
         self.list.start()
 
     def _do_list_late(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.list.late = x.size
+        self.list.delay_s = x.size
         gevent.sleep(x.length)
-        self.list.late = 0.0
+        self.list.delay_s = 0.0
 
     def _do_map_gone(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
-        self.catalogue.gone()
+        self.catalogue.stop()
         gevent.sleep(x.length)
         self.catalogue.start()
         self._hear_flips()
@@ -511,7 +512,7 @@
                     self.generations[f.volume, f.extent] = f.stamp.generation
                     self.note("flip", vol=f.volume, key=f.extent, gen=f.stamp.generation)
 
-        self.catalogue.catalogue.watchers[self] = heard
+        self.catalogue.database.watchers[self] = heard
 
     def _do_moves(self, x: TroubleBlock, cells: list[_Cell], heads: list[int]) -> None:
         """Every `every` seconds `size` objects, each to another of the nodes, by movers of their own; one that is not
@@ -534,7 +535,7 @@
         while time.monotonic() < end:
             for _ in range(max(1, round(x.size))):
                 volume = random.choice(names)
-                keys, _ = self.catalogue.catalogue.list_keys(volume, "", "", 1000)
+                keys, _ = self.catalogue.database.list_keys(volume, "", "", 1000)
                 if keys:
                     done.append(gevent.spawn(one, volume, random.choice(keys)[0], random.choice(cells).cell))
             gevent.sleep(x.every)
@@ -581,8 +582,8 @@
     def _holders(self) -> dict[int, list[str]]:
         """Heads and the duties that they showed a token for last, as the map service has it."""
         out: dict[int, list[str]] = {}
-        for row in self.catalogue.catalogue.holders():
-            out.setdefault(row.head, []).append(row.duty)
+        for row in self.catalogue.database.roles.holders():
+            out.setdefault(row.gateway_id, []).append(row.role)
         return out
 
     def _busiest(self, random: Random) -> int:
@@ -600,7 +601,7 @@
         for cell in cells:
             self.drained.add(cell.cell)
             self.to_leave |= {(f.volume, f.extent) for f in there if f.shard == cell.cell}
-            self.catalogue.catalogue.wish(f"drain/{cell.cell}", "")
+            self.catalogue.database.roles.set_operator_request(f"drain/{cell.cell}", "")
         self.event(f"cells {', '.join(str(c.cell) for c in cells)} are to be drained")
 
     def _each(self, x: TroubleBlock, hit: Callable[[int], None]) -> None:
@@ -755,37 +756,41 @@
 
     def _facts(self) -> list[ExtentRecord]:
         """All that the map holds."""
-        c = self.catalogue.catalogue
-        return [f for k in range(c.shards) for d in c.since(k, LOG_START) for f in d.records if f.shard >= 0]
+        c = self.catalogue.database
+        return [
+            f for k in range(c.partition_count) for d in c.deltas_since(k, LOG_START) for f in d.records if f.shard >= 0
+        ]
 
     def _where_extents_lie(self) -> dict[str, Any]:
         """By the map, and by the nodes' disks: nodes have ended. What clients wrote into a drained cell in the last
         moments is not counted as left."""
-        sides = {
-            c.cell: Sides(self.folder / f"cell-{c.cell}", Store(self.folder / f"cell-{c.cell}" / "objects"))
+        replicas = {
+            c.cell: ObjectReplicas(
+                self.folder / f"cell-{c.cell}", ObjectStore(self.folder / f"cell-{c.cell}" / "objects")
+            )
             for c in self.cells
         }
         left = missing = twice = 0
         named = ""
         for f in self._facts():
             left += f.shard in self.drained and (f.volume, f.extent) in self.to_leave
-            serve = [k for k, s in sides.items() if s.side(f.volume, f.extent).role is ReplicaRole.OWNER]
-            under_way = sides[f.shard].side(f.volume, f.extent)  # the day's end came in the middle of its move
+            serve = [k for k, r in replicas.items() if r.get(f.volume, f.extent).role is ReplicaRole.OWNER]
+            under_way = replicas[f.shard].get(f.volume, f.extent)  # the day's end came in the middle of its move
             missing += not serve and not (
                 under_way.role is ReplicaRole.FENCED and under_way.has_data and f.shard in self.drained
             )
             twice += len(serve) > 1
             if len(serve) != 1 and not named:
                 named = f"{f.volume}/{f.extent} by the map in cell {f.shard}, served by {serve}"
-        for s in sides.values():
-            s.close()
+        for held in replicas.values():
+            held.close()
         return {"left": left, "missing": missing, "twice": twice, "named": named}
 
     # ------------------------------------------------------------ the end
 
     def _judge(self) -> Result:
-        story = read(rows_of(self.folder))
-        verdict = judge(story, terms_of(self.day))
+        history = read_history(rows_of(self.folder))
+        verdict = judge_run(history, rule_terms(self.day))
         plan_of = {name: b.name for name, b in self.day.volume_names()}
         ops = [
             Served(r[0], r[1], plan_of[r[1]], r[2], r[3], r[4], r[5])
@@ -793,10 +798,10 @@
         ]
         duties = None
         if self.day.duties is not None:
-            duties = judge_duties(story, self.day.duties.lease, bool(self.drained))
+            duties = judge_leases(history, self.day.duties.lease, bool(self.drained))
             verdict.findings.append(duties.finding)
-        wrong = wrong_sends(story) if any(x.kind == "moves" for x in self.day.trouble) else None
-        shared = judge_shared(story, terms_of(self.day), self.day.day.heads)
+        wrong = count_misdirected(history) if any(x.kind == "moves" for x in self.day.trouble) else None
+        shared = judge_gossip(history, rule_terms(self.day), self.day.day.heads)
         if self.day.shared is not None:
-            verdict.findings.append(shared.used)
+            verdict.findings.append(shared.node_use)
         return Result(verdict, count(self.day, ops), ops, self.events, wrong, duties, shared, self.head_cpu)
--- a/tests/e2e/test_moving.py
+++ b/tests/e2e/test_moving.py
@@ -20,8 +20,8 @@
 from fawnspool.gateway.map_client import MapClient
 from fawnspool.gateway.migrator import Migrator
 from fawnspool.net.node_headers import AttemptHeader
-from fawnspool.rules.story import read as read_story
-from fawnspool.rules.wrong import wrong_sends
+from fawnspool.rules.history import read_history
+from fawnspool.rules.misdirected import count_misdirected
 from fawnspool.telemetry import logs
 from tests.e2e.rig import Client, Rig, wait_for
 
@@ -59,7 +59,7 @@
 def put(rig: Rig, key: str = "k", body: bytes = b"first") -> int:
     """The cell that it came to lie in."""
     assert rig.client().ask("PUT", PLACE + key, body).status in (200, 201)
-    found = rig.catalogue.catalogue.find("v", key)
+    found = rig.catalogue.database.find("v", key)
     assert found is not None
     return found[0]
 
@@ -68,7 +68,7 @@
     return [
         k
         for k, n in enumerate(rig.nodes)
-        if n.sides.side("v", key).role is ReplicaRole.OWNER and n.store.find("v", key)
+        if n.replicas.get("v", key).role is ReplicaRole.OWNER and n.store.find("v", key)
     ]
 
 
@@ -92,13 +92,13 @@
 
 def test_the_old_node_says_where_it_went_and_the_client_sees_one_answer(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()  # this head hears of no flip
+    rig.catalogue.database.watchers.clear()  # this head hears of no flip
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
     assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1  # once told, it knows
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second")
     assert got.status == 200 and read(rig) == b"second" and owners(rig) == [(at + 1) % 3]
-    assert rig.catalogue.catalogue.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
+    assert rig.catalogue.database.find_record("v", "k").stamp.generation == 1  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
@@ -226,7 +226,7 @@
 
 def test_a_repeat_that_lands_after_the_flip_is_done_once(rig: Rig) -> None:
     rig.client().ask("PUT", PLACE + "k", b"first")
-    at = rig.catalogue.catalogue.find("v", "k")[0]  # type: ignore[index]
+    at = rig.catalogue.database.find("v", "k")[0]  # type: ignore[index]
     key = {"Fawn-Class": "keyed", "Idempotency-Key": "once"}
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **key)
     tag = got.getheader("ETag")
@@ -244,7 +244,7 @@
         migrator(rig, MigrationStep.ACTIVATE).migrate(KEY, to, soon())  # fenced, and its data are still there
     rig.nodes[at].stop()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
-    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
+    assert rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.FENCED
     rig.nodes[at].stop()
     (rig.tmp / f"n{at}" / "moves.rec").unlink()
     rig.nodes[at] = rig.make_node(at, port=rig.nodes[at].address[1])
@@ -278,19 +278,19 @@
         assert Client(rig.nodes[to].address).ask("PUT", "/o/v/k", b"at the new one", Fawn_Call=call).status == 200
     for k in {"source": [at], "dest": [to], "both": [at, to]}[who]:
         forgets(rig, k)
-    assert len(owners(rig)) <= 1 and rig.nodes[at].sides.side("v", "k").role is ReplicaRole.FENCED
+    assert len(owners(rig)) <= 1 and rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.FENCED
     assert migrator(rig).migrate(KEY, to, soon()) is MigrationStep.DONE
     assert owners(rig) == [to] and read(rig) == b"at the new one"
 
 
 def test_a_node_that_forgot_takes_no_write_of_what_may_lie_elsewhere(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()
+    rig.catalogue.database.watchers.clear()
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     forgets(rig, at)  # its data are gone, and the fence is forgotten
     got: Any = rig.client().ask("PUT", PLACE + "k", b"lost?", **{"Fawn-Patience-Ms": "300"})
     assert got.status == 503 and rig.nodes[at].store.find("v", "k") is None
-    assert rig.nodes[at].sides.side("v", "k").role is ReplicaRole.UNCONFIRMED
+    assert rig.nodes[at].replicas.get("v", "k").role is ReplicaRole.UNCONFIRMED
 
 
 def test_an_older_copy_that_comes_late_changes_nothing(rig: Rig) -> None:
@@ -310,7 +310,7 @@
     keys = [f"t{n}" for n in range(60)]
     for key in keys:
         put(rig, key, key.encode())
-    cells = {key: rig.catalogue.catalogue.find("v", key)[0] for key in keys}  # type: ignore[index]
+    cells = {key: rig.catalogue.database.find("v", key)[0] for key in keys}  # type: ignore[index]
     drained = max(range(3), key=list(cells.values()).count)
     mine = [key for key in keys if cells[key] == drained]
     m = migrator(rig)
@@ -328,7 +328,7 @@
     rig = Rig(tmp_path, nodes=2, clients="replay_bytes = 1024")
     try:
         at = put(rig)
-        rig.catalogue.catalogue.watchers.clear()
+        rig.catalogue.database.watchers.clear()
         assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         got: Any = rig.client().ask("PUT", PLACE + "k", b"y" * 50_000)
         assert got.status == 503 and json.loads(got.data)["error"] == "moving" and got.getheader("Retry-After")
@@ -355,7 +355,7 @@
 def test_a_malformed_call_of_a_migrator_changes_nothing(rig: Rig, method: str, place: str, body: bytes) -> None:
     at = put(rig)
     assert Client(rig.nodes[at].address).ask(method, place, body).status == 400
-    assert rig.nodes[at].sides.rows == {} and read(rig) == b"first"
+    assert rig.nodes[at].replicas.rows == {} and read(rig) == b"first"
 
 
 def test_a_read_that_is_running_and_a_write_that_comes_slowly_outlive_a_move(rig: Rig) -> None:
@@ -380,7 +380,7 @@
 
 def test_a_request_that_keeps_an_order_is_not_sent_on_behind_later_ones(rig: Rig) -> None:
     at = put(rig)
-    rig.catalogue.catalogue.watchers.clear()
+    rig.catalogue.database.watchers.clear()
     assert migrator(rig).migrate(KEY, (at + 1) % 3, soon()) is MigrationStep.DONE
     got: Any = rig.client().ask("PUT", PLACE + "k", b"second", **{"Fawn-Class": "ordered"})
     assert got.status == 503 and json.loads(got.data)["error"] == "moving"
@@ -392,7 +392,7 @@
     rig = Rig(tmp_path, nodes=2, catalogue="watch = false")
     try:
         at = put(rig)
-        assert read(rig) == b"first" and not rig.catalogue.catalogue.watchers
+        assert read(rig) == b"first" and not rig.catalogue.database.watchers
         assert migrator(rig).migrate(KEY, 1 - at, soon()) is MigrationStep.DONE
         for _ in range(3):
             assert read(rig) == b"first" and rig.head.extent_directory.misdirected_sends == 1
@@ -405,8 +405,8 @@
         late = 0.3 * (kind == "elsewhere")  # it waited at the node
         return {"k": kind, "t": t + late, "came": t, "vol": "v", "key": "k", "gen": gen, "head": 0, **more}
 
-    found = wrong_sends(
-        read_story(
+    found = count_misdirected(
+        read_history(
             [
                 row("elsewhere", 0.9, 1),
                 row("flip", 1.0, 1),
@@ -419,8 +419,8 @@
             ]
         )
     )
-    assert (found.moves, found.counts, found.not_yet) == (2, (2, 1, 0, 1, 0, 1), 1)
-    assert found.worst == pytest.approx(0.7)
+    assert (found.migrations, found.counts, found.not_yet) == (2, (2, 1, 0, 1, 0, 1), 1)
+    assert found.worst_delay_s == pytest.approx(0.7)
 
 
 def test_bytes_that_were_spoilt_on_the_way_are_not_taken(rig: Rig) -> None:
@@ -458,7 +458,7 @@
     rig.nodes[at].stop()
     code, out = run("move", "v", "k", "--to", str(at), "--within", "0.3")
     assert code == 3 and "goes on from there" in out and read(rig) == b"first"
-    rig.catalogue.gone()
+    rig.catalogue.stop()
     assert run("show", "v", "k")[0] == 3
-    rig.list.gone()
+    rig.list.stop()
     assert run("show", "v", "k")[0] == 3
