--- a/tests/test_former_decisions.py
+++ b/tests/test_former_decisions.py
@@ -14,7 +14,8 @@
 
 from fawnspool.model import versions
 from fawnspool.scheduling import interface
-from fawnspool.scheduling.scheduler import POLL_TOKEN, Scheduler
+from fawnspool.scheduling.scheduler import Scheduler
+from fawnspool.scheduling.timer_tokens import POLL_TOKEN
 from tests.conftest import entry, make_class, make_plan, make_settings
 
 FORMER_VERSION = Path(__file__).parent / "formats" / "d5787bd" / "version.whl"
