--- a/fawnspool/rules/observations.py
+++ b/fawnspool/rules/observations.py
@@ -329,8 +329,8 @@
     ----------
     lease
         Name of the leased role; empty for a step without a token.
-    incarnation
-        The holder's, of `gateway`.
+    incarnation, gateway
+        The holder's; a step without a token names no gateway.
     generation, shard
         Of the extent, in steps that update the map.
     was_fenced
@@ -344,7 +344,7 @@
     lease: str
     token: int
     incarnation: int
-    gateway: int
+    gateway: int | None
     what: str
     volume: str | None
     key: str | None
@@ -362,7 +362,7 @@
             lease=record["duty"],
             token=record["token"],
             incarnation=record["who"],
-            gateway=record["head"],
+            gateway=record.get("head"),
             what=record["what"],
             volume=record.get("vol"),
             key=record.get("key"),
