--- a/fawnspool/scheduling/admission.py
+++ b/fawnspool/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission: how a request ranks on arrival, and whether it is admitted to its node's queue."""
+"""Admission control: a request's rank on arrival, and whether it is admitted to its node's queue."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from fawnspool.scheduling.rate_limits import RateLimiter
 from fawnspool.scheduling.response_times import FleetResponseTimes
 
-MAX_WAIT_FRACTION = 0.25  # of the least latency objective that may pass in a node's queue
+MAX_WAIT_FRACTION = 0.25  # part of the least latency objective that a request may spend in a node's queue
 RESERVE_WAIT_FACTOR = 2.0
 LATE_WAIT_FACTOR = 0.25
-MAX_EXCESS_USE = 4.0  # of a volume's rate: more shortens its wait no further
-MIN_WAIT_JITTER = 0.5  # drawn, so that gateways don't reject all at once
+MAX_EXCESS_USE = 4.0  # multiple of a volume's rate; use above it does not reduce the permitted wait further
+MIN_WAIT_JITTER = 0.5  # the factor is random so that the gateways do not all reject at the same time
 MAX_WAIT_JITTER = 1.5
 
 
 def make_pending(request: Request, settings: Settings, now: float) -> PendingRequest:
-    """Return the request with its times; some clients leave less time than the latency objective."""
+    """Return the request with its due time and expiry; a client's timeout may be below the latency objective."""
     request_class = settings.classes[request.class_index]
     spent_s = max(0.0, request_class.deadline_s - request.timeout_s) if request.is_client_retry else 0.0
     return PendingRequest(
@@ -35,7 +35,7 @@
 
 
 def assign_rank(pending: PendingRequest, limiter: RateLimiter, now: float, check_interval_s: float) -> None:
-    """Find out whether a request is late already, or within its volume's reserve, from which it then draws."""
+    """Set the rank: late already, or within its volume's reserve, from which its units are then drawn."""
     if pending.due_at <= now + check_interval_s:
         pending.rank = Rank.LATE
         pending.due_at = pending.expires_at
@@ -44,21 +44,22 @@
 
 
 def exceeds_rate_limit(pending: PendingRequest, limiter: RateLimiter, settings: Settings, now: float) -> bool:
-    """Return whether the volume's rate limit holds the request back until it earns nothing."""
+    """Return whether the volume's rate limit would delay the request past its due time."""
     if not pending.plan.rate_limit:
         return False
     supply_units_per_s = 0.0
     if pending.rank is not Rank.LATE:
         supply_units_per_s = pending.plan.rate_limit / (1 if settings.has_peer_messages else limiter.gateway_count)
-    lacking_units = limiter.queued_units - limiter.tokens + pending.request.units
-    return lacking_units > supply_units_per_s * (pending.due_at - now)
+    deficit_units = limiter.queued_units - limiter.tokens + pending.request.units
+    return deficit_units > supply_units_per_s * (pending.due_at - now)
 
 
 class QueueingDelayLimit:
-    """Rejects what would wait too long at its node, where the fleet is too large for the concurrency limits.
+    """Rejects requests that would wait too long at a node whose queue the concurrency limits cannot bound.
 
-    All gateways see how long answers wait. What is beyond a reserve ends at a shorter wait, the sooner the more its
-    volume uses; a late client retry soonest. The threshold is drawn, lest all gateways reject at once.
+    This is the case in a large fleet. Every gateway observes the wait in the node's answers. A request within its
+    volume's reserve may wait longest; beyond the reserve the permitted wait falls as the volume's use rises; late
+    client retries may wait least. The threshold is random so that the gateways do not all reject at the same time.
     """
 
     def __init__(self, settings: Settings, least_objective_s: float, random: Random) -> None:
@@ -75,18 +76,18 @@
     ) -> bool:
         """Return whether the node's queueing delay is too long for a request of this rank.
 
-        `volume_usage` is the volume's whole use, as a share of its plan's rate.
+        `volume_usage` is the volume's use through all gateways, as a share of its plan's rate.
         """
-        excess_use = math.sqrt(min(MAX_EXCESS_USE, max(1.0, volume_usage)))
+        excess_divisor = math.sqrt(min(MAX_EXCESS_USE, max(1.0, volume_usage)))
         if pending.rank is Rank.WITHIN_RESERVE:
             factor = RESERVE_WAIT_FACTOR
         elif pending.rank is Rank.BEYOND_RESERVE:
-            factor = 1 / excess_use
+            factor = 1 / excess_divisor
         else:
             factor = LATE_WAIT_FACTOR
         jitter = self._random.uniform(MIN_WAIT_JITTER, MAX_WAIT_JITTER)
         max_wait_s = self._least_objective_s * MAX_WAIT_FRACTION * factor * jitter
         work_s = fleet.work_s_per_unit * pending.request.units
-        known_waits = None if pending.rank is Rank.WITHIN_RESERVE else fleet
-        delay_s = node_queue.queueing_delay_s(now, known_waits)
+        fleet_waits = None if pending.rank is Rank.WITHIN_RESERVE else fleet
+        delay_s = node_queue.queueing_delay_s(now, fleet_waits)
         return delay_s > min(max_wait_s, pending.due_at - now - work_s)
--- a/fawnspool/scheduling/concurrency.py
+++ b/fawnspool/scheduling/concurrency.py
@@ -1,4 +1,4 @@
-"""How many requests this gateway may have in flight at a node: an adaptive limit, as PARDA's."""
+"""The adaptive limit on the requests that this gateway has in flight at a node, as in PARDA."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from fawnspool.scheduling.interface import Settings
 
-TARGET_RESPONSE_FRACTION = 0.35  # of the least latency objective that a response may take: the rest waits here
-LIMIT_SMOOTHING = 0.1  # part of the way to the wanted limit that one answer moves it
-LIMIT_PROBE_REQUESTS = 0.2  # by which the limit seeks more at each answer (PARDA's beta)
-MAX_REQUESTS_AT_NODE = 12.0  # from all gateways: beyond it only queues grow
-INITIAL_LIMIT_REQUESTS = 2.0  # at a node that has answered nothing yet: one to run, one to follow
-MIN_RESPONSE_S = 1e-3  # a shorter mean response counts as this long
+TARGET_RESPONSE_FRACTION = 0.35  # part of the least latency objective for a response; the rest is for queueing here
+LIMIT_SMOOTHING = 0.1  # part of the distance to the wanted limit that one answer closes
+LIMIT_PROBE_REQUESTS = 0.2  # added to the wanted limit at each answer (beta in PARDA)
+MAX_REQUESTS_AT_NODE = 12.0  # from all gateways together; more would only lengthen the node's queue
+INITIAL_LIMIT_REQUESTS = 2.0  # at a node that has not answered yet: one request runs and one waits behind it
+MIN_RESPONSE_S = 1e-3  # lower bound of the mean response in the calculation
 
 
 def is_large_fleet(settings: Settings) -> bool:
-    """Return whether the gateways are too many for their limits to hold a node's queue down.
+    """Return whether there are too many gateways for their concurrency limits to bound a node's queue.
 
-    Each has at least INITIAL_LIMIT_REQUESTS; together these pass MAX_REQUESTS_AT_NODE.
+    Each gateway may have at least INITIAL_LIMIT_REQUESTS; together they exceed MAX_REQUESTS_AT_NODE.
     """
     return settings.gateway_count * INITIAL_LIMIT_REQUESTS > MAX_REQUESTS_AT_NODE
 
 
 def max_limit_requests(settings: Settings) -> float:
-    """Return the ceiling of one gateway's limit: its even part of what a node may have, and what lets it start."""
+    """Return the ceiling of one gateway's limit: its even part of MAX_REQUESTS_AT_NODE, at least the initial limit."""
     if is_large_fleet(settings):
         return 2 * INITIAL_LIMIT_REQUESTS
     return max(INITIAL_LIMIT_REQUESTS, MAX_REQUESTS_AT_NODE / settings.gateway_count)
@@ -31,31 +31,31 @@
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """The limit at one node, in requests; whole requests count.
+    """The limit at one node, in requests; its whole part applies.
 
-    It seeks the target response: it falls with longer responses and grows with shorter ones while it is used up.
+    The limit falls while responses take longer than the target. It grows while they are shorter and it is used up.
     """
 
     max_limit: float
     limit: float = INITIAL_LIMIT_REQUESTS
 
     def reset(self) -> None:
-        """Start anew, at a node of which nothing is known."""
+        """Return to the initial limit, for a node that has not answered yet."""
         self.limit = INITIAL_LIMIT_REQUESTS
 
     def record_overload(self) -> None:
-        """Halve it, as the node rejected a request."""
+        """Halve the limit after the node rejected a request."""
         self.limit = max(1.0, self.limit / 2)
 
     def record_response(self, mean_response_s: float, target_response_s: float, in_flight: int) -> None:
-        """Take a step after an answer.
+        """Adjust the limit after an answer.
 
         Parameters
         ----------
         mean_response_s, target_response_s : float
-            The node's mean response, and the one wanted.
+            The node's mean response time and the target, in seconds.
         in_flight : int
-            What is in flight at the node beside the request that was answered.
+            Other requests in flight at the node when the answer arrived.
         """
         wanted = target_response_s / max(mean_response_s, MIN_RESPONSE_S) * self.limit + LIMIT_PROBE_REQUESTS
         if wanted < self.limit or in_flight + 1 >= int(self.limit):
--- a/fawnspool/scheduling/endpoints.py
+++ b/fawnspool/scheduling/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which node serves a shard, and when the list is asked for again."""
+"""The endpoint list: which node serves a shard, and when a failed poll of the list is retried."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     UpdateKind,
 )
 
-MAX_POLL_RETRY_DELAY_S = 0.8  # whatever the poll interval: what is missed counts as told soon
+MAX_POLL_RETRY_DELAY_S = 0.8  # for any poll interval: an update that the gateway missed counts as known soon after
 POLL_RETRIES_IN_INTERVAL = 8
-MIN_RETRY_JITTER = 0.5  # part of the delay that is kept at least
+MIN_RETRY_JITTER = 0.5  # least part of the delay that jitter leaves
 
 
 class EndpointList:
-    """The endpoints as last told.
+    """The endpoints of the latest updates.
 
     Attributes
     ----------
     nodes : dict of int to Endpoint
-        By node; those that are gone are left out.
+        By node; nodes that are gone are left out.
     is_cached : bool
-        Only a cached list was told so far. It may be old, so it proves no node's age.
+        The latest list was a cached one. It may be old, so it does not prove when a node started.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -38,34 +38,34 @@
         self._poll_due_at: float | None = None
 
     def update(self, event: EndpointUpdate) -> dict[int, Endpoint]:
-        """Take in a list or a change, and return the node that serves each shard; of several the newest."""
-        known = self.nodes if event.kind is UpdateKind.DELTA else {}
-        known.update((endpoint.node, endpoint) for endpoint in event.entries)
-        self.nodes = {node: endpoint for node, endpoint in known.items() if endpoint.phase is not Phase.GONE}
+        """Apply a list or its changes, and return the node that serves each shard, the newest if there are several."""
+        endpoints = self.nodes if event.kind is UpdateKind.DELTA else {}
+        endpoints.update((endpoint.node, endpoint) for endpoint in event.entries)
+        self.nodes = {node: endpoint for node, endpoint in endpoints.items() if endpoint.phase is not Phase.GONE}
         newest_last = sorted(self.nodes.values(), key=lambda endpoint: (endpoint.started_at, endpoint.node))
         return {endpoint.shard: endpoint for endpoint in newest_last if endpoint.phase is Phase.READY}
 
     def poll(self) -> Action:
-        """Return the action that asks for the list."""
+        """Return the action that requests the list."""
         return SetWatch(True) if self._settings.polls_endpoints else FetchEndpoints()
 
     def schedule_retry(self, now: float, random: Random) -> float:
-        """Return the seconds after which a failed poll is repeated; each gateway draws its own.
+        """Return a random delay in seconds before a failed poll is retried.
 
-        That is well inside the poll interval, or inside the nodes' grace on drains where changes are pushed.
+        The delay is well within the poll interval or, where updates are pushed, within the nodes' drain grace period.
         """
         settings = self._settings
         if settings.polls_endpoints:
-            longest_s = settings.poll_interval_s / POLL_RETRIES_IN_INTERVAL
+            max_delay_s = settings.poll_interval_s / POLL_RETRIES_IN_INTERVAL
         else:
-            longest_s = settings.drain_grace_s / 2
+            max_delay_s = settings.drain_grace_s / 2
         jitter = random.uniform(MIN_RETRY_JITTER, 1.0)
-        delay_s = jitter * min(longest_s or MAX_POLL_RETRY_DELAY_S, MAX_POLL_RETRY_DELAY_S)
+        delay_s = jitter * min(max_delay_s or MAX_POLL_RETRY_DELAY_S, MAX_POLL_RETRY_DELAY_S)
         self._poll_due_at = now + delay_s
         return delay_s
 
     def take_due_retry(self, now: float) -> bool:
-        """Return whether a repeated poll is due, and count it as done."""
+        """Return whether a retry of the poll is due; if so, clear it."""
         if self._poll_due_at is None or now + 2 * self._settings.clock_tick_s < self._poll_due_at:
             return False
         self._poll_due_at = None
--- a/fawnspool/scheduling/fair_queue.py
+++ b/fawnspool/scheduling/fair_queue.py
@@ -1,8 +1,9 @@
 """Weighted fair queueing of the volumes at one node.
 
-The mechanism of "Efficient QoS for Multi-Tiered Storage Systems": a FIFO queue and a start tag per volume; the
-volume with the smallest tag is served next; at a completion its tag moves on by the mean of its last responses over
-its weight, and all active tags shift so that the least of them is now.
+The algorithm is that of "Efficient QoS for Multi-Tiered Storage Systems". Each volume has a FIFO queue and a start
+tag, and the volume with the smallest tag is served next. When a request completes, its volume's tag advances by the
+mean of the volume's last response times divided by its weight, and all active tags are shifted so that the smallest
+equals the current time.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 
 from fawnspool.scheduling.pending_request import PendingRequest
 
-RESPONSES_IN_MEAN = 16  # the paper's N
-MAX_RUN_REQUESTS = 12  # of one extent in a row: longer runs would shut out other volumes
-IDLE_VOLUME_S = 30.0  # a volume that is unused for so long leaves the tables
+RESPONSES_IN_MEAN = 16  # N in the paper
+MAX_RUN_REQUESTS = 12  # requests of one extent in a row; longer runs would starve other volumes
+IDLE_VOLUME_S = 30.0  # state of a volume that is unused for this long is dropped
 
 
 @dataclass(slots=True, eq=False)
@@ -25,9 +26,9 @@
     Attributes
     ----------
     start_tag : float
-        Seconds on the caller's clock; the smallest is served next.
+        Seconds on the caller's clock; the volume with the smallest tag is served next.
     recent_responses_s : deque of float
-        The last response times, for the volume's mean.
+        The last response times, from which the volume's mean is taken.
     """
 
     weight: float
@@ -38,7 +39,7 @@
     last_used_at: float = 0.0
 
     def tag_step_s(self, default_response_s: float) -> float:
-        """Return by how much a completion moves the tag on; a volume without responses counts as the default."""
+        """Return by how much a completion advances the tag; the default stands in for a volume without responses."""
         recent = self.recent_responses_s
         mean_response_s = sum(recent) / len(recent) if recent else default_response_s
         return mean_response_s / self.weight
@@ -46,22 +47,22 @@
 
 @dataclass(slots=True, eq=False)
 class FairQueue:
-    """All volumes' queues at one node.
+    """The queues of all volumes at one node.
 
     Attributes
     ----------
     volumes : OrderedDict of int to VolumeQueue
-        By volume; the longest unused first.
+        By volume; the least recently used first.
     active : dict of int to VolumeQueue
-        Those with something queued or in flight.
+        Volumes with requests queued or in flight.
     queued, queued_units
-        How many requests are queued, and their units.
+        Number of queued requests, and the sum of their units.
     earliest_due_at : float
-        No queued request is due before; seconds.
+        Lower bound of the queued requests' due times, in seconds.
     last_extent : tuple of int
         Volume and extent of the request sent last.
     run_length : int
-        How many requests of that extent were sent in a row; 0 where it had none.
+        Number of requests of that extent sent in a row; 0 where the last request had no extent.
     """
 
     volumes: OrderedDict[int, VolumeQueue] = field(default_factory=OrderedDict)
@@ -73,7 +74,7 @@
     run_length: int = 0
 
     def enqueue(self, pending: PendingRequest, now: float, at_front: bool) -> None:
-        """Queue a request; a volume that becomes active starts at the later of its tag and now."""
+        """Queue a request; the tag of a volume that becomes active is raised to at least the current time."""
         volume_id = pending.request.volume
         volume = self.volumes.setdefault(volume_id, VolumeQueue(pending.plan.weight))
         if not volume.requests and not volume.in_flight:
@@ -96,17 +97,17 @@
             self.volumes.popitem(last=False)
 
     def remove(self, pending: PendingRequest) -> None:
-        """Take a request out of its volume's queue."""
+        """Remove a request from its volume's queue."""
         self.volumes[pending.request.volume].requests.remove(pending)
         self.queued -= 1
         self.queued_units -= pending.request.units
         pending.is_queued = False
 
     def next(self, may_send: Callable[[PendingRequest], bool], default_response_s: float) -> PendingRequest | None:
-        """Return the request to send next, or None: one that goes on with the run, else one of the smallest tag.
+        """Return the request to send next: one that continues the current run, else one with the smallest tag, or None.
 
-        Tags move at completions only, so what is in flight counts as completed here: otherwise the volume in front
-        would fill the node's whole limit.
+        Tags advance only when requests complete, so requests in flight count as completed here. Otherwise the volume
+        with the smallest tag would use up the node's whole concurrency limit.
         """
         if 0 < self.run_length < MAX_RUN_REQUESTS and self.last_extent is not None:
             volume_id, extent = self.last_extent
@@ -126,11 +127,11 @@
         return None
 
     def continues_run(self, pending: PendingRequest) -> bool:
-        """Return whether a request is of the extent sent last, within the longest run."""
+        """Return whether a request is for the extent sent last and the run may still grow."""
         return pending.extent_of_volume() == self.last_extent and 0 < self.run_length < MAX_RUN_REQUESTS
 
     def record_send(self, pending: PendingRequest) -> None:
-        """Count a request, removed before, as in flight."""
+        """Count a request as in flight; it was removed from the queue before."""
         extent = pending.extent_of_volume()
         if not pending.request.extent:
             self.run_length = 0
@@ -146,13 +147,13 @@
         self.volumes[volume_id].in_flight -= 1
 
     def record_response(self, volume_id: int, response_s: float, default_response_s: float) -> None:
-        """Move the volume's tag on by its mean response over its weight."""
+        """Advance the volume's tag by its mean response divided by its weight."""
         volume = self.volumes[volume_id]
         volume.recent_responses_s.append(response_s)
         volume.start_tag += volume.tag_step_s(default_response_s)
 
     def shift_tags(self, now: float) -> None:
-        """Drop volumes that are no longer active, and shift all tags so that the least is now."""
+        """Drop volumes that are no longer active, and shift all tags so that the smallest equals the current time."""
         self.active = {
             volume_id: volume for volume_id, volume in self.active.items() if volume.requests or volume.in_flight
         }
@@ -160,31 +161,31 @@
         for volume in self.active.values():
             volume.start_tag += shift_s
 
-    def forget_active(self) -> None:
-        """Count no volume as active: nothing is queued or in flight."""
+    def clear_active(self) -> None:
+        """Drop all active volumes; the caller ensures that nothing is queued or in flight."""
         self.active.clear()
 
     def requests(self) -> list[PendingRequest]:
-        """Return all that is queued, volume by volume."""
+        """Return all queued requests, grouped by volume."""
         return [pending for volume in self.active.values() for pending in volume.requests]
 
     def requests_by_tag(self, default_response_s: float) -> list[PendingRequest]:
-        """Return all that is queued in the order of the tags that it would have when its turn comes."""
-        order = list[tuple[float, int, int, PendingRequest]]()
+        """Return all queued requests, ordered by the tag that each volume will have when the request is next."""
+        entries = list[tuple[float, int, int, PendingRequest]]()
         for volume_id, volume in self.active.items():
             step_s = volume.tag_step_s(default_response_s) if volume.requests else 0.0
-            for place, pending in enumerate(volume.requests):
-                tag = volume.start_tag + (volume.in_flight + place) * step_s
-                order.append((tag, volume_id, place, pending))
-        order.sort(key=lambda row: row[:3])
-        return [pending for _, _, _, pending in order]
+            for position, pending in enumerate(volume.requests):
+                tag = volume.start_tag + (volume.in_flight + position) * step_s
+                entries.append((tag, volume_id, position, pending))
+        entries.sort(key=lambda entry: entry[:3])
+        return [pending for _, _, _, pending in entries]
 
     def refresh_earliest_due(self) -> None:
-        """Look up the earliest due time again, as the request that had it may have left since."""
+        """Recompute the earliest due time, as the request that set it may no longer be queued."""
         self.earliest_due_at = min(pending.due_at for volume in self.active.values() for pending in volume.requests)
 
-    def forget_service(self) -> None:
-        """Another node serves the queue from now on: nothing that was measured of the former one holds."""
+    def reset_measurements(self) -> None:
+        """Drop the measurements of the former node, as another node serves the queue from now on."""
         self.run_length = 0
         for volume in self.volumes.values():
             volume.in_flight = 0
--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -1,9 +1,9 @@
-"""The events that the scheduler is told, the actions that it answers with, and its settings.
+"""The scheduler's input events, the actions it returns, and its settings.
 
-Plain records; nothing here decides anything. Times are seconds on the caller's clock, sizes are units of work, and
-nodes, volumes, extents and shards are opaque numbers. Fields keep the values that stand in recordings, where 0 or -1
-may say that there is none. Some records exist for the wire and for recordings alone; the scheduler makes nothing of
-them (docs/design.md).
+This module holds plain records only. Times are seconds on the caller's clock, sizes are units of work, and nodes,
+volumes, extents and shards are opaque numbers. Fields have the same values as in recordings, where 0 or -1 may mean
+that there is none. Some records exist only for the wire and for recordings; the scheduler ignores them
+(docs/design.md).
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Idempotence(Enum):
-    """What running a request twice would do."""
+    """The effect of running a request twice."""
 
-    IDEMPOTENT = "safe"  # nothing: repeat and refuse freely
-    WITH_KEY = "keyed"  # nodes of one scope drop a repeat for a while
-    NON_IDEMPOTENT = "unsafe"  # harm: never twice
+    IDEMPOTENT = "safe"  # none: it may be repeated and rejected at any time
+    WITH_KEY = "keyed"  # nodes within the deduplication scope drop a repeat during the deduplication window
+    NON_IDEMPOTENT = "unsafe"  # harmful: it must not run twice
 
 
 class DeduplicationScope(Enum):
-    """Which nodes drop a repeat of a request with a key that one of them has run."""
+    """The nodes that drop a repeated request with a key once one of them has run it."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +29,7 @@
 
 
 class Phase(Enum):
-    """Whether a node takes requests."""
+    """Whether a node accepts requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -37,30 +37,30 @@
 
 
 class UpdateKind(Enum):
-    """What an endpoint update holds."""
+    """The contents of an endpoint update."""
 
-    CACHED = "saved"  # what the gateway last had; maybe old
+    CACHED = "saved"  # the list that the gateway last saved; it may be old
     SNAPSHOT = "whole"
     DELTA = "changes"
-    POLL_FAILED = "failed"  # the list that is known stands
+    POLL_FAILED = "failed"  # no list was received; the known one stays valid
 
 
 class Result(Enum):
     """How an attempt ended."""
 
     SERVED = "served"
-    ERROR = "error"  # answered with an error: may have run
-    OVERLOADED = "full"  # rejected by the node: never ran
-    TIMED_OUT = "timed out"  # may have run, may still run
-    CONNECT_FAILED = "unreached"  # no connection: never ran
-    RESET = "broken"  # connection broke: may have run
-    CANCELLED = "cancelled"  # by this gateway: may have run
-    NOT_SENT = "moot"  # never sent
+    ERROR = "error"  # the node answered with an error: the request may have run
+    OVERLOADED = "full"  # the node rejected the request: it never ran
+    TIMED_OUT = "timed out"  # the request may have run or may still be running
+    CONNECT_FAILED = "unreached"  # no connection was made: the request never ran
+    RESET = "broken"  # the connection broke: the request may have run
+    CANCELLED = "cancelled"  # this gateway cancelled the attempt: the request may have run
+    NOT_SENT = "moot"  # the attempt was never sent
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What clients expect of requests of one kind. Priority weights are per unit of work, relative to other classes."""
+    """A request class; its priority weights are per unit of work and relative to other classes."""
 
     name: str
     latency_objective_s: float
@@ -69,50 +69,50 @@
     late_priority_weight: float
     idempotence: Idempotence
     deduplication_scope: DeduplicationScope
-    deduplication_window_s: float  # how long nodes remember the key
+    deduplication_window_s: float  # how long nodes remember an idempotency key
     writes: bool
     stream: bool
-    ordered: bool  # requests of one extent run one at a time, in turn
+    ordered: bool  # requests of one extent run one at a time, in order of arrival
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a volume's owner has paid for."""
+    """The performance that a volume's owner has paid for."""
 
     name: str
-    rate: float  # nominal units a second of one volume
-    reserved_rate: float  # units a second that keep their full priority weight
+    rate: float  # nominal rate of one volume, units per second
+    reserved_rate: float  # units per second that keep their full priority weight
     weight: float
     priority_factor: float
-    rate_limit: float  # units a second; 0: none
+    rate_limit: float  # units per second; 0: no limit
     rate_limit_burst: float
     rate_limit_tolerance: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the platform and its nodes are like, for one gateway."""
+    """Settings of one gateway: properties of the platform and of its nodes."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateway_count: int
     gateway_id: int
     zone: int
-    polls_endpoints: bool  # the endpoint list comes only when asked for
+    polls_endpoints: bool  # the endpoint list is polled; it is not pushed
     poll_interval_s: float
     drain_grace_s: float
     answer_slack_s: float
-    overload_window_s: float  # a cold node falls over when overfed for this long
+    overload_window_s: float  # a cold node fails when it is overloaded for this long
     overload_multiple: float
-    initial_capacity_fraction: float  # share of its capacity with which a node starts, at least
+    initial_capacity_fraction: float  # least share of its full capacity that a node has when it starts
     warm_up_s: float
-    slow_start_units: float  # that a cold node always bears within overload_window_s, from all gateways together
+    slow_start_units: float  # a cold node can serve this many within overload_window_s, from all gateways together
     mean_units: float
     largest_units: float
     shard_count: int
     within_share_priority_weight: float
     spare_priority_weight: float
-    meter_period_s: float  # period of the volume meter; 0: none
+    meter_period_s: float  # period of the volume meter; 0: there is no meter
     reports_use_by_others: bool
     max_attempts: int
     hedging: bool
@@ -123,7 +123,7 @@
     max_retry_after_s: float
     connect_timeout_s: float
     clock_tick_s: float
-    retry_budget_minimum: float | None  # retries a window that are always allowed; None: no budget
+    retry_budget_minimum: float | None  # retries per window that are always allowed; None: no budget
     retry_budget_ratio: float
     retry_budget_window_s: float
     settle_after_ambiguity_s: float
@@ -143,12 +143,12 @@
     shard: int
     phase: Phase
     size: float
-    started_at: float  # 0: long ago
+    started_at: float  # 0: it started long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The endpoint list, or what changed in it."""
+    """The endpoint list, or the changes in it."""
 
     kind: UpdateKind
     version: int
@@ -157,29 +157,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request has come."""
+    """A client's request has arrived."""
 
     id: int
     class_index: int
     plan_index: int
-    extent: int  # hash of the extent, or of the run it belongs to: order and runs go by it; 0: none
-    timeout_s: float  # until the client gives up on this attempt
+    extent: int  # hash of the extent or of the run, by which requests are ordered and run together; 0: none
+    timeout_s: float  # time until the client gives up on this attempt
     volume: int
     units: float
-    shard: int  # -1: a new object, any node
-    gateway_count: int  # how many gateways the volume works through
-    is_client_retry: bool  # the client's second try, where marked
+    shard: int  # -1: a new object, which any node may store
+    gateway_count: int  # number of gateways that serve the volume
+    is_client_retry: bool  # the client marked the request as its second try
     writes: bool
 
     @property
     def is_new_object(self) -> bool:
-        """Whether any node may take it, as it is about an object that no node has yet."""
+        """Whether the request creates an object, so that any node may serve it."""
         return self.shard < 0
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: the client gets it from this attempt."""
+    """A streamed answer has begun; the client receives the answer of this attempt."""
 
     id: int
     attempt: int
@@ -196,23 +196,23 @@
     node: int
     elapsed_s: float
     result: Result
-    final: bool  # nothing more is owed for the request
-    units_by_others: int  # units this node served the volume through other gateways since last told
-    volume_usage: float | None  # the volume's whole use in a past period, as a share of its rate
+    final: bool  # the client is owed no further answer to the request
+    units_by_others: int  # units the node served the volume through other gateways since its last report
+    volume_usage: float | None  # the volume's use through all gateways in a past period, as a share of its rate
     load_report: tuple[float, ...] | None
-    reused_connection: bool = False  # it had carried other requests: a reset may be the connection's alone
+    reused_connection: bool = False  # the connection had carried other requests: a reset may not be the node's fault
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of a request has left: no answer is owed any more."""
+    """The client of a request has disconnected; it is owed no answer any more."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer that was set has run out."""
+    """A timer has expired."""
 
     token: int
 
@@ -229,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another gateway's scheduler."""
+    """A message from another gateway's scheduler."""
 
     sender: int
     body: bytes
@@ -237,7 +237,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VolumeParticipants:
-    """Other gateways that are known to serve a volume."""
+    """The other gateways that are known to serve a volume."""
 
     volume: int
     gateways: tuple[int, ...]
@@ -245,12 +245,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipedHealth:
-    """What other gateways' evidence says of a node now: healthy where some found it so after all that failed."""
+    """Other gateways' health evidence on a node: healthy if a success is newer than all failures."""
 
     node: int
     healthy: bool
-    retry_delay_s: float = 0.0  # not healthy: until this gateway's turn to try it
-    refused_connection: bool = False  # not healthy: it took no connection
+    retry_delay_s: float = 0.0  # if not healthy: delay until this gateway's turn to try the node
+    refused_connection: bool = False  # if not healthy: the node refused connections
 
 
 Event = (
@@ -272,17 +272,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a request to a node; it is attempt number 0, 1, ... of the request."""
+    """Send a request to a node; attempts of a request are numbered 0, 1, ... in the order of their sends."""
 
     id: int
     node: int
-    timeout_s: float = 0.0  # 0: until the client gives up
-    write_within_s: float = 0.0  # wholly written within so long, or not at all; 0: no such bound
+    timeout_s: float = 0.0  # 0: the time until the client gives up
+    write_within_s: float = 0.0  # time within which the whole request is written, or else not sent; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Answer a request finally: it had no effect, or repeating it does no harm."""
+    """Give a request its final answer: it had no effect, or repeating it does no harm."""
 
     id: int
     retry_after_s: float = 0.0  # 0: no advice
@@ -290,14 +290,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Answer a request finally: it may have had an effect, and must not be repeated unseen."""
+    """Give a request its final answer: it may have had an effect, and the client must check before repeating it."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call an attempt off; its outcome is still owed."""
+    """Cancel an attempt; the scheduler still expects its outcome."""
 
     id: int
     attempt: int
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Tell the token in a Timer event after the delay."""
+    """Deliver a Timer event with the token after the delay."""
 
     delay_s: float
     token: int
@@ -329,7 +329,7 @@
 class SendPeerMessage:
     """Send a message to other gateways' schedulers."""
 
-    gateway_id: int | None  # None: every other gateway
+    gateway_id: int | None  # None: to every other gateway
     body: bytes
 
 
@@ -349,7 +349,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask once for the whole endpoint list."""
+    """Request the complete endpoint list once."""
 
 
 Action = (
--- a/fawnspool/scheduling/node_queue.py
+++ b/fawnspool/scheduling/node_queue.py
@@ -14,16 +14,16 @@
 
 @dataclass(slots=True, eq=False)
 class NodeQueue:
-    """The queue of one shard; it outlives a change of the node.
+    """The queue of one shard, which is kept when another node takes over the shard.
 
     Attributes
     ----------
     node : int or None
-        The node that serves the shard; None: there is none now.
+        The node that serves the shard, if any.
     default_response_s : float
-        What a node without answers counts as taking.
+        Mean response assumed for a node that has not answered yet.
     in_flight : dict
-        Attempts in flight at the node by request and number, and when they were sent.
+        Send times of the attempts in flight at the node, by request id and attempt number.
     """
 
     shard: int
@@ -37,27 +37,27 @@
     in_flight: dict[tuple[int, int], float] = field(default_factory=dict)
 
     def is_available(self) -> bool:
-        """Return whether there is a node, and it is not ejected."""
+        """Return whether a node serves the shard and is not ejected."""
         return self.node is not None and not self.health.is_ejected()
 
     def change_node(self, node: int | None, now: float) -> None:
-        """Let another node, or none, serve the shard: nothing that was known of the former one holds for it."""
+        """Assign another node, or none, to the shard, and drop what was known of the former node."""
         self.node = node
         self.concurrency.reset()
         self.response_times.mean_s = 0.0
         self.slow_start.assume_warm()
         self.health.reset(now)
         self.in_flight = {}
-        self.queue.forget_service()
+        self.queue.reset_measurements()
 
     def mean_response_s(self) -> float:
-        """Return the node's mean response, or the default where it has answered nothing."""
+        """Return the node's mean response, or the default where it has not answered yet."""
         return self.response_times.mean_s or self.default_response_s
 
     def max_in_flight(self, pending: PendingRequest, now: float) -> int:
-        """Return how many may be in flight, this request among them: the limit, or one trial of an ejected node.
+        """Return how many requests may be in flight, this one included: the limit, or one trial at an ejected node.
 
-        A request that goes on with a run costs its node less, so it gets one place more.
+        A request that continues a run costs the node less, so one more may be in flight for it.
         """
         if not self.is_available():
             is_trial_due = self.node is not None and now >= self.health.next_trial_at
@@ -67,50 +67,51 @@
     def record_response(
         self,
         pending: PendingRequest,
-        took_s: float,
+        response_s: float,
         target_response_s: float,
         fleet: FleetResponseTimes,
         now: float,
     ) -> None:
-        """Take in how long a request took at the node, or how long it took at least where it timed out."""
-        self.response_times.learn(took_s, pending.request.units, now, fleet)
-        self.queue.record_response(pending.request.volume, took_s, self.mean_response_s())
+        """Record a request's response time at the node, or its lower bound where the request timed out."""
+        self.response_times.learn(response_s, pending.request.units, now, fleet)
+        self.queue.record_response(pending.request.volume, response_s, self.mean_response_s())
         self.concurrency.record_response(self.response_times.mean_s, target_response_s, len(self.in_flight))
 
     def record_overload(self, least_objective_s: float, now: float) -> None:
-        """Take in that the node rejected a request."""
+        """Record that the node rejected a request."""
         self.concurrency.record_overload()
         self.response_times.record_overload(least_objective_s, now)
 
     def expected_response_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
-        """Return how long one more request would take, what is queued here included.
+        """Return how long one more request would take, including the queue in this gateway.
 
         Parameters
         ----------
         now : float
             Seconds on the caller's clock.
         fleet : FleetResponseTimes or None
-            In a large fleet, whose gateways' requests queue up at the node; None: only this gateway's own count.
+            Given in a large fleet, where requests of many gateways queue at the node; None: only requests of this
+            gateway count.
         """
-        ahead = len(self.in_flight) + self.queue.queued
-        own_s = self.mean_response_s() * (1 + ahead / self.concurrency.limit)
-        return own_s if fleet is None else own_s + self.queueing_delay_s(now, fleet)
+        requests_ahead = len(self.in_flight) + self.queue.queued
+        response_here_s = self.mean_response_s() * (1 + requests_ahead / self.concurrency.limit)
+        return response_here_s if fleet is None else response_here_s + self.queueing_delay_s(now, fleet)
 
     def done_in_s(self, units: float, now: float, fleet: FleetResponseTimes | None) -> float:
-        """Return how long a request of so many units takes from its send to its answer; `fleet` as above."""
+        """Return the time from send to answer of a request of so many units; `fleet` as in `expected_response_s`."""
         if fleet is None:
             return self.mean_response_s()
         return self.queueing_delay_s(now, fleet) + fleet.work_s_per_unit * units
 
     def queueing_delay_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
-        """Return the wait at the node: what its answers told, or the silence since, whichever is longer.
+        """Return the wait at the node: the one its answers showed, or the silence since then if that is longer.
 
         Parameters
         ----------
         now : float
             Seconds on the caller's clock.
         fleet : FleetResponseTimes or None
-            Old answers fade towards the usual wait at all nodes; None: towards no wait.
+            The estimate decays towards the usual wait at all nodes as the answers age; None: towards 0.
         """
         usual_wait_s = fleet.median_wait_s * decay(now - fleet.measured_at) if fleet else 0.0
         silence_s = now - self.health.last_answer_at - self.response_times.mean_s if self.in_flight else 0.0
--- a/fawnspool/scheduling/outliers.py
+++ b/fawnspool/scheduling/outliers.py
@@ -7,18 +7,18 @@
 
 from fawnspool.scheduling.interface import Outcome, Result
 
-FAILURES_TO_EJECT = 3  # in a row with no answer between: a lossy path shows single ones only
-SILENCE_MEAN_RESPONSES = 3.0  # without any answer, in mean responses: slow is not dead
-HALF_OPEN_MAX_BACKOFF_S = 1.0  # a recovered node is found within
+FAILURES_TO_EJECT = 3  # consecutive failures without an answer; a lossy path causes single ones only
+SILENCE_MEAN_RESPONSES = 3.0  # multiple of the mean response without any answer; shorter silence may be slowness
+HALF_OPEN_MAX_BACKOFF_S = 1.0  # bounds the time until a recovered node is noticed
 HALF_OPEN_MAX_DOUBLINGS = 8
-HALF_OPEN_MIN_JITTER = 0.8  # part of the backoff that is kept at least
+HALF_OPEN_MIN_JITTER = 0.8  # least part of the backoff that jitter leaves
 
 
 def is_failure(outcome: Outcome, is_silent: bool) -> bool:
-    """Return whether an attempt's end speaks against its node.
+    """Return whether an attempt's outcome counts as a failure of its node.
 
-    A reset of a reused connection doesn't: a path that cuts idle connections cuts many at once, and the next one,
-    which is new, shows what the node does. A time-out does only where nothing was heard of the node since the send.
+    A reset of a reused connection does not count: a path that drops idle connections drops many at once, and the next
+    connection, which is new, shows the node's state. A timeout counts only if the node has been silent since the send.
     """
     if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
         return not outcome.reused_connection
@@ -26,27 +26,27 @@
 
 
 def max_silence_s(least_objective_s: float, mean_response_s: float) -> float:
-    """Return for how long a node with requests in flight may be silent."""
+    """Return for how long a node with requests in flight may be silent before that counts as failures."""
     return SILENCE_MEAN_RESPONSES * max(least_objective_s / 2, mean_response_s)
 
 
 @dataclass(slots=True)
 class NodeHealth:
-    """What speaks against one node.
+    """The consecutive failures of one node.
 
     Attributes
     ----------
     failures : int
-        In a row, with no answer between.
+        Failures in a row, without an answer between them.
     last_answer_at : float
-        From when its silence counts: its last answer, a send after an idle time, or the last failure that was counted,
-        so that one silence is not counted again at each check.
+        The time from which the node's silence is measured: its last answer, a send after an idle time, or the last
+        counted failure, so that one silence is not counted again at each check.
     next_trial_at : float
-        While it is ejected: when one request may try it.
+        While the node is ejected: when one request may be sent to it as a trial.
     refused_connection : bool
-        It took no connection since it last answered.
+        The node has refused a connection since its last answer.
     failing_since : float
-        When it last began to fail.
+        When the current or last series of failures began.
     """
 
     failures: int = 0
@@ -56,17 +56,17 @@
     failing_since: float = 0.0
 
     def is_ejected(self) -> bool:
-        """Return whether only trials may go to the node."""
+        """Return whether the node is ejected, so that only trials may be sent to it."""
         return self.failures >= FAILURES_TO_EJECT
 
     def reset(self, now: float) -> None:
-        """Start anew: another node serves the shard."""
+        """Clear the failures, as another node serves the shard."""
         self.failures = 0
         self.refused_connection = False
         self.last_answer_at = now
 
     def record_failures(self, count: int, now: float, connect_timeout_s: float, random: Random) -> None:
-        """Count failures; an ejected node's next trial comes after a backoff that doubles with each."""
+        """Count failures; an ejected node's next trial is due after a backoff that doubles with each failure."""
         if not self.failures:
             self.failing_since = now
         self.failures += count
@@ -78,19 +78,19 @@
         self.next_trial_at = now + backoff_s * random.uniform(HALF_OPEN_MIN_JITTER, 1.0)
 
     def record_refused_connection(self) -> None:
-        """Note that it took no connection, so that it may be restarting."""
+        """Record that the node refused a connection, so that it may be restarting."""
         self.refused_connection = True
 
     def record_first_send(self, now: float) -> None:
-        """Let its silence begin now, as nothing was in flight there before."""
+        """Measure the node's silence from now on, as nothing was in flight there before."""
         self.last_answer_at = now
 
     def schedule_trial(self, at: float) -> None:
-        """Let the next trial come at a time that others drew."""
+        """Set the time of the next trial, which the caller chose."""
         self.next_trial_at = at
 
     def record_answer(self, now: float) -> None:
-        """Forget all failures."""
+        """Clear all failures."""
         self.last_answer_at = now
         self.failures = 0
         self.refused_connection = False
--- a/fawnspool/scheduling/pending_request.py
+++ b/fawnspool/scheduling/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that this gateway has taken, and its attempts at nodes."""
+"""A request that this gateway has accepted, and its attempts at nodes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Rank(IntEnum):
-    """Which requests are given up first in a shortage: those of the highest rank."""
+    """The order in which requests are shed under overload, highest rank first."""
 
     WITHIN_RESERVE = 0
     BEYOND_RESERVE = 1
-    LATE = 2  # past its latency objective whatever is done
+    LATE = 2  # certain to miss its latency objective
 
 
 @dataclass(slots=True, eq=False)
@@ -28,20 +28,20 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request from its arrival until nothing of it is in flight any more.
+    """A request from its arrival until none of its attempts is in flight any more.
 
     Attributes
     ----------
     expires_at : float
         When its client gives up.
     due_at : float
-        Until when it has its class's full priority weight; of a late request, until when it has any.
+        End of the request's full priority weight; for a late request, the end of any weight.
     shard : int or None
-        The shard in whose queue it was last.
+        The shard in whose queue the request was last.
     order_key : int or None
-        Requests with the same key run one at a time, in turn.
+        Requests with the same key run one at a time, in order of arrival.
     is_answered : bool
-        Its final answer is out, or its client has left.
+        The final answer was given, or the client has disconnected.
     """
 
     request: Request
@@ -57,7 +57,7 @@
     attempts: list[Attempt] = field(default_factory=list)
 
     def extent_of_volume(self) -> tuple[int, int]:
-        """Return the volume and the extent that it is about."""
+        """Return the volume and extent of the request."""
         return self.request.volume, self.request.extent
 
     def ambiguous_attempts(self) -> list[Attempt]:
--- a/fawnspool/scheduling/retries.py
+++ b/fawnspool/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""Retries: whether a request may go, or go again, to a node, and whether it may be rejected."""
+"""Retry policy: whether a request may be sent or retried at a node, and whether it may be rejected."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from fawnspool.scheduling.interface import DeduplicationScope, Endpoint, Idempotence, Settings
 from fawnspool.scheduling.pending_request import Attempt, PendingRequest
 
-CLOCK_MARGIN_TICKS = 2  # of the caller's clock, by which a deduplication window counts as shorter
+CLOCK_MARGIN_TICKS = 2  # ticks of the caller's clock by which a deduplication window is taken to be shorter
 
 
 class RetryBudget:
-    """Retries of all requests, kept within a ratio of the requests taken lately, where the settings ask for it."""
+    """Limits retries to a ratio of the recent requests, if the settings have a retry budget."""
 
     def __init__(self, settings: Settings) -> None:
         self._minimum = settings.retry_budget_minimum
@@ -22,17 +22,17 @@
         self._retries_at = deque[float]()
 
     def record_request(self, now: float) -> None:
-        """Count a request taken."""
+        """Count an accepted request."""
         if self._minimum is not None:
             self._requests_at.append(now)
 
     def record_retry(self, now: float) -> None:
-        """Count a further attempt."""
+        """Count a retry."""
         if self._minimum is not None:
             self._retries_at.append(now)
 
     def allows_retry(self, now: float) -> bool:
-        """Return whether one more attempt stays within the budget."""
+        """Return whether one more retry is within the budget."""
         if self._minimum is None:
             return True
         for times in (self._requests_at, self._retries_at):
@@ -42,16 +42,16 @@
 
 
 class RetryPolicy:
-    """The rules of the requests' idempotence, and the limits on attempts."""
+    """Decides on retries and rejections by idempotence, and enforces the limits on attempts."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.budget = RetryBudget(settings)
 
     def may_reject(self, pending: PendingRequest) -> bool:
-        """Return whether the request may be rejected, which tells its client that it may repeat it.
+        """Return whether the request may be rejected, which permits its client to repeat it.
 
-        That holds where no attempt may have run, or where a repeat does no harm whichever node it comes to.
+        This holds if no attempt may have run, or if a repeat does no harm at any node.
         """
         if not pending.ambiguous_attempts():
             return True
@@ -63,9 +63,10 @@
     def may_send(self, pending: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
         """Return whether a request may go to this node now.
 
-        Not while an earlier attempt is open, unless the settings allow hedging (no rule here starts a hedged request);
-        not beyond the attempts and the budget. What may have run goes again only where that does no harm: a request
-        with a key within its deduplication window, to nodes that drop each other's repeats.
+        No attempt is sent while an earlier one is open, unless the settings allow hedging (no rule here starts a
+        hedged request), nor beyond the limit on attempts or the retry budget. A request that may have run is repeated
+        only if that does no harm: if it is idempotent, or if it has a key, within its deduplication window and at nodes
+        that drop each other's repeats.
         """
         settings = self._settings
         if pending.has_open_attempt() and not settings.hedging:
@@ -83,7 +84,7 @@
         return _drops_repeats(request_class.deduplication_scope, ambiguous, node, endpoints)
 
     def write_within_s(self, pending: PendingRequest, now: float) -> float:
-        """Return how soon a further attempt must be wholly written, lest it outlive the window; 0: no such bound."""
+        """Return the time within which a retry must be written to fit its deduplication window; 0: no bound."""
         if pending.request_class.idempotence is not Idempotence.WITH_KEY:
             return 0.0
         ambiguous = pending.ambiguous_attempts()
@@ -99,13 +100,13 @@
 def _drops_repeats(
     scope: DeduplicationScope, ambiguous: list[Attempt], node: int, endpoints: Mapping[int, Endpoint]
 ) -> bool:
-    """Return whether the node drops a repeat of what may have run at the attempts' nodes."""
+    """Return whether the node drops a repeat of a request that may have run in these attempts."""
     nodes = {attempt.node for attempt in ambiguous}
     if scope is DeduplicationScope.ALL or nodes == {node}:
         return True
-    known = [endpoints.get(other) for other in (*nodes, node)]
+    node_endpoints = [endpoints.get(other) for other in (*nodes, node)]
     groups = set[int]()
-    for endpoint in known:
+    for endpoint in node_endpoints:
         if endpoint is None:
             return False
         groups.add(endpoint.zone if scope is DeduplicationScope.ZONE else endpoint.shard)
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -1,7 +1,7 @@
-"""The decisions of one gateway: which request goes to which node when, and which is rejected.
+"""The scheduler of one gateway, which decides when and where each request is sent, and which ones are rejected.
 
-The scheduler takes one event at a time and answers with actions; it reads no clock and does no I/O. Here are the
-dispatch of events, the requests in flight and the timers. Each rule has a module of its own: see docs/design.md.
+The scheduler handles one event at a time and returns actions; it reads no clock and does no I/O. This module holds the
+dispatch of events, the requests in flight and the timers. Each scheduling rule has its own module: see docs/design.md.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
 from fawnspool.scheduling.retries import RetryPolicy
 from fawnspool.scheduling.timer_tokens import CHECK_TOKEN, POLL_TOKEN, expiry_token, request_of_token
 
-CHECKS_PER_OBJECTIVE = 8  # of all queues within the least latency objective: a late check costs an eighth of it
-EXPIRY_LEAD_TICKS = 3  # of the caller's clock, by which a queued request's timer comes before its client gives up
+CHECKS_PER_OBJECTIVE = 8  # checks of all queues per least latency objective: a late check costs an eighth of it
+EXPIRY_LEAD_TICKS = 3  # ticks of the caller's clock by which a queued request's timer precedes its client's timeout
 EXPIRY_MARGIN_TICKS = 4
 
 NEVER_RAN = (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_SENT)
@@ -60,14 +60,14 @@
 
 
 class Scheduler:
-    """One gateway's decisions: the same events give the same actions.
+    """Schedules one gateway's requests; it is deterministic: the same events give the same actions.
 
     Parameters
     ----------
     settings : Settings
-        What the platform and its nodes are like.
+        Properties of the platform and its nodes.
     seed : int
-        Of all random draws.
+        Seed of all random draws.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -83,15 +83,15 @@
         self.max_limit = max_limit_requests(settings)
         self.endpoints = EndpointList(settings)
         self.node_queues = dict[int, NodeQueue]()
-        self.busy = dict[int, NodeQueue]()  # those with something queued or in flight
-        self.served_queues = list[NodeQueue]()  # those of shards that have a node
+        self.busy = dict[int, NodeQueue]()  # queues with requests queued or in flight
+        self.served_queues = list[NodeQueue]()  # queues of shards that have a node
         self.fleet_times = FleetResponseTimes()
-        self._queueing_fleet = self.fleet_times if self.is_large_fleet else None
+        self._fleet_times_if_large = self.fleet_times if self.is_large_fleet else None
         self.rate_limits = RateLimits(settings, self.least_objective_s, self.check_interval_s, self.random)
         self.delay_limit = admission.QueueingDelayLimit(settings, self.least_objective_s, self.random)
         self.retries = RetryPolicy(settings)
         self.order = RequestOrder()
-        self._started_at: float | None = None  # at its first event
+        self._started_at: float | None = None  # time of the first event
         self._is_check_scheduled = False
         self._handlers: dict[type, Callable[[Any], None]] = {
             EndpointUpdate: self._on_endpoint_update,
@@ -105,14 +105,14 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take in an event, and return what is to be done, in order.
+        """Handle an event, and return the resulting actions in order.
 
         Parameters
         ----------
         now : float
             Seconds on the caller's monotonic clock.
         event : Event
-            Kinds that tell nothing needed here are ignored.
+            The event; kinds that no rule uses are ignored.
         """
         self.now = now
         self.actions = []
@@ -125,7 +125,7 @@
         return self.actions
 
     def consecutive_failures(self) -> list[tuple[int, int]]:
-        """Return the busy nodes that failed lately, and how often in a row."""
+        """Return the busy nodes with recent failures, and their numbers of consecutive failures."""
         return [
             (node_queue.node, node_queue.health.failures)
             for node_queue in self.busy.values()
@@ -141,7 +141,7 @@
             return
         ready = self.endpoints.update(event)
         is_cached = event.kind is UpdateKind.CACHED
-        if is_cached:  # it may be old
+        if is_cached:  # a cached list may be old, so a current one is requested
             self.actions.append(self.endpoints.poll())
         for shard in sorted(ready.keys() | self.node_queues.keys()):
             node_queue = self._node_queue(shard)
@@ -190,7 +190,7 @@
             self._admit(pending, node_queue, at_front=False)
 
     def _is_rejected_on_arrival(self, pending: PendingRequest, node_queue: NodeQueue) -> bool:
-        if pending.rank is Rank.LATE and node_queue.queue.queued:  # others, that can be in time, wait there
+        if pending.rank is Rank.LATE and node_queue.queue.queued:  # requests that can still be in time wait there
             return True
         if not self.is_large_fleet:
             return False
@@ -198,17 +198,17 @@
         return self.delay_limit.rejects(pending, node_queue, usage, self.fleet_times, self.now)
 
     def _admit(self, pending: PendingRequest, node_queue: NodeQueue, at_front: bool) -> None:
-        """Queue a request, and send what may go. What stays queued ends just before its client gives up."""
+        """Queue a request and serve the queue; if it stays queued, set a timer that expires it in time."""
         self._enqueue(pending, node_queue, at_front)
         self._serve_queue(node_queue)
         self._schedule_check()
-        left_s = pending.expires_at - self.now - EXPIRY_LEAD_TICKS * self.settings.clock_tick_s
+        timer_delay_s = pending.expires_at - self.now - EXPIRY_LEAD_TICKS * self.settings.clock_tick_s
         if not pending.is_queued:
             return
-        if left_s <= 0:
+        if timer_delay_s <= 0:
             self._give_up(pending)
         else:
-            self.actions.append(SetTimer(left_s, expiry_token(pending.request.id)))
+            self.actions.append(SetTimer(timer_delay_s, expiry_token(pending.request.id)))
             self._request_units(pending)
 
     def _limiter(self, pending: PendingRequest) -> RateLimiter:
@@ -237,7 +237,7 @@
         return None if pending.shard is None else self.node_queues[pending.shard]
 
     def _serve_queue(self, node_queue: NodeQueue) -> None:
-        """Send while the node's limit has room, as only answers show how it fares; then shed what comes too late."""
+        """Send within the concurrency limit, as only answers show the node's state; then shed late requests."""
         queue = node_queue.queue
         while queue.queued:
             pending = queue.next(partial(self._may_send, node_queue), node_queue.mean_response_s())
@@ -254,15 +254,15 @@
             and bool(pending.plan.rate_limit)
             and self._limiter(pending).tokens < pending.request.units
         )
-        if not is_its_turn or is_rate_limited or not self._may_be_fed(node_queue):
+        if not is_its_turn or is_rate_limited or not self._slow_start_allows(node_queue):
             return False
         if not pending.attempts:
             return True
-        if node_queue.node is None:  # it waits for the next node, unless it must not be repeated at all
+        if node_queue.node is None:  # the retry waits for the next node, unless it must not be repeated at all
             return self.retries.may_reject(pending)
         return self.retries.may_send(pending, node_queue.node, self.now, self.endpoints.nodes)
 
-    def _may_be_fed(self, node_queue: NodeQueue) -> bool:
+    def _slow_start_allows(self, node_queue: NodeQueue) -> bool:
         assert self._started_at is not None
         return node_queue.slow_start.may_send(self.now, self._started_at, self.settings, self.random)
 
@@ -282,19 +282,19 @@
         node_queue.queue.record_send(pending)
         write_within_s = self.retries.write_within_s(pending, self.now)
         pending.attempts.append(Attempt(node_queue.node, self.now))
-        # Past its due time it would only keep others waiting: nodes drop what is out of time, or stop it.
+        # Past its due time the request would only delay others: nodes drop or stop a request after its timeout.
         timeout_s = max(pending.due_at - self.now, self.check_interval_s)
         self.actions.append(Send(request_id, node_queue.node, timeout_s, write_within_s))
 
     def _shed_load(self, node_queue: NodeQueue) -> None:
-        """While some queued request would be late, give up the one of least value of those before it."""
+        """While some queued request would be late, drop the least valuable of it and those before it."""
         mean_units = self.settings.mean_units
         while node_queue.queue.queued:
-            done_in_s = node_queue.done_in_s(mean_units, self.now, self._queueing_fleet)
+            done_in_s = node_queue.done_in_s(mean_units, self.now, self._fleet_times_if_large)
             if load_shedding.all_are_in_time(node_queue, done_in_s, mean_units, self.now):
                 break
-            plan = load_shedding.forecast(node_queue, done_in_s, mean_units, self._tokens, self.now)
-            victim = load_shedding.choose_victim(plan)
+            predicted = load_shedding.forecast(node_queue, done_in_s, mean_units, self._tokens, self.now)
+            victim = load_shedding.choose_victim(predicted)
             if victim is None:
                 break
             self._give_up(victim)
@@ -303,13 +303,13 @@
         return self._limiter(pending).tokens
 
     def _expected_response_s(self, node_queue: NodeQueue) -> float:
-        return node_queue.expected_response_s(self.now, self._queueing_fleet)
+        return node_queue.expected_response_s(self.now, self._fleet_times_if_large)
 
     def _choose_node(self) -> NodeQueue | None:
-        return choose_node(self.served_queues, self._may_be_fed, self._expected_response_s, self.random)
+        return choose_node(self.served_queues, self._slow_start_allows, self._expected_response_s, self.random)
 
     def _move_new_objects(self, node_queue: NodeQueue) -> None:
-        """Queue new objects that wait for a node which takes nothing at another."""
+        """Move requests for new objects from the queue of an unavailable node to other nodes."""
         for pending in node_queue.queue.requests():
             if not pending.request.is_new_object or pending.ambiguous_attempts():
                 continue
@@ -343,9 +343,9 @@
     def _record_attempt_end(
         self, node_queue: NodeQueue, pending: PendingRequest, event: Outcome, attempt: Attempt
     ) -> None:
-        """Take in what an attempt's end shows of its node."""
+        """Update the node's state from the outcome of an attempt."""
         node_queue.queue.record_end(pending.request.volume)
-        # Otherwise the node was heard of since: the attempt was lost on its way.
+        # A node that has answered since the send is not silent: the attempt was lost on its way.
         is_silent = event.result is Result.TIMED_OUT and node_queue.health.last_answer_at <= attempt.sent_at
         if is_failure(event, is_silent):
             if event.result is Result.CONNECT_FAILED:
@@ -356,16 +356,16 @@
         if event.result is Result.OVERLOADED:
             node_queue.record_overload(self.least_objective_s, self.now)
         elif event.result is Result.SERVED or is_silent:
-            took_s = self.now - attempt.sent_at
-            if is_silent:  # whoever was in its queue waits longer than that
-                took_s += node_queue.response_times.wait_s
+            response_s = self.now - attempt.sent_at
+            if is_silent:  # requests queued at the node wait longer than that
+                response_s += node_queue.response_times.wait_s
             else:
                 node_queue.slow_start.record_served(pending.request.units)
-            node_queue.record_response(pending, took_s, self.target_response_s, self.fleet_times, self.now)
+            node_queue.record_response(pending, response_s, self.target_response_s, self.fleet_times, self.now)
         node_queue.queue.shift_tags(self.now)
 
     def _retry_or_give_up(self, pending: PendingRequest, node_queue: NodeQueue, result: Result) -> None:
-        """Nothing of the request is in flight, and it is still owed an answer."""
+        """Retry a request that has no attempt in flight and is still owed an answer, or give it up."""
         is_movable = pending.request.is_new_object and not pending.ambiguous_attempts()
         if is_movable and not node_queue.is_available():
             node_queue = self._choose_node() or node_queue
@@ -381,7 +381,7 @@
             self._give_up(pending)
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """Send the final answer at once: a rejection wherever one is allowed, with advice when to come again."""
+        """Give the final answer at once: a rejection, with a retry delay, wherever one is allowed; else a failure."""
         if pending.rank is Rank.WITHIN_RESERVE and not pending.attempts:
             self._limiter(pending).return_reserve(pending.request.units)
         if self.retries.may_reject(pending):
@@ -391,7 +391,7 @@
         self._finish(pending)
 
     def _retry_after_s(self, pending: PendingRequest) -> float:
-        """Return when what is queued at its node will have left; 0: no advice."""
+        """Return the time in which the queue at the request's node should be served; 0: no advice."""
         if not self.settings.sends_retry_after:
             return 0.0
         node_queue = self._queue_of(pending)
@@ -400,7 +400,7 @@
         return min(self._expected_response_s(node_queue), self.settings.max_retry_after_s)
 
     def _finish(self, pending: PendingRequest) -> None:
-        """Send nothing more for a request, cancel what is in flight, and forget it once nothing is."""
+        """Stop sending a request, cancel its attempts in flight, and drop it once none is left."""
         node_queue = self._queue_of(pending)
         if pending.is_queued and node_queue is not None:
             self._dequeue(pending, node_queue)
@@ -437,7 +437,7 @@
         node_queue.health.record_answer(self.now)
 
     def _on_gossiped_health(self, event: GossipedHealth) -> None:
-        """Take other gateways' evidence, weighed by whoever passes it on, as this gateway's own."""
+        """Treat other gateways' health evidence, which the caller has weighed, as this gateway's own."""
         endpoint = self.endpoints.nodes.get(event.node)
         node_queue = self.node_queues.get(endpoint.shard) if endpoint else None
         if node_queue is None or node_queue.node != event.node:
@@ -478,11 +478,11 @@
             self._check_queues()
         else:
             request_id = request_of_token(event.token)
-            assert request_id is not None  # all other tokens are a request's
+            assert request_id is not None  # every other token belongs to a request
             self._expire(request_id)
 
     def _expire(self, request_id: int) -> None:
-        """Give a queued request up just before its client does."""
+        """Give up a queued request just before its client does."""
         pending = self.requests.get(request_id)
         if pending is None or not pending.is_queued:
             return
@@ -490,15 +490,15 @@
             self._give_up(pending)
 
     def _check_queues(self) -> None:
-        """Do what only the passing of time brings about."""
+        """Run the periodic check: silent nodes, late requests, queues that may send again, and expired state."""
         self._is_check_scheduled = False
         for node_queue in self._busy_by_shard():
             self._check_silence(node_queue)
-            self._check_waiting(node_queue)
+            self._check_waiting_requests(node_queue)
         for node_queue in self._busy_by_shard():
             self._serve_queue(node_queue)
             if not node_queue.queue.queued and not node_queue.in_flight:
-                node_queue.queue.forget_active()
+                node_queue.queue.clear_active()
                 del self.busy[node_queue.shard]
         self.rate_limits.forget_idle_volumes(self.now)
         self.order.forget_pauses(self.now)
@@ -511,11 +511,13 @@
     def _check_silence(self, node_queue: NodeQueue) -> None:
         if not node_queue.in_flight or not node_queue.is_available():
             return
-        max_s = max_silence_s(self.least_objective_s, node_queue.response_times.mean_s)
-        if self.now - node_queue.health.last_answer_at > max_s:  # each unanswered attempt is one failure
+        allowed_silence_s = max_silence_s(self.least_objective_s, node_queue.response_times.mean_s)
+        if (
+            self.now - node_queue.health.last_answer_at > allowed_silence_s
+        ):  # each attempt in flight counts as one failure
             self._record_failures(node_queue, min(FAILURES_TO_EJECT, len(node_queue.in_flight)))
 
-    def _check_waiting(self, node_queue: NodeQueue) -> None:
+    def _check_waiting_requests(self, node_queue: NodeQueue) -> None:
         for pending in node_queue.queue.requests():
             if self.now + self.check_interval_s > pending.due_at and not node_queue.is_available():
                 self._give_up(pending)
--- a/fawnspool/scheduling/slow_start.py
+++ b/fawnspool/scheduling/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what this gateway may send a node that may just have started."""
+"""Slow start: the rate at which this gateway may send to a node that may just have started."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True)
 class SlowStart:
-    """The credit of one node.
+    """The send credit of one node, which limits sends while the node may be warming up.
 
-    An answer gives its units back, so sends follow what the node does. Beyond that the credit grows by a part of what
-    this gateway had served there; what all gateways had served is at most what such a node bore, so their sum stays
-    within the settings' overload multiple of the node's present power.
+    Each served request returns its units to the credit, so sends follow the node's throughput. In addition the credit
+    grows at a part of the rate that this gateway had served there before. All gateways together had served at most
+    what such a node can serve, so their sum stays within the settings' overload multiple of its present capacity.
 
     Attributes
     ----------
     started_at : float or None
-        Latest time at which the node may have started cold; None: it is warm.
+        Latest time at which the node may have started cold; None: the node is warm.
     is_start_assumed : bool
-        No endpoint list tells of that start: a cached one proves no age.
+        The start is assumed, as no endpoint list reports it: a cached list does not prove a node's age.
     served_units : float
-        Since this gateway's start.
+        Units served since this gateway's start.
     credit_units : float
-        At 0 or more the next request may go.
+        The next request may be sent while this is 0 or more.
     credited_at : float
         When the credit last grew.
     """
@@ -37,66 +37,67 @@
     credited_at: float = 0.0
 
     def assume_restarted(self, now: float) -> None:
-        """The node may have restarted while it was away, unseen by the endpoint list."""
+        """Assume a restart now: the node may have restarted while unreachable, unnoticed by the endpoint list."""
         if self.started_at is None:
             self.started_at = now
 
     def assume_warm(self) -> None:
-        """Another node serves the shard; the endpoint list tells of its start."""
+        """Treat the node as warm: another node serves the shard now, and the endpoint list reports its start."""
         self.started_at = None
 
     def record_listed_start(
         self, listed_at: float, now: float, is_cached: bool, supersedes: bool, settings: Settings
     ) -> None:
-        """Take in what an endpoint list tells of the node's start.
+        """Record the node's start as an endpoint list reports it.
 
         Parameters
         ----------
         listed_at : float
-            The start as listed; 0: long ago.
+            The listed start; 0: long ago.
         now : float
             Seconds on the caller's clock.
         is_cached : bool
-            The list is a cached one: it proves no age.
+            The list is a cached one, which does not prove the node's age.
         supersedes : bool
-            The list settles what was assumed; not where the node was away after the listed start.
+            The list replaces an assumed start; it does not if the node failed after the listed start.
         settings : Settings
-            How long a node takes to warm up.
+            The settings that state how long a node takes to warm up.
         """
-        is_young = listed_at > 0 and now - listed_at < settings.warm_up_s + settings.overload_window_s
-        self.is_start_assumed = is_cached and not is_young
+        started_recently = listed_at > 0 and now - listed_at < settings.warm_up_s + settings.overload_window_s
+        self.is_start_assumed = is_cached and not started_recently
         if self.is_start_assumed:
             self.started_at = now
         elif supersedes or self.started_at is None:
-            self.started_at = min(listed_at, now) if is_young else None
+            self.started_at = min(listed_at, now) if started_recently else None
 
     def record_send(self, units: float) -> None:
         """Draw the units of a request."""
         self.credit_units -= units
 
     def record_served(self, units: float) -> None:
-        """Give units back: what the node served it can bear again."""
+        """Return units to the credit: the node can serve again what it has just served."""
         self.served_units += units
         self.credit_units += units
 
     def may_send(self, now: float, gateway_started_at: float, settings: Settings, random: Random) -> bool:
-        """Return whether one more request may go, letting the credit grow first.
+        """Return whether one more request may be sent, after growing the credit up to now.
 
-        Of what this gateway had served, the part that is warm counts, times half of what the multiple leaves above
-        one; the other half is for chance. A gateway that is younger than the node has its even part of half of what
-        such a node surely bears. Credits begin at drawn points, so that gateways don't begin together; where no list
-        tells of the start, with one request at once.
+        The credit grows at the rate that this gateway had served, times the warm part of the node's capacity, times
+        half of the overload multiple's margin above 1; the other half is kept for random variation. A gateway that
+        started after the node gets at least an even share of half of what a cold node can always serve. Initial
+        credits are random so that the gateways do not begin at the same time; if the start is assumed, one request
+        may be sent at once.
 
         Parameters
         ----------
         now : float
             Seconds on the caller's clock.
         gateway_started_at : float
-            From when on this gateway counts what it served.
+            Time from which this gateway counts the units it served.
         settings : Settings
-            What a node that starts cold bears.
+            The settings that state the load a cold node can serve.
         random : Random
-            Draws the point at which the credit begins.
+            Generator of the initial credit.
         """
         if self.started_at is None:
             return True
@@ -106,8 +107,8 @@
             return True
         if self.credited_at < self.started_at - settings.overload_window_s:
             self.credited_at = self.started_at - settings.overload_window_s
-            drawn = random.random()
-            self.credit_units = 0.0 if self.is_start_assumed else -settings.mean_units * drawn
+            jitter = random.random()
+            self.credit_units = 0.0 if self.is_start_assumed else -settings.mean_units * jitter
         growth_units_per_s = self._growth_units_per_s(age_s, self.started_at, gateway_started_at, settings)
         self.credit_units = min(0.0, self.credit_units + growth_units_per_s * (now - self.credited_at))
         self.credited_at = now
@@ -117,8 +118,8 @@
         self, age_s: float, started_at: float, gateway_started_at: float, settings: Settings
     ) -> float:
         usual_units_per_s = self.served_units / max(started_at - gateway_started_at, settings.warm_up_s)
-        cold = settings.initial_capacity_fraction
-        warm_fraction = cold + (1 - cold) * max(0.0, age_s) / settings.warm_up_s
-        even_part = settings.slow_start_units / 2 / settings.overload_window_s / settings.gateway_count
-        sure_units_per_s = even_part if gateway_started_at > started_at else 0.0
-        return max((settings.overload_multiple - 1) / 2 * warm_fraction * usual_units_per_s, sure_units_per_s)
+        cold_fraction = settings.initial_capacity_fraction
+        warm_fraction = cold_fraction + (1 - cold_fraction) * max(0.0, age_s) / settings.warm_up_s
+        even_share_units_per_s = settings.slow_start_units / 2 / settings.overload_window_s / settings.gateway_count
+        guaranteed_units_per_s = even_share_units_per_s if gateway_started_at > started_at else 0.0
+        return max((settings.overload_multiple - 1) / 2 * warm_fraction * usual_units_per_s, guaranteed_units_per_s)
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -45,13 +45,13 @@
 
 def all_are_in_time(scheduler: Scheduler, node_queue: NodeQueue) -> bool:
     mean_units = scheduler.settings.mean_units
-    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._queueing_fleet)
+    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._fleet_times_if_large)
     return load_shedding.all_are_in_time(node_queue, done_in_s, mean_units, scheduler.now)
 
 
 def forecast(scheduler: Scheduler, node_queue: NodeQueue) -> load_shedding.Forecast:
     mean_units = scheduler.settings.mean_units
-    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._queueing_fleet)
+    done_in_s = node_queue.done_in_s(mean_units, scheduler.now, scheduler._fleet_times_if_large)
     return load_shedding.forecast(node_queue, done_in_s, mean_units, scheduler._tokens, scheduler.now)
 
 
