--- a/fawnspool/adapter/__init__.py
+++ b/fawnspool/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions behind the simulator's wire."""
+"""Adapter that connects the scheduler to the simulator's wire protocol."""
--- a/fawnspool/adapter/__main__.py
+++ b/fawnspool/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fawnspool.adapter`: the scheduler on the simulator's wire."""
+"""`python -m fawnspool.adapter`: serves the scheduler on the simulator's wire protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Serve standard input, and return the exit code: 2 where a frame did not read."""
+    """Serve standard input, and return the exit code: 2 after a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/fawnspool/adapter/host.py
+++ b/fawnspool/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts many schedulers on one wire; each knows only its own events."""
+"""Hosts many schedulers on one wire; each receives only its own events."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Host:
-    """The schedulers of this process, by the number of their instance."""
+    """The schedulers of this process, by instance number."""
 
     def __init__(self) -> None:
         self.schedulers: dict[int, Scheduler] = {}
 
     def batch(self, now: float, events: list[tuple[int, wire.WireEvent]]) -> list[tuple[int, wire.WireAction]]:
-        """Return all actions of one batch, an instance's in the order of its events.
+        """Return the actions of one batch, in the order of the events that caused them.
 
-        An instance whose settings do not read, or whose scheduler raises, answers with a Crash.
+        An instance with invalid settings, or whose scheduler raises, answers with a Crash.
         """
         replies: list[tuple[int, wire.WireAction]] = []
         for instance, event in events:
@@ -27,7 +27,7 @@
                 replies.extend((instance, action) for action in self._handle(now, instance, event))
             except SettingsError as error:
                 replies.append((instance, wire.Crash(str(error))))
-            except Exception as error:  # the simulator is told of any error in the decisions
+            except Exception as error:  # every error of a scheduler is reported to the simulator
                 replies.append((instance, wire.Crash(f"{type(error).__name__}: {error}")))
         return replies
 
@@ -43,12 +43,12 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch until the input ends.
+    """Answer batches until the input ends.
 
     Raises
     ------
     WireError
-        A frame does not read.
+        A frame is malformed.
     """
     host = Host()
     while (batch := wire.read_batch(source)) is not None:
--- a/fawnspool/adapter/settings.py
+++ b/fawnspool/adapter/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings, as lines of the wire or as JSON, read into the scheduler's own Settings.
+"""Reads the platform's settings, as lines of the wire or as JSON, into the scheduler's Settings.
 
-The platform's keys stand here and nowhere else.
+The platform's keys appear only in this module.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SettingsError(Exception):
-    """A needed setting is missing or does not read; the text names it by the platform's path."""
+    """A required setting is missing or invalid; the message names it by the platform's path."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"setting {path} {problem}")
@@ -33,25 +33,25 @@
     Raises
     ------
     SettingsError
-        A needed setting is missing, or a value does not read.
+        A required setting is missing, or a value is invalid.
     """
     pairs = dict(line.split("=", 1) for line in text.splitlines() if "=" in line)
     return _settings(_SettingsReader(pairs))
 
 
 def read_tree(tree: Mapping[str, Any]) -> Settings:
-    """Return the same from the object as JSON holds it.
+    """Return the settings of one gateway from the object that the JSON form holds.
 
     Raises
     ------
     SettingsError
-        A needed setting is missing, or a value does not read.
+        A required setting is missing, or a value is invalid.
     """
     return _settings(_SettingsReader(dict(_flatten("", tree))))
 
 
 def _flatten(path: str, value: Any) -> Iterator[tuple[str, str]]:
-    """Yield path and value as the wire's lines have them: plain lists joined by commas, others by number and count."""
+    """Yield the paths and values of the wire's lines; lists of plain values are joined by commas, others are numbered."""
     if isinstance(value, Mapping):
         for name, part in value.items():
             yield from _flatten(f"{path}.{name}" if path else str(name), part)
@@ -70,7 +70,7 @@
 
 
 class _SettingsReader:
-    """Settings by path, each read as the kind that is wanted; without a default a setting is needed."""
+    """Reads settings by path as a given type; a setting without a default is required."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
@@ -95,7 +95,7 @@
         return value
 
     def positive_number(self, path: str) -> float:
-        """Return a number that others divide by, or wait for."""
+        """Return a number above 0, such as a divisor or a duration."""
         value = self.number(path)
         if value <= 0:
             raise SettingsError(f"{path}:", f"expected a number above 0, found {value:g}")
@@ -105,7 +105,7 @@
         return int(self.number(path, default))
 
     def count(self, path: str) -> int:
-        """Return the length of a list, 1 or more."""
+        """Return the length of a list, which must be at least 1."""
         value = self.integer(f"{path}.count", 0)
         if value < 1:
             raise SettingsError(f"{path}:", "expected at least one entry")
@@ -163,14 +163,14 @@
 
 
 def _retry_budget_minimum(reader: _SettingsReader) -> float | None:
-    """Return the retries that are always allowed, or None where the platform asks for no budget."""
+    """Return the number of retries that are always allowed, or None if the platform sets no budget."""
     if any(reader.has(key) for key in _RETRY_BUDGET_KEYS):
         return reader.number("guarantees.extra_free", 0.0)
     return None
 
 
 def _request_class(reader: _SettingsReader, number: int, writes: tuple[str, ...]) -> RequestClass:
-    """Return a request class; `writes` tells by number which classes write."""
+    """Return a request class; `writes` holds, by class number, whether the class writes."""
     path = f"classes.{number}."
     idempotence = reader.text(path + "repeat")
     if idempotence not in _IDEMPOTENCE:
--- a/fawnspool/adapter/wire.py
+++ b/fawnspool/adapter/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's binary frames, to and from the scheduler's events and actions.
+"""Codec between the simulator's binary frames and the scheduler's events and actions.
 
-A batch is a header, records of a fixed size and a tail for what has none. Each kind of record has a layout and a
-function here; nothing else knows the codes. `fawnspool/adapter/host.py` gives the records to their schedulers.
+A batch is a header, records of a fixed size, and a tail for data of variable size. Each kind of record has a layout
+and a function here; the codes appear only in this module. `fawnspool/adapter/host.py` passes events to schedulers.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 LAST_EVENT_CODE = 10
 
 _LENGTH = struct.Struct(">I")
-_BATCH_HEADER = struct.Struct(">Id")  # records, clock
-_REPLY_HEADER = struct.Struct(">II")  # records, bytes that follow
+_BATCH_HEADER = struct.Struct(">Id")  # number of records, clock
+_REPLY_HEADER = struct.Struct(">II")  # number of records, number of bytes that follow
 _ENDPOINT = struct.Struct(">IBHHBfd")
 _PHASES = {0: interface.Phase.GONE, 1: interface.Phase.READY, 2: interface.Phase.DRAINING}
 _UPDATE_KINDS = {
@@ -40,19 +40,19 @@
     70: interface.Result.CANCELLED,
     80: interface.Result.NOT_SENT,
 }
-_IS_CLIENT_RETRY = 2  # flags of a request
+_IS_CLIENT_RETRY = 2  # bits of a request's flags
 _WRITES = 4
 
 
 class WireError(Exception):
-    """A frame that does not read.
+    """A malformed frame.
 
     Parameters
     ----------
     offset : int
-        From the first byte of the frame.
+        Offset from the first byte of the frame.
     expected : str
-        What should have stood there, and what was found.
+        What was expected there, and what was found.
     """
 
     def __init__(self, offset: int, expected: str) -> None:
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A gateway comes up, with its settings as text and its seed."""
+    """A gateway starts, with its settings as text and its seed."""
 
     seed: int
     conf: str
@@ -69,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """The gateway was killed; all it knew is void."""
+    """The gateway was killed, and its state is lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The scheduler raised, or its settings do not read."""
+    """The scheduler raised an exception, or its settings are invalid."""
 
     text: str
 
@@ -87,12 +87,12 @@
 
 
 def read_batch(stream: BinaryIO) -> tuple[float, list[tuple[int, WireEvent]]] | None:
-    """Return the next batch as `decode` does, or None where the input ends between frames.
+    """Return the next batch as `decode` does, or None if the input ends between frames.
 
     Raises
     ------
     WireError
-        The input ends within a frame, or the frame does not read.
+        The input ends within a frame, or the frame is malformed.
     """
     header = _read_exactly(stream, _LENGTH.size, 0, "the length of a batch")
     if not header:
@@ -107,7 +107,7 @@
 
 
 def _read_exactly(stream: BinaryIO, count: int, offset: int, expected: str) -> bytes:
-    """Return exactly so many bytes, or none at the end of input."""
+    """Return exactly `count` bytes, or none at the end of the input."""
     data = stream.read(count)
     while data and len(data) < count:
         more = stream.read(count - len(data))
@@ -120,12 +120,12 @@
 def decode(body: bytes) -> tuple[float, list[tuple[int, WireEvent]]]:
     """Return the clock, in seconds, and the events of a batch's bytes after the length field.
 
-    Each event comes with the number of the instance that it is for.
+    Each event is preceded by the number of its instance.
 
     Raises
     ------
     WireError
-        A record does not read.
+        A record is malformed.
     """
     count, now = _BATCH_HEADER.unpack_from(body, 0)
     tail_start = _BATCH_HEADER.size + count * EVENT_SIZE
@@ -137,14 +137,14 @@
 
 @dataclass(slots=True)
 class _EventRecord:
-    """Where one record of a batch is.
+    """The position of one record in a batch.
 
     Attributes
     ----------
     body : bytes
-        Of the batch, without its length field.
+        The batch without its length field.
     start, tail_start : int
-        Offsets in the body, of the record and of the tail that all records share.
+        Offsets of the record and of the tail, which all records share, in the body.
     """
 
     body: bytes
@@ -152,7 +152,7 @@
     tail_start: int
 
     def offset(self) -> int:
-        """Return the record's offset in the frame, of which the length field is a part."""
+        """Return the record's offset in the frame, which includes the length field."""
         return self.start + _LENGTH.size
 
     def from_tail(self, offset: int, length: int) -> bytes:
@@ -222,10 +222,10 @@
 def _endpoint_update(
     record: _EventRecord, kind: int, version: int, offset: int, count: int
 ) -> interface.EndpointUpdate:
-    rows = record.from_tail(offset, count * _ENDPOINT.size)
+    encoded = record.from_tail(offset, count * _ENDPOINT.size)
     endpoints = tuple(
         interface.Endpoint(node, zone, node_kind, shard, _PHASES[phase], size, started_at)
-        for node, zone, node_kind, shard, phase, size, started_at in _ENDPOINT.iter_unpack(rows)
+        for node, zone, node_kind, shard, phase, size, started_at in _ENDPOINT.iter_unpack(encoded)
     )
     return interface.EndpointUpdate(_UPDATE_KINDS[kind], version, endpoints)
 
@@ -250,7 +250,7 @@
         result=_RESULTS[result],
         final=bool(is_final),
         units_by_others=units_by_others,
-        volume_usage=(usage_code - 1) / 100 if usage_code else None,  # 0: not told; else percent plus one
+        volume_usage=(usage_code - 1) / 100 if usage_code else None,  # 0: not reported; else percent plus one
         load_report=tuple(report) if has_report else None,
     )
 
@@ -289,19 +289,19 @@
 
 @dataclass(slots=True)
 class _Tail:
-    """What the records of a reply have of no fixed size."""
+    """The data of variable size in a reply's records."""
 
     data: bytearray = field(default_factory=bytearray)
 
-    def add(self, text: bytes) -> tuple[int, int]:
-        """Append a text, and return its offset and length."""
+    def add(self, content: bytes) -> tuple[int, int]:
+        """Append data, and return its offset and length."""
         offset = len(self.data)
-        self.data += text
-        return offset, len(text)
+        self.data += content
+        return offset, len(content)
 
 
 def encode(replies: list[tuple[int, WireAction]]) -> bytes:
-    """Return one reply frame; each action comes with the number of the instance that asks for it."""
+    """Return one reply frame from the actions, each with the number of its instance."""
     tail = _Tail()
     records = bytearray()
     for instance, action in replies:
--- a/fawnspool/connections/__init__.py
+++ b/fawnspool/connections/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions on connections: how many may be open, which one is evicted, how long each wait lasts.
+"""Connection management: how many connections may be open, which one is evicted, and how long each wait lasts.
 
-Decisions on requests belong to ``fawnspool.scheduling``. Modules here do no I/O and read no clock: counts and times, in
-seconds, come from the caller.
+Requests are scheduled by ``fawnspool.scheduling``. The modules here do no I/O and read no clock: the caller passes
+counts, and times in seconds.
 """
--- a/fawnspool/connections/body_limits.py
+++ b/fawnspool/connections/body_limits.py
@@ -1,20 +1,20 @@
-"""How much memory request bodies over the usual size may hold together."""
+"""The limit on the memory that request bodies over the usual size may use together."""
 
 from __future__ import annotations
 
-LONG_BODY_DIVISOR = 8  # of the process's memory, one such part
+LONG_BODY_DIVISOR = 8  # long bodies together may use this part, one eighth, of the process's memory
 
 
 def admits_long_body(size_bytes: int, held_bytes: int, memory_bytes: int) -> bool:
-    """Tell whether one more long body may be held: clients decide how many of them come at once.
+    """Return whether one more long body may be held; clients may send any number of them at the same time.
 
     Parameters
     ----------
     size_bytes
-        Of the body.
+        Size of the body.
     held_bytes
-        Of long bodies in memory already.
+        Total size of the long bodies in memory already.
     memory_bytes
-        That the process may use in all.
+        Memory that the process may use in total.
     """
     return held_bytes + size_bytes <= memory_bytes // LONG_BODY_DIVISOR
--- a/fawnspool/connections/config_reload.py
+++ b/fawnspool/connections/config_reload.py
@@ -1,4 +1,4 @@
-"""When a configuration file that was not complete is read again: it may just be being written."""
+"""Retry delays for reading a configuration file that was incomplete, as it may still be being written."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def retry_delay_s(failed_reads: int) -> float | None:
-    """Return the seconds until the next read after so many failed ones; None: the file is bad."""
+    """Return the seconds until the next read after so many failed ones; None: the file is invalid."""
     if failed_reads > _MAX_RETRIES:
         return None
     return RETRY_DELAY_S
--- a/fawnspool/connections/eviction.py
+++ b/fawnspool/connections/eviction.py
@@ -1,4 +1,4 @@
-"""Which waiting client connection is closed when a new one needs its place."""
+"""Eviction: which waiting client connection is closed to make room for a new one."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 
 class WaitingKind(Enum):
-    """A client's connection that waits for a request."""
+    """The kinds of client connections that wait for a request."""
 
     NEW = "new"  # before its first request
     IDLE = "idle"  # between two requests
 
 
 def kind_to_evict(idle: int, new: int) -> WaitingKind | None:
-    """Choose the kind of which the connection that has waited longest is closed.
+    """Choose the kind of connection to evict; the caller closes the one of this kind that has waited longest.
 
-    It is the more numerous one, so that a flood of either kind cannot drive out the other. A slow client may lose its
-    first request to this.
+    The more numerous kind is chosen, so that a flood of either kind cannot evict all of the other. A slow client may
+    lose its first request to this.
 
     Parameters
     ----------
     idle, new
-        Number of waiting connections of either kind.
+        Number of waiting connections of each kind.
 
     Returns
     -------
     WaitingKind or None
-        None where no connection waits.
+        None if no connection waits.
     """
     if idle == 0 and new == 0:
         return None
--- a/fawnspool/connections/incarnations.py
+++ b/fawnspool/connections/incarnations.py
@@ -1,24 +1,25 @@
-"""Which datagrams of another gateway count: each once, and only those of its current incarnation.
+"""Filtering of datagrams from another gateway: each is accepted once, and only from the current incarnation.
 
-A gateway numbers its incarnations by its wall clock, so that a higher one is a later one; but a clock may be set back.
-An incarnation that does not follow the current one (a lower one, or one heard before) is therefore accepted too, once
-the current one has been silent for `TAKEOVER_SILENCE_S`; otherwise such a gateway would never be heard again.
+A gateway numbers its incarnations by its wall clock, so a later incarnation has a higher number unless the clock was
+set back. So an incarnation that does not follow the current one (a lower number, or one seen before) is accepted too
+once the current one has been silent for `TAKEOVER_SILENCE_S`; otherwise datagrams of such a gateway would be dropped
+forever.
 
-Two faults are accepted for this. A datagram that is later than that, of an incarnation that had ended, may be heard
-once where its gateway has been silent for so long. Two processes that bear one gateway's number are heard in turns.
+This has two known faults. If a gateway has been silent for that long, a delayed datagram of an ended incarnation may
+be accepted once. Two processes with the same gateway number are accepted alternately.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-TAKEOVER_SILENCE_S = 3.0  # datagrams come late by as much without harm
-MAX_INCARNATIONS = 4  # of one sender, whose sequence numbers are remembered
+TAKEOVER_SILENCE_S = 3.0  # a datagram that is this late does no harm
+MAX_INCARNATIONS = 4  # incarnations of one sender whose sequence numbers are remembered
 _WINDOW = 1024  # sequence numbers below the highest one that are remembered
 
 
 class _ReplayWindow:
-    """Sequence numbers of one incarnation seen lately; older ones than the window count as seen."""
+    """The recent sequence numbers of one incarnation; numbers below the window count as seen."""
 
     __slots__ = ("highest", "seen_bits")
 
@@ -27,9 +28,9 @@
         self.seen_bits = 0
 
     def accept(self, sequence: int) -> bool:
-        """Note a sequence number; False where it was seen before."""
+        """Record a sequence number, and return False if it was seen before."""
         if sequence > self.highest:
-            # A step beyond the window leaves nothing of the old bits, so they need not be shifted so far.
+            # A step beyond the window discards all old bits, so a shift by the window's size is enough.
             shift = min(sequence - self.highest, _WINDOW)
             self.seen_bits = ((self.seen_bits << shift) | 1) & ((1 << _WINDOW) - 1)
             self.highest = sequence
@@ -42,7 +43,7 @@
 
 
 class IncarnationFilter:
-    """Accepts the datagrams of one sender that are to be heard."""
+    """Decides which datagrams of one sender are accepted."""
 
     def __init__(self) -> None:
         self._current: int | None = None
@@ -50,7 +51,7 @@
         self._last_accepted = float("-inf")
 
     def accept(self, incarnation: int, sequence: int, now: float) -> bool:
-        """Tell whether a datagram is to be heard.
+        """Return whether a datagram is accepted.
 
         Parameters
         ----------
@@ -64,7 +65,7 @@
         Returns
         -------
         bool
-            True where it is of the current incarnation, or of one that takes its place, and did not come before.
+            True if the datagram is of the current incarnation, or of one that replaces it, and was not seen before.
         """
         if incarnation != self._current:
             if not self._may_take_over(incarnation, now):
--- a/fawnspool/connections/shutdown.py
+++ b/fawnspool/connections/shutdown.py
@@ -4,26 +4,26 @@
 
 from dataclasses import dataclass
 
-KILL_MARGIN_S = 0.3  # all requests are answered so long before the process may be killed
-LAST_RESPONSES_S = 0.2  # the last requests have so long for their responses
+KILL_MARGIN_S = 0.3  # all requests are answered this long before the process may be killed
+LAST_RESPONSES_S = 0.2  # time that the last requests have for their responses
 
 
 @dataclass(frozen=True)
 class ShutdownSchedule:
-    """Instants of a graceful shutdown, seconds on the caller's clock, in this order but for the first.
+    """Times of a graceful shutdown in seconds on the caller's clock, in ascending order except for the first.
 
     Attributes
     ----------
     unused_from
-        From now on the process may end as soon as no connection is open.
+        From this time on the process may end as soon as no connection is open.
     refuse_at
-        No new connection is taken any more, and a response ends its connection.
+        New connections are refused from this time on, and each response ends its connection.
     close_idle_at
         Connections without a request are closed.
     answered_by
-        Every request has its response.
+        Every request has its response by this time.
     exit_by
-        The process has ended.
+        The process has ended by this time.
     """
 
     unused_from: float
@@ -34,17 +34,17 @@
 
 
 def shutdown_schedule(signalled_at: float, new_connections_s: float, killed_after_s: float) -> ShutdownSchedule:
-    """Plan the shutdown so that the process serves as long as it may: nobody takes its place before it ends.
+    """Plan the shutdown so that the process serves as long as possible, as no other replaces it before it ends.
 
-    New connections are refused before idle ones are closed, as the clients of these would come back on new connections
-    to the very end. A machine that stands still for longer than `KILL_MARGIN_S` may leave requests unanswered.
+    New connections are refused before idle ones are closed; otherwise the clients of the closed ones would reconnect
+    until the end. If the machine stalls for longer than `KILL_MARGIN_S`, requests may be left unanswered.
 
     Parameters
     ----------
     signalled_at
-        When the signal came, seconds.
+        Time of the signal, in seconds.
     new_connections_s
-        How long after the signal new connections may still come.
+        How long after the signal new connections may still arrive.
     killed_after_s
         How long after the signal the process may be killed at the earliest.
     """
--- a/fawnspool/connections/start_times.py
+++ b/fawnspool/connections/start_times.py
@@ -1,8 +1,8 @@
-"""When a listed node started, on the monotonic clock; the endpoint list names the wall clock's time.
+"""Conversion of the start times in the endpoint list, which are wall-clock times, to the monotonic clock.
 
-The wall clock of this host or of all hosts may be set at any moment. A start taken for older than it is lets a cold
-node be overloaded; one taken for younger only holds requests back for a while. So the youngest reading that is not in
-the future counts, and it stands as long as the list names the same start.
+The wall clock of this host or of all hosts may be set at any moment. If a start is taken to be earlier than it was, a
+cold node may be overloaded; if it is taken to be later, requests are only held back for a while. So the latest result
+that is not in the future is used, and it is kept as long as the list reports the same start.
 """
 
 from __future__ import annotations
@@ -10,38 +10,38 @@
 from dataclasses import dataclass
 
 MAX_OFFSETS = 4
-OFFSET_TOLERANCE_S = 0.05  # offsets that differ by less are one: clocks are slewed
-LONG_AGO = 0.0  # monotonic start of a node of which the list names none
+OFFSET_TOLERANCE_S = 0.05  # offsets that differ by less count as one, as clocks are slewed
+LONG_AGO = 0.0  # monotonic start of a node for which the list reports no start
 
 
 @dataclass(frozen=True, slots=True)
 class _StartTime:
-    wall: float  # as the list names it
-    monotonic: float  # as it counts
+    wall: float  # start as the list reports it
+    monotonic: float  # start that is used
 
 
 class StartTimes:
-    """The starts of all listed nodes. Times in seconds; the caller reads the clocks."""
+    """The starts of all listed nodes; times are in seconds, and the caller reads the clocks."""
 
     def __init__(self) -> None:
-        self._offsets: list[float] = []  # wall clock less monotonic clock, as they stood, newest last
+        self._offsets: list[float] = []  # observed differences of wall clock and monotonic clock, newest last
         self._known: dict[str, _StartTime] = {}  # by node
 
     def observe_clocks(self, wall: float, now: float) -> None:
-        """Note how the wall clock and the monotonic clock stand to each other."""
+        """Record the offset between the wall clock and the monotonic clock."""
         offset = wall - now
-        others = [known for known in self._offsets if abs(known - offset) > OFFSET_TOLERANCE_S]
+        others = [other for other in self._offsets if abs(other - offset) > OFFSET_TOLERANCE_S]
         self._offsets = [*others[1 - MAX_OFFSETS :], offset]
 
     def started_at(self, node: str, wall: float, now: float) -> float:
-        """Return the monotonic time at which a node started. Call `observe_clocks` before.
+        """Return the monotonic time at which a node started; `observe_clocks` must be called before.
 
         Parameters
         ----------
         node
             The node's name.
         wall
-            Its start as the list names it, by the wall clock; 0 or less: `LONG_AGO`.
+            The node's start as the list reports it, on the wall clock; 0 or less: `LONG_AGO`.
         now
             Monotonic time.
         """
@@ -51,8 +51,8 @@
         if known is not None and known.wall == wall:
             return known.monotonic
         readings = [wall - offset for offset in self._offsets]
-        youngest = max((reading for reading in readings if reading <= now), default=now)
-        start = _StartTime(wall, max(0.0, youngest))
+        latest = max((reading for reading in readings if reading <= now), default=now)
+        start = _StartTime(wall, max(0.0, latest))
         self._known[node] = start
         return start.monotonic
 
@@ -61,6 +61,6 @@
         self._known.pop(node, None)
 
     def retain(self, nodes: set[str]) -> None:
-        """Drop all other nodes."""
+        """Drop all nodes except these."""
         for node in self._known.keys() - nodes:
             del self._known[node]
--- a/fawnspool/connections/states.py
+++ b/fawnspool/connections/states.py
@@ -1,19 +1,20 @@
-"""The states of a client's connection, why one ends, and what response each end owes.
+"""The states of a client's connection, the causes of its end, and the response owed at each end.
 
-What was read is answered; what is unread is left for the client to send again, and the system's reset tells it so.
+A request that was read is answered. Unread bytes are not: the client may send them again, as the system's reset of the
+connection indicates.
 
-| state     | bytes come | the client ends or it breaks | deadline | eviction | shutdown   | internal error |
-| --------- | ---------- | ---------------------------- | -------- | -------- | ---------- | -------------- |
-| new, idle | reading    | closed                       | closed   | closed   | closed     | -              |
-| reading   | handling   | closed                       | 408      | never    | 503        | 500            |
-| handling  | left there | given up                     | answered | never    | answered   | 500            |
-| answering | left there | closed                       | closed   | never    | written on | closed         |
-| closing   | left there | closed                       | closed   | never    | closed     | closed         |
+| state     | bytes arrive | client closes, or connection breaks | deadline | eviction | shutdown  | internal error |
+| --------- | ------------ | ----------------------------------- | -------- | -------- | --------- | -------------- |
+| new, idle | reading      | closed                              | closed   | closed   | closed    | -              |
+| reading   | handling     | closed                              | 408      | never    | 503       | 500            |
+| handling  | left unread  | abandoned                           | answered | never    | answered  | 500            |
+| answering | left unread  | closed                              | closed   | never    | completed | closed         |
+| closing   | left unread  | closed                              | closed   | never    | closed    | closed         |
 
-"Closed" leaves unread bytes unread. A shutdown waits for what is being handled; only a process that is ended under it
-(`CloseCause.KILLED`) cuts it short, and then it is answered with 500 first.
+"Closed" leaves unread bytes unread. A shutdown waits for requests that are being handled; they are cut short only if
+the process is ended meanwhile (`CloseCause.KILLED`), and are then answered with 500 first.
 
-`next_state` holds the transitions, `owed_status` what an end owes.
+`next_state` implements the transitions, and `owed_status` returns the response owed at an end.
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 
 
 class ConnectionState(Enum):
-    """Where a client's connection stands. The values are labels of figures and fields of log lines."""
+    """The state of a client's connection; the values are labels of metrics and fields of log lines."""
 
     NEW = "new"  # accepted, no byte of a request read
     IDLE = "idle"  # between two requests, no byte of the next one read
-    READING = "reading"  # some bytes of a request read, not all
-    HANDLING = "in hand"  # a complete request read, its response owed
+    READING = "reading"  # a part of a request read
+    HANDLING = "in hand"  # a complete request read, its response still owed
     ANSWERING = "answering"  # the response is being written
-    CLOSING = "closing"  # the last response is given, or none is owed
+    CLOSING = "closing"  # the last response was written, or none is owed
 
 
 class ConnectionEvent(Enum):
-    """What changes a connection's state."""
+    """An event that changes a connection's state."""
 
-    REQUEST_AWAITED = "request awaited"  # its last exchange is over and it goes on
+    REQUEST_AWAITED = "request awaited"  # the last exchange has ended, and the connection stays open
     REQUEST_BEGAN = "request began"  # bytes of a request were read
-    REQUEST_COMPLETE = "request complete"  # a request was read to its end
+    REQUEST_COMPLETE = "request complete"  # a request was read completely
     RESPONSE_BEGAN = "response began"
     ENDED = "ended"
 
@@ -56,12 +57,12 @@
         ConnectionEvent.RESPONSE_BEGAN: ConnectionState.ANSWERING,
     },
     ConnectionState.HANDLING: {
-        ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,  # a handler sent its response by its own means
+        ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,  # a handler wrote its response to the connection itself
         ConnectionEvent.RESPONSE_BEGAN: ConnectionState.ANSWERING,
     },
     ConnectionState.ANSWERING: {
         ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,
-        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,  # read on behind an early response
+        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,  # read on after an early response
     },
     ConnectionState.CLOSING: {  # another greenlet may still work on its exchange
         ConnectionEvent.REQUEST_COMPLETE: ConnectionState.CLOSING,
@@ -71,7 +72,7 @@
 
 
 class CloseCause(Enum):
-    """Why a connection ended. The values are labels of figures and fields of log lines."""
+    """The cause of a connection's end; the values are labels of metrics and fields of log lines."""
 
     ANSWERED = "its last answer was given"
     PEER_CLOSED = "the client closed it"
@@ -86,7 +87,7 @@
 
 _CLIENT_LEFT = frozenset((CloseCause.PEER_CLOSED, CloseCause.RESET))
 
-# By the state in which a request without a response is cut short: the status by cause, where it is not 500.
+# Status of a request that ends without a response, by the connection's state and the cause; others get 500.
 _STATUS_BY_CAUSE: dict[ConnectionState, dict[CloseCause, HTTPStatus]] = {
     ConnectionState.READING: {
         CloseCause.DEADLINE: HTTPStatus.REQUEST_TIMEOUT,
@@ -97,14 +98,14 @@
 
 
 class IllegalTransitionError(Exception):
-    """A mistake in the program: an event that cannot come in a state."""
+    """A programming error: an event that is not possible in the connection's state."""
 
     def __init__(self, state: ConnectionState, event: ConnectionEvent) -> None:
-        super().__init__(f"{event.value} in state {state.value}")
+        super().__init__(f"event not possible: {event.value} in state {state.value}")
 
 
 def next_state(state: ConnectionState, event: ConnectionEvent) -> ConnectionState:
-    """Return the state that follows. Raises IllegalTransitionError where `event` cannot come in `state`."""
+    """Return the state that follows, or raise IllegalTransitionError if `event` is not possible in `state`."""
     if event is ConnectionEvent.ENDED:
         return ConnectionState.CLOSING
     following = _TRANSITIONS[state].get(event)
@@ -114,7 +115,7 @@
 
 
 def owed_status(state: ConnectionState, cause: CloseCause) -> HTTPStatus | None:
-    """Return the status owed where a connection ends and its request has no response yet; None: nothing is owed."""
+    """Return the status owed to a request without a response when its connection ends; None: none is owed."""
     by_cause = _STATUS_BY_CAUSE.get(state)
     if by_cause is None or cause in _CLIENT_LEFT:
         return None
--- a/fawnspool/connections/watch_timeouts.py
+++ b/fawnspool/connections/watch_timeouts.py
@@ -1,12 +1,12 @@
-"""Timeouts of a watch on the endpoint service, and what is believed of what it says."""
+"""Timeouts of a watch on the endpoint service, and the handling of older snapshots."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-_SILENCE_HEARTBEATS = 1.75  # a heartbeat that is three quarters of one late: the watch has fallen silent
-_CALL_HEARTBEATS = 1.25  # a call in vain just before the service is back leaves time for two more
-_OLDER_SNAPSHOTS_BELIEVED = 3  # older snapshots in a row: the service has begun to count anew
+_SILENCE_HEARTBEATS = 1.75  # silent: the heartbeat is late by three quarters of its interval
+_CALL_HEARTBEATS = 1.25  # a call that fails just before the service is back leaves time for two more
+_OLDER_SNAPSHOTS_TO_ACCEPT = 3  # in a row, which shows that the service has restarted its version count
 
 
 @dataclass(frozen=True)
@@ -16,9 +16,9 @@
     Attributes
     ----------
     silence_s
-        Without a complete line for so long, a watch has fallen silent.
+        A watch without a complete line for this long has fallen silent.
     call_s
-        For the response to a call and for the response headers of a watch, connecting included.
+        Timeout of the response to a call and of the response headers of a watch, including the connect time.
     """
 
     silence_s: float
@@ -28,30 +28,30 @@
 def watch_timeouts(heartbeat_s: float) -> WatchTimeouts:
     """Derive the timeouts from the interval of the service's heartbeats.
 
-    Whatever a silent watch misses counts as known three heartbeats after it fell silent, so both the silence and the
-    calls that follow have to fit into these. A service that is slower for a while is called anew.
+    Updates that a silent watch missed count as known three heartbeats after it fell silent, so the silence and the
+    calls that follow must fit into this time. While the service is slower than that, calls time out and are repeated.
     """
     return WatchTimeouts(silence_s=_SILENCE_HEARTBEATS * heartbeat_s, call_s=_CALL_HEARTBEATS * heartbeat_s)
 
 
 def reopens_at_once(established: bool, timed_out: bool) -> bool:
-    """Tell whether a watch that ended is opened anew at once rather than after the scheduler's backoff.
+    """Return whether a watch that ended is reopened at once rather than after the scheduler's backoff.
 
-    Only one that was established and fell silent: its events count as known soon, so there is no time for a pause.
-    A pause would spare the service nothing, as each reopening costs a silence first.
+    This holds only if the watch was established and fell silent: the updates it missed count as known soon, so there
+    is no time for a backoff. A backoff would not spare the service, as each reopening takes a silence first.
     """
     return established and timed_out
 
 
 def accepts_older_snapshot(older_in_a_row: int) -> bool:
-    """Tell whether a snapshot older than the endpoint list held is to be taken.
+    """Return whether a snapshot that is older than the current endpoint list is accepted.
 
-    A response made before a known change must not bring back a draining node, but a service that lost its count must
-    not be refused for ever.
+    A response from before a known change must not restore a draining node, but a service that lost its version count
+    must not be rejected forever.
 
     Parameters
     ----------
     older_in_a_row
-        Older snapshots received one after the other, this one included.
+        Number of older snapshots received in a row, this one included.
     """
-    return older_in_a_row >= _OLDER_SNAPSHOTS_BELIEVED
+    return older_in_a_row >= _OLDER_SNAPSHOTS_TO_ACCEPT
--- a/fawnspool/scheduling/rate_limits.py
+++ b/fawnspool/scheduling/rate_limits.py
@@ -26,9 +26,7 @@
 from fawnspool.scheduling.transfer_messages import TransferKind, TransferMessage, clock_ms
 
 BROADCAST_INTERVAL_S = 1.0  # between two broadcast requests for units of one volume
-TRANSFER_VALIDITY_FRACTION = (
-    0.95  # part of the transfer window in which a grant is valid; below 1 as clock rates differ
-)
+TRANSFER_VALIDITY_FRACTION = 0.95  # part of the transfer window for which a grant is valid, as clock rates differ
 LENDERS_ASKED = 2
 MIN_GRANT_UNITS = 1.0
 MAX_VOLUMES = 4096  # number of volumes remembered, even if none is idle
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -511,10 +511,8 @@
     def _check_silence(self, node_queue: NodeQueue) -> None:
         if not node_queue.in_flight or not node_queue.is_available():
             return
-        allowed_silence_s = max_silence_s(self.least_objective_s, node_queue.response_times.mean_s)
-        if (
-            self.now - node_queue.health.last_answer_at > allowed_silence_s
-        ):  # each attempt in flight counts as one failure
+        allowed_s = max_silence_s(self.least_objective_s, node_queue.response_times.mean_s)
+        if self.now - node_queue.health.last_answer_at > allowed_s:  # each attempt in flight counts as one failure
             self._record_failures(node_queue, min(FAILURES_TO_EJECT, len(node_queue.in_flight)))
 
     def _check_waiting_requests(self, node_queue: NodeQueue) -> None:
