--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: tags, weights, runs, bound, placement."""
+"""Normal operation of the scheduler: tags, weights, runs, concurrency limits and placement."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 LONG = (make_class(latency_objective_s=50.0, deadline_s=60.0),)
 
 
-def drain(gateway: GatewayDriver, took: Callable[[int], float], rounds: int) -> list[int]:
-    """Answer what is out, oldest first, each after its own time; the order of all sends."""
-    for turn in range(rounds):
-        if turn >= len(gateway.sends):
+def drain(gateway: GatewayDriver, response_s: Callable[[int], float], rounds: int) -> list[int]:
+    """Answer the sent requests, oldest first, each after its response time; return the order of all sends."""
+    for index in range(rounds):
+        if index >= len(gateway.sends):
             break
-        ident = gateway.sends[turn][1].id
-        gateway.run(gateway.now + took(ident))
+        ident = gateway.sends[index][1].id
+        gateway.run(gateway.now + response_s(ident))
         gateway.answer(ident)
     return gateway.sent()
 
 
 def fill(gateway: GatewayDriver, volumes: dict[int, int], count: int) -> dict[int, int]:
-    """count requests for each volume (by plan), in turn; which id is whose."""
-    owner = {}
+    """Send `count` requests for each volume (with its plan) alternately; return the volume of each request id."""
+    volume_of = {}
     for _ in range(count):
         for volume, plan in volumes.items():
-            owner[gateway.request(volume, plan_index=plan, timeout_s=60.0)] = volume
-    return owner
+            volume_of[gateway.request(volume, plan_index=plan, timeout_s=60.0)] = volume
+    return volume_of
 
 
-def test_weight_three_gets_about_three_times_the_turns(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_weight_three_gets_about_three_times_the_sends(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG, plans=(make_plan(), make_plan(weight=3.0))).warm()
-    owner = fill(gateway, {1: 0, 2: 1}, 40)
+    volume_of = fill(gateway, {1: 0, 2: 1}, 40)
     order = drain(gateway, lambda _: 0.05, 40)
-    heavy = sum(owner[i] == 2 for i in order[2:34])
+    heavy = sum(volume_of[i] == 2 for i in order[2:34])
     assert 21 <= heavy <= 27
 
 
-def test_volume_with_slow_answers_gets_fewer_turns(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_volume_with_slow_answers_gets_fewer_sends(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG).warm()
     gateway.node_queue().concurrency.limit = 1.0
-    owner = fill(gateway, {1: 0, 2: 0}, 60)
-    order = drain(gateway, lambda i: 0.2 if owner[i] == 1 else 0.05, 50)
-    slow = sum(owner[i] == 1 for i in order[10:50])
+    volume_of = fill(gateway, {1: 0, 2: 0}, 60)
+    order = drain(gateway, lambda i: 0.2 if volume_of[i] == 1 else 0.05, 50)
+    slow = sum(volume_of[i] == 1 for i in order[10:50])
     assert slow < 20
 
 
-def test_front_volume_does_not_fill_the_limit(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_volume_with_smallest_tag_does_not_use_up_the_limit(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG).warm()
     first = [gateway.request(1, timeout_s=60.0) for _ in range(4)]
     other = gateway.request(2, timeout_s=60.0)
@@ -59,7 +59,7 @@
     assert gateway.sent()[2] == other
 
 
-def test_returning_volume_starts_at_now_and_has_no_credit(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_tag_of_a_returning_volume_is_raised_to_now(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG).warm()
     gateway.answer(gateway.request(2, timeout_s=60.0))
     gateway.run(gateway.now + 20)
@@ -70,7 +70,7 @@
     assert volumes[2].start_tag >= gateway.now
 
 
-def test_least_active_tag_is_now_after_a_completion(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_smallest_active_tag_equals_now_after_a_completion(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG).warm()
     fill(gateway, {1: 0, 2: 0, 3: 0}, 4)
     drain(gateway, lambda _: 0.05, 5)
@@ -82,7 +82,9 @@
     assert min(tags) == gateway.now
 
 
-def test_requests_of_the_last_extent_go_first_up_to_the_run_limit(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_requests_of_the_last_extent_are_sent_first_up_to_the_run_limit(
+    make_gateway: Callable[..., GatewayDriver],
+) -> None:
     gateway = make_gateway(classes=LONG).warm()
     gateway.node_queue().concurrency.limit = 1.0
     run = [gateway.request(1, extent=7, timeout_s=60.0) for _ in range(MAX_RUN_REQUESTS + 3)]
@@ -92,7 +94,7 @@
     assert order[MAX_RUN_REQUESTS] == other[0]
 
 
-def test_limit_holds_and_shrinks_on_overload_but_never_below_one(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_limit_bounds_sends_and_halves_on_overload_down_to_one(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=LONG).warm()
     ids = [gateway.request(1, timeout_s=60.0) for _ in range(6)]
     assert gateway.sent() == ids[:2]
@@ -101,20 +103,20 @@
     assert gateway.node_queue().concurrency.limit == 1.0
 
 
-def test_limit_shrinks_when_answers_come_late_and_grows_when_early(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_limit_shrinks_on_slow_answers_and_grows_on_fast_ones(make_gateway: Callable[..., GatewayDriver]) -> None:
     slow, fast = make_gateway(classes=LONG).warm(), make_gateway(classes=LONG).warm()
-    for gateway, took in ((slow, 40.0), (fast, 0.05)):
+    for gateway, response_s in ((slow, 40.0), (fast, 0.05)):
         for _ in range(30):
             gateway.request(1, timeout_s=60.0)
             gateway.request(2, timeout_s=60.0)
-            gateway.now += took
+            gateway.now += response_s
             while gateway.node_queue().in_flight:
                 gateway.answer(next(iter(gateway.node_queue().in_flight))[0])
     assert int(slow.node_queue().concurrency.limit) == 1
     assert fast.node_queue().concurrency.limit > INITIAL_LIMIT_REQUESTS
 
 
-def test_new_objects_spread_and_avoid_the_longer_queue(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_new_objects_avoid_the_longer_queue(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(nodes=2, classes=LONG).warm()
     for _ in range(20):
         gateway.request(1, shard=0, timeout_s=60.0)
@@ -124,18 +126,21 @@
 
 
 def test_surge_is_shed_before_reserved_requests(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """What is beyond the reserve goes first; the volume in its reserve is kept."""
+    """Requests beyond a volume's reserve are shed first; requests within a reserve are kept."""
     gateway = make_gateway(plans=(make_plan(), make_plan(reserved_rate=50.0)))
     reserved = [gateway.request(2, plan_index=1) for _ in range(3)]
     surge = [gateway.request(1) for _ in range(60)]
-    gone = {i for i, a in gateway.final_answers.items() if isinstance(a, RejectRequest)}
-    assert gone
-    assert not gone & set(reserved)
-    assert gone <= set(surge)
+    rejected = {ident for ident, answer in gateway.final_answers.items() if isinstance(answer, RejectRequest)}
+    assert rejected
+    assert not rejected & set(reserved)
+    assert rejected <= set(surge)
 
 
-def test_idle_node_is_sent_to_however_late_it_looks(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """Kochi, two slowed nodes: a stale mean must not refuse all, or the node is never found well again."""
+def test_idle_node_receives_requests_despite_a_long_mean_response(make_gateway: Callable[..., GatewayDriver]) -> None:
+    """Guards against a stale mean response that rejects every request, so that a recovered node is never noticed.
+
+    Seen in the Kochi incident with two slowed nodes.
+    """
     gateway = make_gateway()
     gateway.node_queue().response_times.mean_s = 30.0
     assert gateway.request(1) in gateway.sent()
@@ -145,14 +150,14 @@
     runs = []
     for _ in range(2):
         gateway = make_gateway(nodes=3)
-        for k in range(30):
-            gateway.request(k % 4, shard=-1)
+        for number in range(30):
+            gateway.request(number % 4, shard=-1)
         gateway.run(gateway.now + 1)
-        runs.append([(t, s) for t, s in gateway.sends])
+        runs.append([(at, send) for at, send in gateway.sends])
     assert runs[0] == runs[1]
 
 
-def test_idle_volumes_leave_the_tables(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_state_of_idle_volumes_is_dropped(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway()
     gateway.answer(gateway.request(1))
     gateway.run(gateway.now + 2 * IDLE_VOLUME_S)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, each by the module alone."""
+"""The scheduling rules, tested on single schedulers."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 )
 from tests.conftest import GatewayDriver, entry, make_class, make_plan, make_settings
 
-MAYBE = [Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CANCELLED]
-NEVER = [Result.OVERLOADED, Result.CONNECT_FAILED]
+MAY_HAVE_RUN = [Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CANCELLED]
+NEVER_RAN = [Result.OVERLOADED, Result.CONNECT_FAILED]
 
 # ------------------------------------------------------------- one final answer
 
@@ -44,7 +44,7 @@
 
 
 def test_request_with_almost_no_time_is_answered_at_once(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """Portland incident: a client's last try came with less time than the next look."""
+    """Guards against a request that expires before the next check, as a client's last try did (Portland)."""
     gateway = make_gateway()
     for _ in range(2):
         gateway.request(1)
@@ -52,7 +52,7 @@
     assert ident in gateway.final_answers
 
 
-def test_time_out_at_the_deadline_gets_its_answer(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_timeout_at_the_deadline_is_answered(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=(make_class(idempotence=Idempotence.NON_IDEMPOTENT),))
     ident = gateway.request(1)
     gateway.run(gateway.now + 4)
@@ -61,7 +61,7 @@
 
 
 def test_late_client_retry_is_rejected_at_once_where_others_wait(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """Brasov incident of a surge with retries: late repeats took places from what could be in time."""
+    """Guards against late client retries that displace requests that can be in time (Brasov surge)."""
     gateway = make_gateway().warm()
     while not gateway.node_queue().queue.queued:
         gateway.request(1)
@@ -73,24 +73,24 @@
     assert gateway.request(2, timeout_s=2.0, is_client_retry=True) in gateway.sent()
 
 
-def test_nothing_goes_out_after_the_client_left(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_nothing_is_sent_after_the_client_disconnected(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway()
-    a, b, c = gateway.request(1), gateway.request(1), gateway.request(1)
-    gateway.handle(ClientDisconnected(c))
-    assert Cancel(a, 0) in gateway.handle(ClientDisconnected(a))
-    gateway.answer(a, Result.CANCELLED, final=True)
-    gateway.answer(b)
+    sent, answered, queued = gateway.request(1), gateway.request(1), gateway.request(1)
+    gateway.handle(ClientDisconnected(queued))
+    assert Cancel(sent, 0) in gateway.handle(ClientDisconnected(sent))
+    gateway.answer(sent, Result.CANCELLED, final=True)
+    gateway.answer(answered)
     gateway.run(gateway.now + 5)
-    assert c not in gateway.sent()
-    assert gateway.attempts[a] == 1
+    assert queued not in gateway.sent()
+    assert gateway.attempts[sent] == 1
     assert not gateway.final_answers and not gateway.scheduler.requests
 
 
-# --------------------------------------------------------------------- effects
+# ----------------------------------------------------------------- idempotence
 
 
-@pytest.mark.parametrize("result", MAYBE)
-def test_non_idempotent_that_may_have_run_fails_and_is_never_retried(
+@pytest.mark.parametrize("result", MAY_HAVE_RUN)
+def test_non_idempotent_request_that_may_have_run_fails_without_a_retry(
     make_gateway: Callable[..., GatewayDriver], result: Result
 ) -> None:
     gateway = make_gateway(classes=(make_class(idempotence=Idempotence.NON_IDEMPOTENT),))
@@ -100,12 +100,12 @@
     assert gateway.attempts[ident] == 1
 
 
-@pytest.mark.parametrize("result", NEVER)
-@pytest.mark.parametrize("effect", list(Idempotence))
-def test_what_never_ran_is_retried(
-    make_gateway: Callable[..., GatewayDriver], result: Result, effect: Idempotence
+@pytest.mark.parametrize("result", NEVER_RAN)
+@pytest.mark.parametrize("idempotence", list(Idempotence))
+def test_request_that_never_ran_is_retried(
+    make_gateway: Callable[..., GatewayDriver], result: Result, idempotence: Idempotence
 ) -> None:
-    gateway = make_gateway(classes=(make_class(idempotence=effect, deduplication_scope=DeduplicationScope.SHARD),))
+    gateway = make_gateway(classes=(make_class(idempotence=idempotence, deduplication_scope=DeduplicationScope.SHARD),))
     ident = gateway.request(1)
     gateway.answer(ident, result)
     gateway.run(gateway.now + 0.5)
@@ -120,7 +120,7 @@
     )
     ident = gateway.request(1, shard=-1)
     gateway.answer(ident, Result.ERROR)
-    nodes = {s.node for _, s in gateway.sends}
+    nodes = {send.node for _, send in gateway.sends}
     assert gateway.attempts[ident] == 2 and len(nodes) == 1
 
 
@@ -153,17 +153,17 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
-def test_drained_node_gets_nothing_more(make_gateway: Callable[..., GatewayDriver], phase: Phase) -> None:
+def test_draining_node_receives_no_requests(make_gateway: Callable[..., GatewayDriver], phase: Phase) -> None:
     gateway = make_gateway(nodes=2)
-    a, _ = gateway.request(1), gateway.request(1)
-    queued, fresh = gateway.request(1), gateway.request(2, shard=-1)
+    in_flight, _ = gateway.request(1), gateway.request(1)
+    queued, new_object = gateway.request(1), gateway.request(2, shard=-1)
     gateway.handle(EndpointUpdate(UpdateKind.DELTA, 3, (entry(10, 0, phase),)))
-    mark = len(gateway.sends)
-    gateway.answer(a, Result.ERROR)
+    sends_before = len(gateway.sends)
+    gateway.answer(in_flight, Result.ERROR)
     gateway.request(3, shard=-1)
     gateway.run(gateway.now + 0.2)
-    assert all(s.node != 10 for _, s in list(gateway.sends)[mark:])
-    assert fresh in gateway.sent()
+    assert all(send.node != 10 for _, send in list(gateway.sends)[sends_before:])
+    assert new_object in gateway.sent()
     gateway.handle(EndpointUpdate(UpdateKind.DELTA, 4, (entry(20, 0),)))
     assert (queued in gateway.sent()) != (queued in gateway.final_answers)
 
@@ -177,20 +177,20 @@
 
 def test_endpoint_list_is_polled_at_once_and_again_after_a_failure() -> None:
     gateway = GatewayDriver(make_settings(polls_endpoints=True), live=False)
-    start = make_settings(polls_endpoints=True)
-    assert SetWatch(True) in GatewayDriver(start, live=False).scheduler.handle(
+    settings = make_settings(polls_endpoints=True)
+    assert SetWatch(True) in GatewayDriver(settings, live=False).scheduler.handle(
         1.0, EndpointUpdate(UpdateKind.CACHED, 1, ())
     )
-    seen: list[Any] = []
+    actions: list[Any] = []
     gateway.handle(EndpointUpdate(UpdateKind.POLL_FAILED, 0, ()))
     while gateway.timers and gateway.now < 108:
         at, token = gateway.timers.pop(0)
         gateway.now = max(gateway.now, at)
-        seen += gateway.handle(Timer(token))
-    assert seen.count(SetWatch(True)) == 1
+        actions += gateway.handle(Timer(token))
+    assert actions.count(SetWatch(True)) == 1
 
 
-def test_pushed_list_is_fetched_once_by_a_fresh_gateway() -> None:
+def test_pushed_list_is_fetched_once_by_a_new_gateway() -> None:
     gateway = GatewayDriver(make_settings(), live=False)
     assert FetchEndpoints() in gateway.scheduler.handle(1.0, EndpointUpdate(UpdateKind.CACHED, 1, ()))
 
@@ -198,12 +198,12 @@
 # ------------------------------------------------------------------ cold nodes
 
 
-def fed(gateways: list[GatewayDriver], node: int, since: float, until: float, units: float) -> float:
-    return sum(units for gateway in gateways for t, s in gateway.sends if s.node == node and since < t <= until)
+def units_sent(gateways: list[GatewayDriver], node: int, since: float, until: float, units: float) -> float:
+    return sum(units for gateway in gateways for at, send in gateway.sends if send.node == node and since < at <= until)
 
 
 @given(units=st.sampled_from([1.0, 2.0, 4.0]), count=st.integers(1, 5), rate=st.integers(1, 6))
-def test_all_gateways_together_keep_to_a_cold_nodes_budget(units: float, count: int, rate: int) -> None:
+def test_all_gateways_together_stay_within_a_cold_nodes_budget(units: float, count: int, rate: int) -> None:
     settings = make_settings(gateway_count=count, slow_start_units=16.0)
     gateways = [GatewayDriver(settings, seed=k) for k in range(count)]
     start = 100.0
@@ -223,10 +223,10 @@
     for end in range(60):
         window = start + end * 0.1
         capacity = 1 + 3 * max(0.0, window - 2 - start) / 10
-        assert fed(gateways, 10, window - 2, window, units) <= 16.0 * capacity + 1e-6
+        assert units_sent(gateways, 10, window - 2, window, units) <= 16.0 * capacity + 1e-6
 
 
-def test_node_that_was_away_is_taken_for_cold(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_node_that_refused_connections_is_assumed_cold(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway()
     gateway.request(1)
     for _ in range(3):
@@ -239,7 +239,7 @@
 
 
 def test_single_resets_at_a_live_node_do_not_eject_it(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """Brasov incident: a tenth of the attempts reset while the others were answered."""
+    """Guards against ejecting a node when a tenth of the attempts is reset and the others are answered (Brasov)."""
     gateway = make_gateway()
     for _ in range(20):
         ident = gateway.request(1)
@@ -248,25 +248,25 @@
     assert gateway.node_queue().is_available() and gateway.node_queue().slow_start.started_at is None
 
 
-def test_resets_of_reused_connections_are_no_failures_and_those_of_new_ones_are(
+def test_only_resets_of_new_connections_are_failures(
     make_gateway: Callable[..., GatewayDriver],
 ) -> None:
-    for kept in (True, False):
+    for reused in (True, False):
         gateway = make_gateway().warm()
         for _ in range(3):
             ident = gateway.request(1, shard=0)
-            gateway.answer(ident, Result.RESET, final=True, reused_connection=kept)
-        assert gateway.node_queue().is_available() is kept
+            gateway.answer(ident, Result.RESET, final=True, reused_connection=reused)
+        assert gateway.node_queue().is_available() is reused
 
 
 def test_silent_node_is_ejected_and_recovers(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=(make_class(latency_objective_s=1.0, deadline_s=20.0),))
-    a = gateway.request(1, timeout_s=20.0)
+    ident = gateway.request(1, timeout_s=20.0)
     gateway.run(gateway.now + 2.0)
     assert gateway.node_queue().is_available()  # one unanswered attempt is one failure
     gateway.run(gateway.now + 3.0)
     assert not gateway.node_queue().is_available()
-    gateway.answer(a)
+    gateway.answer(ident)
     assert gateway.node_queue().is_available()
 
 
@@ -275,35 +275,35 @@
 
 def test_requests_of_a_key_run_one_at_a_time_in_order(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=(make_class(ordered=True),), settle_after_ambiguity_s=0.3)
-    a, b, free = gateway.request(1, extent=5), gateway.request(2, extent=5), gateway.request(3, extent=6)
-    assert gateway.sent() == [a, free]
-    gateway.answer(a)
-    assert gateway.sent() == [a, free, b]
+    first, second, other = gateway.request(1, extent=5), gateway.request(2, extent=5), gateway.request(3, extent=6)
+    assert gateway.sent() == [first, other]
+    gateway.answer(first)
+    assert gateway.sent() == [first, other, second]
 
 
 def test_key_pauses_after_an_ambiguous_end(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(
         classes=(make_class(ordered=True, idempotence=Idempotence.NON_IDEMPOTENT),), settle_after_ambiguity_s=0.3
     )
-    a, b = gateway.request(1, extent=5), gateway.request(2, extent=5)
-    at = gateway.now
-    gateway.answer(a, Result.RESET)
-    assert a in gateway.final_answers and b not in gateway.sent()
-    gateway.run(at + 0.8)
-    assert next(t for t, s in gateway.sends if s.id == b) >= at + 0.3
+    first, second = gateway.request(1, extent=5), gateway.request(2, extent=5)
+    ended_at = gateway.now
+    gateway.answer(first, Result.RESET)
+    assert first in gateway.final_answers and second not in gateway.sent()
+    gateway.run(ended_at + 0.8)
+    assert next(at for at, send in gateway.sends if send.id == second) >= ended_at + 0.3
 
 
-def test_key_waits_for_the_result_of_an_ended_requests_attempt(make_gateway: Callable[..., GatewayDriver]) -> None:
+def test_key_waits_for_the_outcome_of_an_abandoned_attempt(make_gateway: Callable[..., GatewayDriver]) -> None:
     gateway = make_gateway(classes=(make_class(ordered=True),))
-    a, b = gateway.request(1, extent=5), gateway.request(2, extent=5)
-    gateway.handle(ClientDisconnected(a))
+    first, second = gateway.request(1, extent=5), gateway.request(2, extent=5)
+    gateway.handle(ClientDisconnected(first))
     gateway.run(gateway.now + 0.3)
-    assert b not in gateway.sent()
-    gateway.answer(a, Result.SERVED, final=True)
-    assert b in gateway.sent()
+    assert second not in gateway.sent()
+    gateway.answer(first, Result.SERVED, final=True)
+    assert second in gateway.sent()
 
 
-# -------------------------------------------------------------- attempt budget
+# ---------------------------------------------------------------- retry budget
 
 
 @given(st.lists(st.sampled_from([Result.SERVED, Result.ERROR, Result.OVERLOADED, Result.RESET]), max_size=80))
@@ -311,25 +311,25 @@
     gateway = GatewayDriver(
         make_settings(retry_budget_minimum=2.0, retry_budget_ratio=0.25, retry_budget_window_s=3.0), nodes=2
     )
-    taken: list[float] = []
-    for k, result in enumerate(results):
-        taken.append(gateway.now)
-        gateway.request(k % 3, shard=k % 2)
+    requested_at: list[float] = []
+    for number, result in enumerate(results):
+        requested_at.append(gateway.now)
+        gateway.request(number % 3, shard=number % 2)
         for ident in [i for i, pending in gateway.scheduler.requests.items() if pending.has_open_attempt()][:1]:
             gateway.answer(ident, result)
         gateway.run(gateway.now + 0.07)
     seen: set[int] = set()
-    extras = []
-    for t, s in gateway.sends:
-        if s.id in seen:
-            extras.append(t)
-        seen.add(s.id)
-    for t in extras:
-        allowed = 2 + 0.25 * sum(t - 3 <= x <= t for x in taken)
-        assert sum(t - 3 < x <= t for x in extras) <= allowed
+    retried_at = []
+    for at, send in gateway.sends:
+        if send.id in seen:
+            retried_at.append(at)
+        seen.add(send.id)
+    for at in retried_at:
+        allowed = 2 + 0.25 * sum(at - 3 <= time <= at for time in requested_at)
+        assert sum(at - 3 < time <= at for time in retried_at) <= allowed
 
 
-# ---------------------------------------------------------------------- limits
+# ----------------------------------------------------------------- rate limits
 
 LIMITED = make_plan(rate_limit=20.0, rate_limit_burst=48.0, rate_limit_tolerance=8.0)
 
@@ -350,62 +350,69 @@
 def test_rate_limit_holds_over_all_gateways_with_loans_losses_and_restarts(steps: list[Any]) -> None:
     settings = make_settings(plans=(LIMITED,), gateway_count=3, has_peer_messages=True)
     gateways = [GatewayDriver(settings, nodes=2, seed=k) for k in range(3)]
-    store, clock, now = 48.0, 100.0, 100.0
-    for who, units, pause, restart, lost in steps:
-        now += pause
+    tokens, refilled_at, now = 48.0, 100.0, 100.0
+    for index, units, pause_s, restart, lost in steps:
+        now += pause_s
         for gateway in gateways:
             gateway.run(now)
         if restart == 0:
-            gateways[who] = GatewayDriver(settings, nodes=2, now=now)
-        gateway = gateways[who]
-        marks = [len(x.sends) for x in gateways]
-        gateway.request(1, shard=who % 2, units=units, gateway_count=3)
-        told = [a for a in gateway.scheduler.actions if isinstance(a, SendPeerMessage)]
-        for tell in told if not lost else []:
-            for k, peer in enumerate(gateways):
-                if peer is not gateway and tell.gateway_id in (None, k):
-                    for back in peer.handle(PeerMessage(who, tell.body)):
-                        if isinstance(back, SendPeerMessage):
-                            gateway.handle(PeerMessage(k, back.body))
-        for x in gateways:
-            for node_queue in x.scheduler.node_queues.values():
+            gateways[index] = GatewayDriver(settings, nodes=2, now=now)
+        gateway = gateways[index]
+        sends_before = [len(other.sends) for other in gateways]
+        gateway.request(1, shard=index % 2, units=units, gateway_count=3)
+        messages = [action for action in gateway.scheduler.actions if isinstance(action, SendPeerMessage)]
+        for message in messages if not lost else []:
+            for peer_index, peer in enumerate(gateways):
+                if peer is not gateway and message.gateway_id in (None, peer_index):
+                    for reply in peer.handle(PeerMessage(index, message.body)):
+                        if isinstance(reply, SendPeerMessage):
+                            gateway.handle(PeerMessage(peer_index, reply.body))
+        for other in gateways:
+            for node_queue in other.scheduler.node_queues.values():
                 for ident, _ in list(node_queue.in_flight):
-                    x.answer(ident)
+                    other.answer(ident)
         drawn = 0.0
-        for x, mark in zip(gateways, marks, strict=True):
-            first = {s.id for _, s in list(x.sends)[mark:]} - {s.id for _, s in list(x.sends)[:mark]}
-            drawn += sum(x.units[i] for i in first)
-        store = min(48.0, store + (now - clock) * 20.0) - drawn
-        clock = now
-        assert store >= -8.0
-
-
-def test_idle_gateways_lend_their_part() -> None:
-    """Portland: one gateway leads a volume, and its even part alone turned most of it away."""
+        for other, count in zip(gateways, sends_before, strict=True):
+            first = {send.id for _, send in list(other.sends)[count:]} - {
+                send.id for _, send in list(other.sends)[:count]
+            }
+            drawn += sum(other.units[ident] for ident in first)
+        tokens = min(48.0, tokens + (now - refilled_at) * 20.0) - drawn
+        refilled_at = now
+        assert tokens >= -8.0
+
+
+def test_idle_gateway_lends_its_units() -> None:
+    """Guards against rejecting most requests of a volume that uses one gateway, whose even part is small (Portland)."""
     settings = make_settings(plans=(LIMITED,), gateway_count=2, has_peer_messages=True)
-    lead, idle = GatewayDriver(settings).warm(), GatewayDriver(settings).warm()
-    for gateway in (lead, idle):
+    busy, idle = GatewayDriver(settings).warm(), GatewayDriver(settings).warm()
+    for gateway in (busy, idle):
         ident = gateway.request(1, units=1.0, gateway_count=2)
         gateway.run(gateway.now + 0.3)
         gateway.answer(ident)
         gateway.run(104.0)
     before = idle.scheduler.rate_limits.limiters[1].tokens
-    asked = []
+    requests = []
     for _ in range(12):
-        lead.request(1, units=4.0, gateway_count=2)
-        asked += [a for a in lead.scheduler.actions if isinstance(a, SendPeerMessage)]
-    assert asked
-    lent = [a for tell in asked for a in idle.handle(PeerMessage(0, tell.body)) if isinstance(a, SendPeerMessage)]
-    assert lent and idle.scheduler.rate_limits.limiters[1].tokens < before + 20.0
-    sent = len(lead.sends)
-    lead.handle(PeerMessage(1, lent[0].body))
-    for node_queue in lead.scheduler.node_queues.values():
+        busy.request(1, units=4.0, gateway_count=2)
+        requests += [action for action in busy.scheduler.actions if isinstance(action, SendPeerMessage)]
+    assert requests
+    grants = [
+        action
+        for request in requests
+        for action in idle.handle(PeerMessage(0, request.body))
+        if isinstance(action, SendPeerMessage)
+    ]
+    assert grants and idle.scheduler.rate_limits.limiters[1].tokens < before + 20.0
+    sends_before = len(busy.sends)
+    busy.handle(PeerMessage(1, grants[0].body))
+    for node_queue in busy.scheduler.node_queues.values():
         for ident, _ in list(node_queue.in_flight):
-            lead.answer(ident)
-    assert len(lead.sends) > sent
+            busy.answer(ident)
+    assert len(busy.sends) > sends_before
 
 
-def test_fresh_gateway_does_not_assume_a_full_bucket() -> None:
+def test_new_gateway_does_not_assume_a_full_bucket() -> None:
     gateway = GatewayDriver(make_settings(plans=(LIMITED,)))
     ident = gateway.request(1, units=8.0)
     assert not gateway.sends
@@ -413,9 +420,9 @@
     assert ident in gateway.sent()
 
 
-# ------------------------------------------------------------------ odd input
+# -------------------------------------------------------------- unusual input
 
-odd = st.one_of(
+unusual_events = st.one_of(
     st.builds(PeerMessage, st.integers(0, 9), st.binary(max_size=20)),
     st.builds(
         Outcome,
@@ -444,36 +451,36 @@
 )
 
 
-@given(st.lists(st.tuples(odd, st.floats(0, 0.4)), max_size=60), st.sampled_from(list(Idempotence)))
-def test_no_event_makes_a_gateway_raise_or_lose_a_request(steps: list[Any], effect: Idempotence) -> None:
+@given(st.lists(st.tuples(unusual_events, st.floats(0, 0.4)), max_size=60), st.sampled_from(list(Idempotence)))
+def test_unusual_events_neither_raise_nor_lose_a_request(steps: list[Any], idempotence: Idempotence) -> None:
     gateway = GatewayDriver(
         make_settings(
-            classes=(make_class(idempotence=effect, deduplication_scope=DeduplicationScope.SHARD),),
+            classes=(make_class(idempotence=idempotence, deduplication_scope=DeduplicationScope.SHARD),),
             has_peer_messages=True,
             plans=(LIMITED, make_plan(reserved_rate=5.0)),
         ),
         nodes=2,
     )
-    owed: dict[int, float] = {}
-    gone: set[int] = set()
-    for event, pause in steps:
+    expires_at: dict[int, float] = {}
+    ended: set[int] = set()
+    for event, pause_s in steps:
         if isinstance(event, int):
-            owed[gateway.request(event, shard=event - 1, plan_index=event % 2)] = gateway.now + 4
+            expires_at[gateway.request(event, shard=event - 1, plan_index=event % 2)] = gateway.now + 4
         else:
             gateway.handle(event)
             if isinstance(event, ClientDisconnected):
-                gone.add(event.id)
+                ended.add(event.id)
             if isinstance(event, Outcome) and event.final:
-                gone.add(event.id)
-        gateway.run(gateway.now + pause)
+                ended.add(event.id)
+        gateway.run(gateway.now + pause_s)
     gateway.run(gateway.now + 4)
-    for ident in owed.keys() - gone:
+    for ident in expires_at.keys() - ended:
         pending = gateway.scheduler.requests.get(ident)
         assert ident in gateway.final_answers or (pending is not None and pending.has_open_attempt())
 
 
-def test_a_retry_says_until_when_its_node_drops_it(make_gateway: Callable[..., GatewayDriver]) -> None:
-    """Brink, zone: a repeat that waited for its connection reached its node behind the window."""
+def test_retry_is_bounded_by_the_deduplication_window(make_gateway: Callable[..., GatewayDriver]) -> None:
+    """Guards against a retry that waits for its connection and reaches the node after the window (Brink)."""
     gateway = make_gateway(
         classes=(
             make_class(
@@ -484,65 +491,65 @@
         )
     )
     ident = gateway.request(1, timeout_s=4.0)
-    assert gateway.sends[-1][1].write_within_s == 0.0  # a first attempt has no such bound
+    assert gateway.sends[-1][1].write_within_s == 0.0  # a first attempt has no bound
     gateway.run(gateway.now + 0.75)
     gateway.answer(ident, Result.RESET)
     assert gateway.attempts[ident] == 2 and gateway.sends[-1][1].write_within_s == pytest.approx(0.25 - 2 * 0.002)
     gateway.run(gateway.now + 0.1)
-    gateway.answer(ident, Result.CONNECT_FAILED)  # never ran: the first still counts
+    gateway.answer(ident, Result.CONNECT_FAILED)  # this attempt never ran, so the window of the first one still applies
     assert gateway.sends[-1][1].write_within_s == pytest.approx(0.15 - 2 * 0.002)
     gateway.run(gateway.now + 0.147)
     gateway.answer(ident, Result.CONNECT_FAILED)
-    assert gateway.attempts[ident] == 3 and ident in gateway.final_answers  # at the very end of the window: no more
+    assert gateway.attempts[ident] == 3 and ident in gateway.final_answers  # at the end of the window no retry is sent
 
 
-def test_idempotent_retries_and_those_of_what_never_ran_have_no_window(
+def test_idempotent_and_never_run_requests_are_retried_without_a_bound(
     make_gateway: Callable[..., GatewayDriver],
 ) -> None:
-    for effect, result in (
+    for idempotence, result in (
         (Idempotence.IDEMPOTENT, Result.RESET),
         (Idempotence.WITH_KEY, Result.OVERLOADED),
         (Idempotence.NON_IDEMPOTENT, Result.OVERLOADED),
     ):
-        gateway = make_gateway(classes=(make_class(idempotence=effect, deduplication_window_s=1.0),))
+        gateway = make_gateway(classes=(make_class(idempotence=idempotence, deduplication_window_s=1.0),))
         ident = gateway.request(1)
         gateway.answer(ident, result)
         assert gateway.attempts[ident] == 2 and gateway.sends[-1][1].write_within_s == 0.0
 
 
-@pytest.mark.parametrize("within", [0.0, 4.0, 10.0, 600.0])
+@pytest.mark.parametrize("poll_interval_s", [0.0, 4.0, 10.0, 600.0])
 @pytest.mark.parametrize("objective_s", [0.1, 4.0, 60.0])
-def test_a_failed_poll_is_repeated_soon_whatever_the_settings(within: float, objective_s: float) -> None:
-    """What is missed counts as told 6 s after it could be had, however rarely the settings want the list asked for."""
+def test_failed_poll_is_retried_soon_for_any_settings(poll_interval_s: float, objective_s: float) -> None:
+    """A missed update counts as known 6 s after it was available, for any poll interval in the settings."""
     gateway = GatewayDriver(
         make_settings(
             polls_endpoints=True,
-            poll_interval_s=within,
+            poll_interval_s=poll_interval_s,
             classes=(make_class(latency_objective_s=objective_s, deadline_s=100.0),),
         )
     )
     for _ in range(20):
-        failed = gateway.now
+        failed_at = gateway.now
         gateway.handle(EndpointUpdate(UpdateKind.POLL_FAILED, 0, ()))
-        before, acts = len(gateway.timers), list[object]()
-        while SetWatch(True) not in acts and gateway.now < failed + 10:
-            due = min(t for t in gateway.timers)
+        before, actions = len(gateway.timers), list[object]()
+        while SetWatch(True) not in actions and gateway.now < failed_at + 10:
+            due = min(timer for timer in gateway.timers)
             gateway.timers.remove(due)
             gateway.now = max(gateway.now, due[0])
-            acts = gateway.handle(Timer(due[1]))
-        assert before and 0.05 < gateway.now - failed <= 0.81
+            actions = gateway.handle(Timer(due[1]))
+        assert before and 0.05 < gateway.now - failed_at <= 0.81
 
 
-@pytest.mark.parametrize("grace", [0.25, 1.0, 8.0])
-def test_where_lists_are_pushed_a_broken_watch_is_opened_inside_the_grace(grace: float) -> None:
-    """What the service has counts as told at once there, whether or not a watch stands."""
-    gateway = GatewayDriver(make_settings(polls_endpoints=False, drain_grace_s=grace))
+@pytest.mark.parametrize("drain_grace_s", [0.25, 1.0, 8.0])
+def test_failed_watch_is_reopened_within_the_drain_grace(drain_grace_s: float) -> None:
+    """Where updates are pushed, they count as known at once, even without an established watch."""
+    gateway = GatewayDriver(make_settings(polls_endpoints=False, drain_grace_s=drain_grace_s))
     for _ in range(20):
-        failed, acts = gateway.now, list[object]()
+        failed_at, actions = gateway.now, list[object]()
         gateway.handle(EndpointUpdate(UpdateKind.POLL_FAILED, 0, ()))
-        while FetchEndpoints() not in acts and gateway.now < failed + 10:
+        while FetchEndpoints() not in actions and gateway.now < failed_at + 10:
             due = min(gateway.timers)
             gateway.timers.remove(due)
             gateway.now = max(gateway.now, due[0])
-            acts = gateway.handle(Timer(due[1]))
-        assert 0.05 < gateway.now - failed <= min(0.81, grace / 2 + 0.01)
+            actions = gateway.handle(Timer(due[1]))
+        assert 0.05 < gateway.now - failed_at <= min(0.81, drain_grace_s / 2 + 0.01)
--- a/tests/test_shortcuts.py
+++ b/tests/test_shortcuts.py
@@ -1,4 +1,4 @@
-"""What spares work per event must choose as the long way would."""
+"""Shortcuts that save work per event must give the same decisions as the full computation."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 
 
 def next_request(scheduler: Scheduler, node_queue: NodeQueue) -> PendingRequest | None:
-    """The request that the node's queue would send next."""
+    """Return the request that the node's queue would send next."""
     may_send = partial(scheduler._may_send, node_queue)
     return node_queue.queue.next(may_send, node_queue.mean_response_s())
 
 
-def long_way(scheduler: Scheduler, node_queue: NodeQueue) -> PendingRequest | None:
-    """All queued requests in the order of tags, those of the last extent first: the first that may go."""
+def next_request_by_full_search(scheduler: Scheduler, node_queue: NodeQueue) -> PendingRequest | None:
+    """Return the first sendable request of all, ordered by tag with those of the last extent first."""
     queue, default_response_s = node_queue.queue, node_queue.mean_response_s()
     tags = sorted(
         (volume.start_tag + volume.in_flight * volume.tag_step_s(default_response_s), volume_id)
         for volume_id, volume in queue.active.items()
         if volume.requests
     )
-    order = [request for _, volume_id in tags for request in queue.volumes[volume_id].requests]
+    ordered = [request for _, volume_id in tags for request in queue.volumes[volume_id].requests]
     if 0 < queue.run_length < MAX_RUN_REQUESTS:
-        order.sort(key=lambda request: request.extent_of_volume() != queue.last_extent)
-    return next((request for request in order if scheduler._may_send(node_queue, request)), None)
+        ordered.sort(key=lambda request: request.extent_of_volume() != queue.last_extent)
+    return next((request for request in ordered if scheduler._may_send(node_queue, request)), None)
 
 
 def all_are_in_time(scheduler: Scheduler, node_queue: NodeQueue) -> bool:
@@ -66,12 +66,12 @@
 
 
 @given(STEPS)
-def test_next_and_forecast_choose_as_the_long_way(steps: list[tuple[int, int, int, float, float]]) -> None:
+def test_shortcuts_match_the_full_search_and_forecast(steps: list[tuple[int, int, int, float, float]]) -> None:
     gateway = build()
-    for volume, extent, units, patience, pause in steps:
-        gateway.run(gateway.now + pause)
+    for volume, extent, units, timeout_s, pause_s in steps:
+        gateway.run(gateway.now + pause_s)
         gateway.request(
-            volume, shard=volume % 2, units=float(units), extent=extent, plan_index=volume % 2, timeout_s=patience
+            volume, shard=volume % 2, units=float(units), extent=extent, plan_index=volume % 2, timeout_s=timeout_s
         )
         if gateway.sends and len(gateway.sends) % 3 == 0:
             ident = gateway.sends[0][1].id
@@ -83,12 +83,16 @@
             ):
                 gateway.answer(ident, elapsed_s=0.02)
         for node_queue in gateway.scheduler.node_queues.values():
-            assert next_request(gateway.scheduler, node_queue) is long_way(gateway.scheduler, node_queue)
+            assert next_request(gateway.scheduler, node_queue) is next_request_by_full_search(
+                gateway.scheduler, node_queue
+            )
             if node_queue.queue.queued and all_are_in_time(gateway.scheduler, node_queue):
-                assert all(done <= request.due_at + 1e-9 for request, done in forecast(gateway.scheduler, node_queue))
+                assert all(
+                    done_at <= request.due_at + 1e-9 for request, done_at in forecast(gateway.scheduler, node_queue)
+                )
 
 
-def test_forecast_is_spared_where_all_is_early() -> None:
+def test_forecast_is_skipped_when_all_requests_are_in_time() -> None:
     gateway = build()
     node_queue = gateway.node_queue()
     node_queue.concurrency.limit = 1.0
@@ -100,11 +104,11 @@
     assert not all_are_in_time(gateway.scheduler, node_queue)
 
 
-def test_earliest_due_is_looked_up_again_when_the_request_that_had_it_has_left() -> None:
+def test_earliest_due_time_is_recomputed_after_its_request_was_sent() -> None:
     gateway = build()
     node_queue = gateway.node_queue()
     gateway.request(0, units=1.0, timeout_s=60.0)
-    node_queue.queue.earliest_due_at = 0.0  # as if something long sent had been due earlier
+    node_queue.queue.earliest_due_at = 0.0  # as if a request sent long ago had been due earlier
     node_queue.concurrency.limit = 1.0
     gateway.request(0, units=1.0, timeout_s=60.0)
     node_queue.queue.earliest_due_at = 0.0
