--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Decisions on connections: sums fit whatever the limits, floods evict their own kind, shutdowns keep their order."""
+"""Rules of connection management: descriptor limits, eviction, shutdown order, watch timeouts and states."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @given(st.integers(128, 4096), st.integers(1, 20))
-def test_connection_limits_fit_the_descriptors_and_leave_clients_their_third(descriptors: int, shards: int) -> None:
+def test_connection_limits_fit_the_descriptors_and_leave_clients_a_third(descriptors: int, shards: int) -> None:
     limits = divide_descriptors(descriptors, shards)
     assert limits.clients + limits.per_node * shards + RESERVED_DESCRIPTORS <= descriptors or limits.per_node == 4
     assert limits.clients >= descriptors // 3 or descriptors < 3 * RESERVED_DESCRIPTORS + 64
@@ -45,7 +45,7 @@
 
 
 @given(st.floats(0, 1e6), st.floats(0, 2), st.floats(0, 10))
-def test_a_shutdown_keeps_its_order_and_ends_before_the_kill(
+def test_shutdown_times_are_ordered_and_precede_the_kill(
     signalled_at: float, new_connections_s: float, killed_after_s: float
 ) -> None:
     schedule = shutdown_schedule(signalled_at, new_connections_s, killed_after_s)
@@ -55,7 +55,7 @@
 
 
 @given(st.lists(st.integers(1, 1 << 20), max_size=200), st.integers(16 << 20, 1 << 30))
-def test_long_bodies_never_hold_more_than_their_part(sizes: list[int], memory: int) -> None:
+def test_long_bodies_stay_within_their_memory_limit(sizes: list[int], memory: int) -> None:
     held = 0
     for size in sizes:
         if admits_long_body(size, held, memory):
@@ -63,13 +63,13 @@
     assert held <= memory // LONG_BODY_DIVISOR and admits_long_body(1 << 20, 0, memory)
 
 
-def test_a_configuration_is_read_again_for_a_while_only() -> None:
+def test_configuration_reads_are_retried_for_a_limited_time() -> None:
     delays = [retry_delay_s(failed) for failed in range(1, 20)]
     assert delays[0] and delays[-1] is None and 0.5 < sum(delay for delay in delays if delay) < 2.0
 
 
 @pytest.mark.parametrize("heartbeat_s", [0.1, 0.4, 5.0])
-def test_a_silence_and_a_call_fit_into_three_heartbeats(heartbeat_s: float) -> None:
+def test_silence_and_call_timeouts_fit_into_three_heartbeats(heartbeat_s: float) -> None:
     timeouts = watch_timeouts(heartbeat_s)
     assert heartbeat_s < timeouts.silence_s and heartbeat_s < timeouts.call_s
     assert timeouts.silence_s + timeouts.call_s <= 3 * heartbeat_s * (1 + 1e-9)
@@ -85,7 +85,7 @@
     assert [accepts_older_snapshot(count) for count in (1, 2, 3, 4)] == [False, False, True, True]
 
 
-def test_a_filter_remembers_few_incarnations() -> None:
+def test_filter_remembers_a_bounded_number_of_incarnations() -> None:
     datagrams = IncarnationFilter()
     assert all(datagrams.accept(incarnation, 1, 0.0) for incarnation in range(100))
     assert len(datagrams._windows) == MAX_INCARNATIONS
@@ -113,13 +113,11 @@
         (ConnectionState.ANSWERING, CloseCause.DEADLINE, None),
     ],
 )
-def test_a_connection_that_ends_owes_the_status_of_its_table(
-    state: ConnectionState, cause: CloseCause, status: int | None
-) -> None:
+def test_status_owed_at_the_end_of_a_connection(state: ConnectionState, cause: CloseCause, status: int | None) -> None:
     assert owed_status(state, cause) == status
 
 
-KEPT_ALIVE = [
+REUSED_CONNECTION = [
     (ConnectionEvent.REQUEST_BEGAN, ConnectionState.READING),
     (ConnectionEvent.REQUEST_COMPLETE, ConnectionState.HANDLING),
     (ConnectionEvent.RESPONSE_BEGAN, ConnectionState.ANSWERING),
@@ -131,9 +129,9 @@
 ]
 
 
-def test_a_connection_goes_through_its_states() -> None:
+def test_state_transitions_of_a_reused_connection() -> None:
     state = ConnectionState.NEW
-    for event, following in KEPT_ALIVE:
+    for event, following in REUSED_CONNECTION:
         state = next_state(state, event)
         assert state is following
 
@@ -145,7 +143,7 @@
 
 @pytest.mark.parametrize("state", ConnectionState)
 @pytest.mark.parametrize("event", ConnectionEvent)
-def test_nothing_leads_back_to_new_or_out_of_closing(state: ConnectionState, event: ConnectionEvent) -> None:
+def test_no_transition_leads_to_new_or_out_of_closing(state: ConnectionState, event: ConnectionEvent) -> None:
     try:
         following = next_state(state, event)
     except IllegalTransitionError:
@@ -164,6 +162,6 @@
         (ConnectionState.ANSWERING, ConnectionEvent.RESPONSE_BEGAN),
     ],
 )
-def test_an_event_that_cannot_come_is_a_mistake(state: ConnectionState, event: ConnectionEvent) -> None:
-    with pytest.raises(IllegalTransitionError, match="in state"):
+def test_impossible_event_raises(state: ConnectionState, event: ConnectionEvent) -> None:
+    with pytest.raises(IllegalTransitionError, match=r"^event not possible: .* in state "):
         next_state(state, event)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform builds and starts: few packages, as pinned, and no more of the program than it needs."""
+"""The platform's build and run commands: pinned packages only, and only the modules that the program needs."""
 
 from __future__ import annotations
 
@@ -15,53 +15,54 @@
 ROOT = Path(__file__).parent.parent
 BARE = """
 import sys
-class Only:
+class AllowedModules:
     def find_spec(self, name, path=None, target=None):
         if name.split(".")[0] not in allowed and name.split(".")[0] not in sys.stdlib_module_names:
-            raise ImportError(f"{name} is not there")
+            raise ImportError(f"{name} is not installed")
 allowed = set(sys.argv[2].split(",")) | {"fawnspool"}
-sys.meta_path.insert(0, Only())
+sys.meta_path.insert(0, AllowedModules())
 __import__(sys.argv[1])
 print(" ".join(sorted(m for m in sys.modules if m.startswith("fawnspool."))))
 """
 
 
-def bare(module: str, allowed: str) -> list[str]:
-    """The program's own modules that `module` brings in where nothing but `allowed` is installed."""
-    out = subprocess.run(
+def loaded_modules(module: str, allowed: str) -> list[str]:
+    """Return the program's modules that `module` imports when only the `allowed` packages are installed."""
+    process = subprocess.run(
         [sys.executable, "-c", BARE, module, allowed], capture_output=True, text=True, cwd=ROOT, check=False
     )
-    assert out.returncode == 0, out.stderr
-    return out.stdout.split()
+    assert process.returncode == 0, process.stderr
+    return process.stdout.split()
 
 
 def pinned(name: str) -> set[str]:
     return {line for line in (ROOT / name).read_text().splitlines() if line and not line.startswith("#")}
 
 
-def test_run_needs_what_is_pinned_and_the_adapter_nothing() -> None:
+def test_run_needs_only_pinned_packages_and_the_adapter_none() -> None:
     assert pinned("requirements.txt") <= pinned("requirements.lock")
-    loaded = bare("fawnspool.relay.process", "gevent,greenlet,httptools,structlog,typing_extensions,zope")
+    loaded = loaded_modules("fawnspool.relay.process", "gevent,greenlet,httptools,structlog,typing_extensions,zope")
     listed = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     files = [*listed["node"], *listed["policy"]]
     for module in loaded:
         path = module.replace(".", "/")
         assert any(
-            path == f or path + ".py" == f or path + "/__init__.py" == f or path.startswith(f + "/") for f in files
-        ), f"{module} runs and is not listed"
-    assert bare("fawnspool.adapter.host", "") != []
+            path == file or path + ".py" == file or path + "/__init__.py" == file or path.startswith(file + "/")
+            for file in files
+        ), f"{module} is loaded but not listed in deploy/balancer.toml"
+    assert loaded_modules("fawnspool.adapter.host", "") != []
 
 
-def test_settings_read_the_same_from_lines_and_from_the_configuration() -> None:
+def test_settings_are_equal_from_lines_and_from_json() -> None:
     def lines(path: str, value: object) -> list[str]:
         if isinstance(value, dict):
-            return [row for k, v in value.items() for row in lines(f"{path}.{k}" if path else k, v)]
+            return [row for key, part in value.items() for row in lines(f"{path}.{key}" if path else key, part)]
         if isinstance(value, list) and value and isinstance(value[0], dict):
-            rows = [row for k, v in enumerate(value) for row in lines(f"{path}.{k}", v)]
+            rows = [row for number, entry in enumerate(value) for row in lines(f"{path}.{number}", entry)]
             return [f"{path}.count={len(value)}", *rows]
         values = value if isinstance(value, list) else [value]
-        words = [str(v).lower() if isinstance(v, bool) else str(v) for v in values]
-        return [f"{path}={','.join(words)}"]
+        texts = [str(element).lower() if isinstance(element, bool) else str(element) for element in values]
+        return [f"{path}={','.join(texts)}"]
 
     assert read_tree(SETTINGS) == read_settings("\n".join(lines("", SETTINGS)))
     assert read_tree(SETTINGS).classes[1].writes and read_tree(SETTINGS).load_report_fields == ("rif", "lat_ms")
@@ -71,18 +72,21 @@
     return tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 
 
-def test_a_build_that_was_cut_off_is_made_anew_and_a_whole_one_is_kept(tmp_path: Path) -> None:
-    """`python3` is a stand-in here that makes a `.venv` whose interpreter can start the head, and notes each call."""
-    tools, notes = tmp_path / "tools", tmp_path / "notes"
+def test_interrupted_build_is_repeated_and_a_complete_one_reused(tmp_path: Path) -> None:
+    """An interrupted build leaves a partial `.venv`, which the next build must replace; a complete one is reused.
+
+    `python3` is a stub that creates a `.venv` whose interpreter runs, and logs each call.
+    """
+    tools, call_log = tmp_path / "tools", tmp_path / "notes"
     tools.mkdir()
     stub = tools / "python3"
     stub.write_text(f"""#!/bin/sh
-echo "$@" >> {notes}
+echo "$@" >> {call_log}
 mkdir -p .venv/bin
 for name in python pip; do printf '#!/bin/sh\\nexit 0\\n' > .venv/bin/$name; chmod +x .venv/bin/$name; done
 """)
     stub.chmod(stub.stat().st_mode | stat.S_IXUSR)
-    (tmp_path / ".venv/bin").mkdir(parents=True)  # what is left of a build that was ended in the middle
+    (tmp_path / ".venv/bin").mkdir(parents=True)  # remains of an interrupted build
     for _ in range(2):
         subprocess.run(
             ["/bin/sh", "-c", deploy()["build"]],
@@ -90,15 +94,17 @@
             check=True,
             env={"PATH": f"{tools}:{os.environ['PATH']}"},
         )
-    assert notes.read_text().splitlines() == ["-m venv --clear .venv"]
+    assert call_log.read_text().splitlines() == ["-m venv --clear .venv"]
 
 
-def test_run_becomes_one_process_that_is_linked_dynamically(tmp_path: Path) -> None:
-    """The bench loads a library into the process: `exec`, and an interpreter that names its loader (PT_INTERP)."""
-    word, program, *_ = deploy()["run"].split()
-    assert (word, program) == ("exec", ".venv/bin/python")
+def test_run_command_becomes_one_dynamically_linked_process(tmp_path: Path) -> None:
+    """The benchmark preloads a library, which needs `exec` and a dynamically linked interpreter (PT_INTERP)."""
+    command, program, *_ = deploy()["run"].split()
+    assert (command, program) == ("exec", ".venv/bin/python")
     data = Path(sys.executable).resolve().read_bytes()
     assert data[:5] == b"\x7fELF\x02"
-    at, size, count = (int.from_bytes(data[a:b], "little") for a, b in ((32, 40), (54, 56), (56, 58)))
-    kinds = [int.from_bytes(data[at + k * size : at + k * size + 4], "little") for k in range(count)]
-    assert 3 in kinds  # PT_INTERP
+    offset, size, count = (int.from_bytes(data[start:end], "little") for start, end in ((32, 40), (54, 56), (56, 58)))
+    types = [
+        int.from_bytes(data[offset + number * size : offset + number * size + 4], "little") for number in range(count)
+    ]
+    assert 3 in types  # PT_INTERP
--- a/tests/test_former_decisions.py
+++ b/tests/test_former_decisions.py
@@ -1,7 +1,7 @@
-"""The decisions of today on random events, held against those of build d5787bd (tests/formats): action by action.
+"""Compares the scheduler's actions on random events with those of build d5787bd (tests/formats), one by one.
 
-Recorded days and the model have few settings and well-behaved peers; here settings, plans, events and datagrams are
-drawn, and what peers send comes twice, late and damaged.
+Recorded days and the model use few settings and well-behaved peers. Here settings, plans, events and datagrams are
+random, and peer messages are duplicated, delayed and damaged.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 FORMER_VERSION = Path(__file__).parent / "formats" / "d5787bd" / "version.whl"
 SEEDS = 60
 EVENTS = 400
-KINDS = 3  # of classes and of plans
+KINDS = 3  # number of classes, and of plans
 VOLUMES = 6
 MAX_NODES = 6
-TRANSFER_BYTES = 17  # of a message that transfers units of a rate limit
+TRANSFER_BYTES = 17  # length of a message that transfers units of a rate limit
 
 
 def draw_settings(random: Random) -> interface.Settings:
@@ -75,17 +75,17 @@
     )
 
 
-class Pair:
-    """The former decisions and those of today, told the same events; what both ask for comes back as events."""
+class SchedulerPair:
+    """The former and the current scheduler, which receive the same events; their actions cause further events."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.settings = draw_settings(self.random)
         former, _ = versions.load(str(FORMER_VERSION))
         self.former = former(self.settings, seed)
-        self.today = Scheduler(self.settings, seed)
+        self.current = Scheduler(self.settings, seed)
         self.now = self.random.choice([0.0, 100.0])
-        mend_slow_start(self.former.inner, self.now)
+        patch_slow_start(self.former.inner, self.now)
         self.pause_s = self.random.choice([0.01, 0.05, 0.3])
         self.fault_rate = self.random.choice([0.0, 0.1, 0.5])
         self.nodes = self.random.choice([1, 2, 3, MAX_NODES])
@@ -97,8 +97,8 @@
 
     def handle(self, event: interface.Event) -> None:
         expected = result_of(self.former, self.now, event)
-        assert result_of(self.today, self.now, event) == expected, event
-        for action in self.today.actions:
+        assert result_of(self.current, self.now, event) == expected, event
+        for action in self.current.actions:
             if isinstance(action, interface.Send):
                 attempt = self.attempts.get(action.id, 0)
                 self.attempts[action.id] = attempt + 1
@@ -109,14 +109,14 @@
                 self.datagrams.append(action.body)
 
     def start(self) -> None:
-        rows = tuple(
+        endpoints = tuple(
             entry(10 + shard, shard, started=self.random.choice([0.0, self.now - 1, self.now - 20]))
             for shard in range(self.nodes)
         )
-        self.handle(interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, rows))
+        self.handle(interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, endpoints))
         if self.random.random() < 0.8:
-            rows = tuple(entry(10 + shard, shard) for shard in range(self.nodes))
-            self.handle(interface.EndpointUpdate(interface.UpdateKind.SNAPSHOT, 2, rows))
+            endpoints = tuple(entry(10 + shard, shard) for shard in range(self.nodes))
+            self.handle(interface.EndpointUpdate(interface.UpdateKind.SNAPSHOT, 2, endpoints))
 
     def step(self) -> None:
         self.now += self.draw_pause()
@@ -145,7 +145,7 @@
         if self.random.random() < 0.01:
             pause_s *= 20
         if self.random.random() < 0.003:
-            pause_s *= 400  # volumes and pauses are forgotten behind it
+            pause_s *= 400  # long enough for volumes and pauses to be forgotten
         return pause_s
 
     def draw_request(self) -> interface.Request:
@@ -185,18 +185,18 @@
         if self.random.random() < 0.3:
             kind = self.random.choice(list(interface.UpdateKind))
         ready = interface.Phase.READY
-        row = entry(
+        endpoint = entry(
             self.random.choice([10 + shard, 30 + shard]),
             shard,
             self.random.choice([ready, ready, interface.Phase.DRAINING, interface.Phase.GONE]),
             started=self.random.choice([0.0, self.now, self.now - 0.5, self.now - 5]),
             zone=self.random.randrange(2),
         )
-        return interface.EndpointUpdate(kind, 3, (row,))
+        return interface.EndpointUpdate(kind, 3, (endpoint,))
 
     def draw_message(self) -> interface.PeerMessage:
         if self.datagrams and self.random.random() < 0.7:
-            body = self.random.choice(self.datagrams)  # doubled or late
+            body = self.random.choice(self.datagrams)  # duplicated or late
         else:
             body = self.random.randbytes(self.random.choice([0, TRANSFER_BYTES, TRANSFER_BYTES]))
         if len(body) == TRANSFER_BYTES and self.random.random() < 0.6:
@@ -215,10 +215,11 @@
         return interface.Timer(self.random.choice([0, POLL_TOKEN, self.random.randrange(self.requests + 2)]))
 
 
-def mend_slow_start(former: Any, started_at: float) -> None:
-    """Let the former build's slow start count from the gateway's start, as today's does; its other decisions stay.
+def patch_slow_start(former: Any, started_at: float) -> None:
+    """Make the former build's slow start count from the gateway's start, as the current one does.
 
-    It counted from when the record of volumes was whole, which moves on as one is forgotten.
+    It counted from the time since which the record of volumes is complete, which advances when a volume is forgotten.
+    All its other decisions stay the same.
     """
     cold_room = former._cold_room
 
@@ -232,17 +233,17 @@
     former._cold_room = cold_room_since_start
 
 
-def result_of(decisions: Any, now: float, event: interface.Event) -> tuple[list[interface.Action], str]:
-    """The actions, and the error that was raised."""
+def result_of(scheduler: Any, now: float, event: interface.Event) -> tuple[list[interface.Action], str]:
+    """Return the actions, and the error that was raised."""
     try:
-        return list(decisions.handle(now, event)), ""
+        return list(scheduler.handle(now, event)), ""
     except Exception as error:
         return [], f"{type(error).__name__}: {error}"
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_random_events_give_the_actions_of_the_former_build(seed: int) -> None:
-    pair = Pair(seed)
+    pair = SchedulerPair(seed)
     pair.start()
     for _ in range(EVENTS):
         pair.step()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -376,7 +376,7 @@
             first = {send.id for _, send in list(other.sends)[count:]} - {
                 send.id for _, send in list(other.sends)[:count]
             }
-            drawn += sum(other.units[ident] for ident in first)
+            drawn += sum(other.units[request_id] for request_id in first)
         tokens = min(48.0, tokens + (now - refilled_at) * 20.0) - drawn
         refilled_at = now
         assert tokens >= -8.0
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -143,7 +143,7 @@
     assert len(gateway.scheduler.rate_limits.limiters[1].lenders) == 10
     gateway.run(gateway.now + 0.2)
     gateway.request(1, units=8.0, gateway_count=20)
-    receivers = [action.gateway_id for action in gateway.scheduler.actions if isinstance(action, SendPeerMessage)]
+    receivers = [message.gateway_id for message in gateway.scheduler.actions if isinstance(message, SendPeerMessage)]
     assert len(receivers) == 2 and None not in receivers
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec by bytes written here, bad frames, the settings text, and the deploy file's own command."""
+"""The wire codec against bytes written by hand, malformed frames, the settings text, and the deploy file's command."""
 
 from __future__ import annotations
 
@@ -74,18 +74,18 @@
     return struct.pack(">I", len(body)) + body
 
 
-def start(who: int = 3, conf: str = CONF, offset: int = 0) -> bytes:
-    return record(1, "IQII", who, 42, offset, len(conf.encode()))
+def start(instance: int = 3, conf: str = CONF, offset: int = 0) -> bytes:
+    return record(1, "IQII", instance, 42, offset, len(conf.encode()))
 
 
-def call(who: int, ident: int, cell: float = 2.0, units: float = 2.0) -> bytes:
-    return record(3, "IIBIQdQfffB", who, ident, 0, 0, 5, 2.0, 9, units, cell, 1.0, 2)
+def request_record(instance: int, ident: int, shard: float = 2.0, units: float = 2.0) -> bytes:
+    return record(3, "IIBIQdQfffB", instance, ident, 0, 0, 5, 2.0, 9, units, shard, 1.0, 2)
 
 
 def read_reply(data: bytes) -> tuple[list[bytes], bytes]:
     count, length = struct.unpack_from(">II", data)
     assert length == len(data) - 8
-    return [data[8 + 24 * k : 32 + 24 * k] for k in range(count)], data[8 + 24 * count :]
+    return [data[8 + 24 * number : 32 + 24 * number] for number in range(count)], data[8 + 24 * count :]
 
 
 def test_every_event_decodes() -> None:
@@ -93,7 +93,7 @@
     records = [
         start(),
         record(2, "IIBdB4f", 3, 77, 10, 0.25, 1, 14.5, 0, 0, 0),
-        call(3, 8),
+        request_record(3, 8),
         record(4, "IHII", 3, 2, len(conf), 2),
         record(5, "IQ", 3, 77),
         record(6, "I", 3),
@@ -102,11 +102,11 @@
         record(9, "IIHId", 3, 8, 1, 77, 0.5),
         record(10, "IIIHdBHHBB4f", 3, 8, 77, 1, 0.5, 0, 3, 87, 40, 0, 0, 0, 0, 0),
     ]
-    got = wire.read_batch(io.BytesIO(batch(20.5, records, conf + b"hi" + ENTRY)))
-    assert got is not None
-    now, events = got
-    assert now == 20.5 and [who for who, _ in events] == [3] * 10
-    assert [e for _, e in events] == [
+    decoded = wire.read_batch(io.BytesIO(batch(20.5, records, conf + b"hi" + ENTRY)))
+    assert decoded is not None
+    now, events = decoded
+    assert now == 20.5 and [instance for instance, _ in events] == [3] * 10
+    assert [event for _, event in events] == [
         wire.Start(42, CONF),
         interface.Probed(77, interface.Result.SERVED, 0.25, (14.5, 0.0, 0.0, 0.0)),
         interface.Request(8, 0, 0, 5, 2.0, 9, 2.0, 2, 1, True, False),
@@ -137,9 +137,9 @@
 )
 def test_every_outcome_code(code: int, result: interface.Result) -> None:
     raw = record(10, "IIIHdBHHBB4f", 3, 8, 77, 0, 0.5, 1, 0, 0, code, 0, 0, 0, 0, 0)
-    got = wire.read_batch(io.BytesIO(batch(1.0, [raw])))
-    assert got is not None
-    event = got[1][0][1]
+    decoded = wire.read_batch(io.BytesIO(batch(1.0, [raw])))
+    assert decoded is not None
+    event = decoded[1][0][1]
     assert isinstance(event, interface.Outcome)
     assert event.result is result and event.volume_usage is None and event.final
 
@@ -159,7 +159,7 @@
         interface.SetWatch(True),
         interface.FetchEndpoints(),
     ]
-    records, tail = read_reply(wire.encode([(3, a) for a in actions]))
+    records, tail = read_reply(wire.encode([(3, action) for action in actions]))
     expected = [
         struct.pack(">BIIId", 1, 3, 8, 77, 0.25),
         struct.pack(">BIId", 2, 3, 8, 0.5),
@@ -174,22 +174,22 @@
         struct.pack(">BIB", 11, 3, 1),
         struct.pack(">BI", 12, 3),
     ]
-    assert records == [e.ljust(24, b"\0") for e in expected]
+    assert records == [packed.ljust(24, b"\0") for packed in expected]
     assert tail == b"hinodeoops"
 
 
-def test_empty_batch_and_its_reply() -> None:
+def test_empty_batch_has_an_empty_reply() -> None:
     raw = bytes.fromhex("0000000c000000004020d3126e978d50")
     assert wire.read_batch(io.BytesIO(raw)) == (pytest.approx(8.41225, abs=1e-4), [])
     assert wire.encode([]) == bytes(8)
 
 
-def test_end_between_frames_is_the_end() -> None:
+def test_input_may_end_between_frames() -> None:
     assert wire.read_batch(io.BytesIO(b"")) is None
 
 
 @pytest.mark.parametrize(
-    ("raw", "words"),
+    ("raw", "message"),
     [
         (b"\0\0", "offset 2: expected the length"),
         (struct.pack(">I", 5) + bytes(5), "offset 0: expected a length of at least 12"),
@@ -201,21 +201,29 @@
         (batch(1.0, [record(7, "IBQII", 3, 9, 41, 0, 0)]), "offset 16: expected a known value in event 7"),
     ],
 )
-def test_bad_frames_say_where_and_what(raw: bytes, words: str) -> None:
-    with pytest.raises(wire.WireError, match=words):
+def test_malformed_frame_error_states_offset_and_expectation(raw: bytes, message: str) -> None:
+    with pytest.raises(wire.WireError, match=message):
         wire.read_batch(io.BytesIO(raw))
 
 
-def test_settings_read_and_unknown_keys_are_ignored() -> None:
-    s = read_settings(CONF)
-    assert s.gateway_count == 3 and s.polls_endpoints and s.retry_budget_minimum == 3.0 and s.retry_budget_ratio == 0.1
-    assert [c.idempotence for c in s.classes] == [interface.Idempotence.IDEMPOTENT, interface.Idempotence.WITH_KEY]
-    assert s.classes[1].ordered and s.classes[1].writes and not s.classes[0].writes
-    assert s.plans[0].rate_limit == 30.0 and s.plans[0].reserved_rate == 0.0
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
+    settings = read_settings(CONF)
+    assert (
+        settings.gateway_count == 3
+        and settings.polls_endpoints
+        and settings.retry_budget_minimum == 3.0
+        and settings.retry_budget_ratio == 0.1
+    )
+    assert [request_class.idempotence for request_class in settings.classes] == [
+        interface.Idempotence.IDEMPOTENT,
+        interface.Idempotence.WITH_KEY,
+    ]
+    assert settings.classes[1].ordered and settings.classes[1].writes and not settings.classes[0].writes
+    assert settings.plans[0].rate_limit == 30.0 and settings.plans[0].reserved_rate == 0.0
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "named"),
+    ("old", "new", "message"),
     [
         ("siblings=3\n", "", "siblings is missing"),
         ("tick=0.002", "tick=soon", "tick is not a number"),
@@ -224,15 +232,15 @@
         ("fifo_by_key=true", "fifo_by_key=yes", "classes.1.fifo_by_key is neither"),
     ],
 )
-def test_bad_settings_are_named_and_reported_as_a_crash(old: str, new: str, named: str) -> None:
+def test_invalid_setting_is_named_and_reported_as_a_crash(old: str, new: str, message: str) -> None:
     conf = CONF.replace(old, new)
-    with pytest.raises(SettingsError, match=named):
+    with pytest.raises(SettingsError, match=message):
         read_settings(conf)
-    ((who, action),) = Host().batch(1.0, [(3, wire.Start(1, conf))])
-    assert who == 3 and isinstance(action, wire.Crash) and named in action.text
+    ((instance, action),) = Host().batch(1.0, [(3, wire.Start(1, conf))])
+    assert instance == 3 and isinstance(action, wire.Crash) and message in action.text
 
 
-def test_an_error_in_the_decisions_is_reported() -> None:
+def test_scheduler_error_is_reported_as_a_crash() -> None:
     host = Host()
     host.batch(1.0, [(3, wire.Start(1, CONF))])
     host.schedulers[3].handle = lambda now, event: 1 / 0  # type: ignore
@@ -240,18 +248,18 @@
     assert action == wire.Crash("ZeroDivisionError: division by zero")
 
 
-def test_instances_are_apart_and_a_restart_in_one_batch_starts_afresh() -> None:
+def test_instances_are_independent_and_a_restart_clears_state() -> None:
     host = Host()
-    rows = (interface.Endpoint(77, 0, 0, 2, interface.Phase.READY, 1.0, 0.0),)
-    up: list[tuple[int, wire.WireEvent]] = [
+    endpoints = (interface.Endpoint(77, 0, 0, 2, interface.Phase.READY, 1.0, 0.0),)
+    start_events: list[tuple[int, wire.WireEvent]] = [
         (3, wire.Start(1, CONF)),
-        (3, interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, rows)),
+        (3, interface.EndpointUpdate(interface.UpdateKind.CACHED, 1, endpoints)),
     ]
     request = interface.Request(8, 0, 0, 0, 2.0, 9, 2.0, 2, 1, False, False)
-    host.batch(1.0, [*up, (4, wire.Start(2, CONF))])
+    host.batch(1.0, [*start_events, (4, wire.Start(2, CONF))])
     host.batch(1.1, [(3, request)])
     assert 8 in host.schedulers[3].requests and not host.schedulers[4].requests
-    host.batch(1.2, [(3, wire.Stop()), *up])
+    host.batch(1.2, [(3, wire.Stop()), *start_events])
     assert not host.schedulers[3].requests
     assert host.batch(1.3, [(5, interface.Timer(0))]) == []
 
@@ -260,7 +268,7 @@
     return str(tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"])
 
 
-def talk(data: bytes) -> subprocess.CompletedProcess[bytes]:
+def run_deploy_command(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
         ["/bin/sh", "-c", deploy_command()],
         cwd=ROOT,
@@ -273,20 +281,24 @@
 
 def test_deploy_command_answers_batches_and_ends_with_its_input() -> None:
     conf = CONF.encode()
-    saved = record(7, "IBQII", 3, 0, 41, len(conf), 1)
-    data = batch(0.0, []) + batch(1.0, [start(), saved], conf + ENTRY) + batch(1.5, [call(3, 8), call(3, 9)])
-    got = talk(data)
-    assert got.returncode == 0 and got.stderr == b""
-    replies, rest = [], got.stdout
+    cached_list = record(7, "IBQII", 3, 0, 41, len(conf), 1)
+    data = (
+        batch(0.0, [])
+        + batch(1.0, [start(), cached_list], conf + ENTRY)
+        + batch(1.5, [request_record(3, 8), request_record(3, 9)])
+    )
+    process = run_deploy_command(data)
+    assert process.returncode == 0 and process.stderr == b""
+    replies, rest = [], process.stdout
     while rest:
         length = 8 + struct.unpack_from(">II", rest)[1]
         replies.append(read_reply(rest[:length])[0])
         rest = rest[length:]
-    assert [len(r) > 0 for r in replies] == [False, True, True]
+    assert [len(reply) > 0 for reply in replies] == [False, True, True]
     assert replies[1][0][0] == 11
 
 
-def test_deploy_command_says_what_is_wrong_without_a_traceback() -> None:
-    got = talk(batch(1.0, [record(99, "I", 3)]))
-    assert got.returncode != 0 and got.stdout == b""
-    assert got.stderr.count(b"\n") == 1 and b"offset 16" in got.stderr and b"Traceback" not in got.stderr
+def test_deploy_command_reports_an_error_without_a_traceback() -> None:
+    process = run_deploy_command(batch(1.0, [record(99, "I", 3)]))
+    assert process.returncode != 0 and process.stdout == b""
+    assert process.stderr.count(b"\n") == 1 and b"offset 16" in process.stderr and b"Traceback" not in process.stderr
