--- a/tests/test_settings_shapes.py
+++ b/tests/test_settings_shapes.py
@@ -210,10 +210,14 @@
     """Return the actions on a seeded series of requests, answers and failures, with classes and plans in this order."""
     settings = tree(shape, classes, plans)
     if renamed:
-        settings["classes"] = [listed | {"name": f"c{number}"} for number, listed in enumerate(settings["classes"])]
-        settings["grades"] = [listed | {"name": f"g{number}"} for number, listed in enumerate(settings["grades"])]
+        settings["classes"] = [
+            listed_class | {"name": f"c{number}"} for number, listed_class in enumerate(settings["classes"])
+        ]
+        settings["grades"] = [
+            listed_plan | {"name": f"g{number}"} for number, listed_plan in enumerate(settings["grades"])
+        ]
     scheduler, random, actions = Scheduler(read_tree(settings), 7), Random(3), list[Any]()
-    endpoints = tuple(entry(10 + shard, shard) for shard in range(3))
+    endpoints = tuple(entry(10 + number, number) for number in range(3))
     timers: list[tuple[float, int]] = []
     in_flight: list[tuple[float, int, int, int]] = []
     attempts: dict[int, int] = {}
@@ -297,5 +301,5 @@
     }
     names -= {"only", "staff", "press", "branch", "reader", "board", "slow", "crash", "deep-2c"}  # ordinary words
     assert len(names) > 15
-    texts = [path.read_text() for path in [*(ROOT / "fawnspool").rglob("*.py"), ROOT / "deploy/balancer.toml"]]
+    texts = [module.read_text() for module in [*(ROOT / "fawnspool").rglob("*.py"), ROOT / "deploy/balancer.toml"]]
     assert not [name for name in names for text in texts if f'"{name}"' in text]
