--- a/fawnspool/scheduling/admission.py
+++ b/fawnspool/scheduling/admission.py
@@ -35,7 +35,7 @@
 
 
 def assign_rank(pending: PendingRequest, limiter: RateLimiter, now: float, check_interval_s: float) -> None:
-    """Set the rank: late already, or within its volume's reserve, from which its units are then drawn."""
+    """Set the rank: LATE, or WITHIN_RESERVE if its volume's reserve has units, from which it then draws."""
     if pending.due_at <= now + check_interval_s:
         pending.rank = Rank.LATE
         pending.due_at = pending.expires_at
--- a/fawnspool/scheduling/endpoints.py
+++ b/fawnspool/scheduling/endpoints.py
@@ -17,7 +17,7 @@
 
 MAX_POLL_RETRY_DELAY_S = 0.8  # for any poll interval: an update that the gateway missed counts as known soon after
 POLL_RETRIES_IN_INTERVAL = 8
-MIN_RETRY_JITTER = 0.5  # least part of the delay that jitter leaves
+MIN_RETRY_JITTER = 0.5  # jitter shortens the delay to this part at most
 
 
 class EndpointList:
--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -285,7 +285,7 @@
     """Give a request its final answer: it had no effect, or repeating it does no harm."""
 
     id: int
-    retry_after_s: float = 0.0  # 0: no advice
+    retry_after_s: float = 0.0  # delay advised to the client; 0: none
 
 
 @dataclass(frozen=True, slots=True)
--- a/fawnspool/scheduling/outliers.py
+++ b/fawnspool/scheduling/outliers.py
@@ -11,7 +11,7 @@
 SILENCE_MEAN_RESPONSES = 3.0  # multiple of the mean response without any answer; shorter silence may be slowness
 HALF_OPEN_MAX_BACKOFF_S = 1.0  # bounds the time until a recovered node is noticed
 HALF_OPEN_MAX_DOUBLINGS = 8
-HALF_OPEN_MIN_JITTER = 0.8  # least part of the backoff that jitter leaves
+HALF_OPEN_MIN_JITTER = 0.8  # jitter shortens the backoff to this part at most
 
 
 def is_failure(outcome: Outcome, is_silent: bool) -> bool:
--- a/fawnspool/scheduling/pending_request.py
+++ b/fawnspool/scheduling/pending_request.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to a node."""
+    """One attempt of a request at a node."""
 
     node: int
     sent_at: float
--- a/fawnspool/scheduling/retries.py
+++ b/fawnspool/scheduling/retries.py
@@ -61,7 +61,7 @@
         return request_class.idempotence is Idempotence.IDEMPOTENT
 
     def may_send(self, pending: PendingRequest, node: int, now: float, endpoints: Mapping[int, Endpoint]) -> bool:
-        """Return whether a request may go to this node now.
+        """Return whether a request may be sent to this node now.
 
         No attempt is sent while an earlier one is open, unless the settings allow hedging (no rule here starts a
         hedged request), nor beyond the limit on attempts or the retry budget. A request that may have run is repeated
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -391,7 +391,7 @@
         self._finish(pending)
 
     def _retry_after_s(self, pending: PendingRequest) -> float:
-        """Return the time in which the queue at the request's node should be served; 0: no advice."""
+        """Return the time in which the queue at the request's node should be served; 0: none is advised."""
         if not self.settings.sends_retry_after:
             return 0.0
         node_queue = self._queue_of(pending)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -13,7 +13,7 @@
 from tests.e2e.relayrig import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-BARE = """
+IMPORT_CHECK = """
 import sys
 class AllowedModules:
     def find_spec(self, name, path=None, target=None):
@@ -29,7 +29,7 @@
 def loaded_modules(module: str, allowed: str) -> list[str]:
     """Return the program's modules that `module` imports when only the `allowed` packages are installed."""
     process = subprocess.run(
-        [sys.executable, "-c", BARE, module, allowed], capture_output=True, text=True, cwd=ROOT, check=False
+        [sys.executable, "-c", IMPORT_CHECK, module, allowed], capture_output=True, text=True, cwd=ROOT, check=False
     )
     assert process.returncode == 0, process.stderr
     return process.stdout.split()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("gateways", [2, 20, 60])
 def test_all_gateways_together_use_a_cold_node_without_overloading_it(gateways: int) -> None:
-    """Guards against an even share below one request, with which a preempted node's successor got none until warm."""
+    """Guards against an even share below one request, as a new node then received none until warm (preempt waves)."""
     settings = make_settings(gateway_count=gateways)
     fleet = [GatewayDriver(settings, seed=k) for k in range(gateways)]
     power, start = 40.0, 115.0
