--- a/fawnspool/gateway/answer_reasons.py
+++ b/fawnspool/gateway/answer_reasons.py
@@ -1,4 +1,4 @@
-"""Why a request got its final answer: in words for its client, and as a label for counting."""
+"""The reason for a request's final answer: as text for the client, and as a metric label."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def reason_for_client(pending: ClientRequest) -> str:
-    """Return why the request ended as it did, with the number of attempts."""
+    """Return the reason for the request's final answer, with the number of attempts."""
     label = reason_label(pending)
     if pending.answer_kind is AnswerKind.SERVED:
         return label
@@ -18,7 +18,7 @@
 
 
 def reason_label(pending: ClientRequest) -> str:
-    """Return one of a few texts: how the last attempt ended, or why there was none."""
+    """Return one of a fixed set of labels: how the last attempt ended, or why there was none."""
     if pending.answer_kind is AnswerKind.SERVED:
         return "served"
     if not pending.attempts:
--- a/fawnspool/gateway/attempt_results.py
+++ b/fawnspool/gateway/attempt_results.py
@@ -1,8 +1,8 @@
-"""Every way in which an attempt can end, and what the scheduler is told of it: one table.
+"""The ways in which an attempt can end, and the result that each of them reports to the scheduler.
 
-What counts is whether the node may have run the request. Nodes act on complete requests alone (docs/node-wire.md), so
-what was not wholly handed to the kernel never ran; whatever was may have, also where a kept connection was closed under
-it, as nobody can tell whether the node read it first.
+The results distinguish whether the node may have run the request. Nodes execute only complete requests
+(docs/node-wire.md), so a request that was not completely handed to the kernel never ran. A request that was may have
+run, even if the node closed a reused connection: the gateway cannot know whether the node read the request first.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class AttemptEnding(Enum):
-    """How an attempt ended, as its connection showed it. The values are labels of metrics and fields of log lines."""
+    """How an attempt ended, as observed on its connection. The values are metric labels and log fields."""
 
     ANSWERED = "answered"
     ANSWERED_UNTIL_CLOSE = "answered without a length, whole at the close"
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""Carries out one `Send`: connection, request, response; tells how it ended. Chooses nothing."""
+"""Carries out one `Send` action: takes a connection, sends the request, reads the response, reports the outcome."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 from fawnspool.net.http import LAST_CHUNK, ResponseHead, format_chunk
 
 _STREAMED_STATUSES = (200, 206)
-# Endings before any byte of a response: connections that lay idle longer than this one are not trusted either.
-_DISTRUST_OLDER = frozenset((AttemptEnding.RESET, AttemptEnding.CLOSED, AttemptEnding.UNWRITTEN_RESET))
+# Endings before any byte of a response arrived: connections that were idle for longer are then discarded as well.
+_DISCARD_OLDER_CONNECTIONS = frozenset((AttemptEnding.RESET, AttemptEnding.CLOSED, AttemptEnding.UNWRITTEN_RESET))
 
 
 @dataclass(slots=True)
 class NodeFeedback:
-    """What a response tells of its node.
+    """What a response reports about its node.
 
     Attributes
     ----------
     units_by_others
-        Units served of the volume for other gateways.
+        Units of the volume that the node served for other gateways.
     volume_usage
-        The volume's use everywhere, as a fraction of its rate; None: no figure.
+        The volume's use across all gateways, as a fraction of its rate; None: not known.
     load_report
-        The node's load report, in the order of the settings.
+        The node's load report, in the order of the settings' `load_report_fields`.
     """
 
     units_by_others: int = 0
@@ -48,14 +48,14 @@
 
 
 class NodeProtocol(Protocol):
-    """How the nodes behind a gateway are spoken to; without I/O.
+    """The format of requests to nodes and of their responses; does no I/O.
 
     Attributes
     ----------
     max_buffered_bytes
-        Bytes of a response body that is held whole.
+        Largest response body, in bytes, that is held in memory.
     streams_large
-        Whether a larger one is passed on as it comes.
+        Whether a larger response body is streamed to the client as it arrives.
     """
 
     max_buffered_bytes: int
@@ -65,24 +65,24 @@
         """Return the head of the request to the node."""
 
     def feedback(self, request: ClientRequest, head: ResponseHead) -> NodeFeedback:
-        """Return what the response's headers tell. Raises ValueError where that spoils the response."""
+        """Return what the response's headers report; raise ValueError if they make the response invalid."""
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        """Return how an attempt ended whose response is complete."""
+        """Return how an attempt with a complete response ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptHooks:
-    """What an attempt asks and tells its gateway.
+    """The calls of an attempt to its gateway.
 
     Attributes
     ----------
     protocol
-        How its node is spoken to.
+        The format of requests and responses.
     is_withdrawn
-        May nothing new be sent to this node any more?
+        Returns whether new requests may no longer be sent to a node.
     on_stream_started
-        A response too large to hold starts to be passed on.
+        Called when a response too large to hold in memory starts to be streamed to the client.
     """
 
     protocol: NodeProtocol
@@ -97,13 +97,13 @@
     Attributes
     ----------
     duration_s
-        From the decision to send to the end.
+        Seconds from the decision to send to the end.
     answer
-        The node's response where the attempt was answered.
+        The node's response; None if the attempt was not answered.
     feedback
-        What its headers told; None where none came or it did not read.
+        What the response's headers report; None if no headers arrived or they were malformed.
     reused_connection
-        It used a connection that had carried another request.
+        The attempt used a connection that had carried another request.
     """
 
     ending: AttemptEnding
@@ -114,7 +114,7 @@
 
 
 class _AttemptEndedError(Exception):
-    """The attempt is over before it was answered."""
+    """The attempt ended before it was answered."""
 
     def __init__(self, ending: AttemptEnding) -> None:
         super().__init__(ending.value)
@@ -156,12 +156,12 @@
             ending = ended.ending
             if connection is not None:
                 reusable = not self.attempt.sent
-                if not connection.is_new and ending in _DISTRUST_OLDER:
+                if not connection.is_new and ending in _DISCARD_OLDER_CONNECTIONS:
                     self.pool.discard_older_than(connection)
         finally:
             self.attempt.connection = None
             if connection is not None:
-                self._give_back(connection, reusable)
+                self._release_or_discard(connection, reusable)
         return AttemptOutcome(
             ending,
             time.monotonic() - self.attempt.started_at,
@@ -170,7 +170,7 @@
             reused_connection=connection is not None and not connection.is_new,
         )
 
-    def _give_back(self, connection: ClientConnection, reusable: bool) -> None:
+    def _release_or_discard(self, connection: ClientConnection, reusable: bool) -> None:
         if reusable and not self.attempt.cancelled:
             self.pool.release(connection)
         else:
@@ -185,12 +185,12 @@
         except ConnectError as error:
             if attempt.cancelled:
                 raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT) from None
-            if time.monotonic() >= attempt.write_by:  # its window was too short to tell: no sign against the node
+            if time.monotonic() >= attempt.write_by:  # too little time was left to count this as the node's failure
                 raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME) from None
             raise _AttemptEndedError(_connect_ending(error)) from None
 
     def _check_before_send(self) -> None:
-        """Check again before sending: what was true before the wait for a connection may be outdated."""
+        """Check again whether to send, because the state may have changed during the wait for a connection."""
         if self.hooks.is_withdrawn(self.attempt.node):
             raise _AttemptEndedError(AttemptEnding.NODE_DRAINING)
         if self.attempt.cancelled or self.request.state is RequestState.SETTLED:
@@ -215,12 +215,12 @@
             else:
                 self._stream_body(connection, head, deadline)
         except TimeoutError:
-            raise self._lost(AttemptEnding.UNWRITTEN_TIMEOUT, unsent=True) from None
+            raise self._connection_lost(AttemptEnding.UNWRITTEN_TIMEOUT, unsent=True) from None
         except ConnectionLostError:
-            raise self._lost(AttemptEnding.UNWRITTEN_RESET, unsent=True) from None
+            raise self._connection_lost(AttemptEnding.UNWRITTEN_RESET, unsent=True) from None
 
     def _stream_body(self, connection: ClientConnection, head: bytes, deadline: float) -> None:
-        """Send a body of which the rest comes from the client, once."""
+        """Send a body while its rest is read from the client, which is possible only once."""
         body = self.request.body
         body.spent = True
         chunked = body.length is None
@@ -231,7 +231,7 @@
             connection.send(LAST_CHUNK, deadline)
 
     def _rest_of_body(self) -> Iterator[bytes]:
-        """Read what is left of the client's body."""
+        """Yield the rest of the body as it is read from the client."""
         body = self.request.body
         assert body.rest is not None
         while True:
@@ -250,13 +250,13 @@
         try:
             return connection.read_head(self.attempt.deadline)
         except TimeoutError:
-            raise self._lost(AttemptEnding.RESPONSE_TIMEOUT) from None
+            raise self._connection_lost(AttemptEnding.RESPONSE_TIMEOUT) from None
         except ConnectionLostError as error:
             if connection.is_cut_in_head():
-                raise self._lost(AttemptEnding.TRUNCATED_RESPONSE) from None
+                raise self._connection_lost(AttemptEnding.TRUNCATED_RESPONSE) from None
             if isinstance(error, ConnectionClosedError) and not connection.is_new:
-                raise self._lost(AttemptEnding.CLOSED) from None
-            raise self._lost(AttemptEnding.RESET) from None
+                raise self._connection_lost(AttemptEnding.CLOSED) from None
+            raise self._connection_lost(AttemptEnding.RESET) from None
         except HttpError as error:
             raise _AttemptEndedError(_response_error_ending(error)) from None
 
@@ -273,7 +273,7 @@
             self._stream_response(connection, head)
             return AttemptEnding.ANSWERED
         if large and head.length is not None:
-            # It names more than any response has: nothing of it is read.
+            # The Content-Length exceeds the largest valid response, so the body is not read.
             raise _AttemptEndedError(AttemptEnding.WRONG_LENGTH)
         body = self._read_body(connection)
         ending = protocol.ending(head)
@@ -288,16 +288,16 @@
         try:
             return connection.read_body(self.attempt.deadline, self.hooks.protocol.max_buffered_bytes)
         except TimeoutError:
-            raise self._lost(AttemptEnding.RESPONSE_TIMEOUT) from None
+            raise self._connection_lost(AttemptEnding.RESPONSE_TIMEOUT) from None
         except ConnectionLostError:
             if connection.ends_at_close:
-                raise self._lost(AttemptEnding.BROKEN_WITHOUT_LENGTH) from None
-            raise self._lost(AttemptEnding.TRUNCATED_RESPONSE) from None
+                raise self._connection_lost(AttemptEnding.BROKEN_WITHOUT_LENGTH) from None
+            raise self._connection_lost(AttemptEnding.TRUNCATED_RESPONSE) from None
         except HttpError as error:
             raise _AttemptEndedError(_response_error_ending(error)) from None
 
     def _stream_response(self, connection: ClientConnection, head: ResponseHead) -> None:
-        """Pass a large response on as it comes, as fast as the client takes it."""
+        """Stream a large response to the client as it arrives, as fast as the client reads it."""
         request = self.request
         if not request.start_streaming():
             raise _AttemptEndedError(AttemptEnding.CANCELLED)
@@ -325,8 +325,8 @@
             self.request.exchange.finish(False)
             raise _AttemptEndedError(AttemptEnding.TRUNCATED_RESPONSE) from None
 
-    def _lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
-        """Return the end of an attempt whose connection ended: where it was cancelled, that was why."""
+    def _connection_lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
+        """Return the error for a lost connection, which for a cancelled attempt is the cancellation."""
         if not self.attempt.cancelled:
             return _AttemptEndedError(ending)
         if unsent:
--- a/fawnspool/gateway/connection_pools.py
+++ b/fawnspool/gateway/connection_pools.py
@@ -1,4 +1,4 @@
-"""Connections from one gateway to its nodes: a pool for each address, and their upkeep."""
+"""Connections from one gateway to its nodes: a pool for each address, and the closing of unused connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     ready_addresses
-        Gives the addresses of the nodes that take requests now.
+        Returns the addresses of the nodes that currently take requests.
     """
 
     def __init__(self, options: PoolOptions, ready_addresses: Callable[[], set[Address]]) -> None:
@@ -28,7 +28,7 @@
         self._ready: set[Address] = set()
 
     def get(self, address: Address) -> ConnectionPool:
-        """Return the pool of an address, made where there is none."""
+        """Return the pool of an address; create it if there is none."""
         pool = self.by_address.get(address)
         if pool is None:
             pool = self.by_address[address] = ConnectionPool(address, self.options)
@@ -44,7 +44,7 @@
             self.by_address[address].close_idle()
 
     def close_one_idle(self) -> bool:
-        """Close one idle connection; False: there is none."""
+        """Close one idle connection; return False if there is none."""
         for pool in self.by_address.values():
             if pool.idle:
                 pool.discard(pool.idle.popleft())
@@ -52,9 +52,9 @@
         return False
 
     def prune(self) -> None:
-        """Close what will not be used again, at a few addresses a call, in turn.
+        """Close connections that will not be used again; each call checks a few addresses, in turn.
 
-        Without this the idle connections to nodes that left would hold their descriptors for ever.
+        Without this, idle connections to nodes that left the list would keep their file descriptors forever.
         """
         if not self._to_prune:
             self._to_prune = list(self.by_address)
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -1,8 +1,9 @@
-"""What every gateway is made of: the decision module's loop, the open requests, and their attempts at nodes.
+"""The part of a gateway that all edges share: the decision module's event loop, open requests and their attempts.
 
-Each edge (the object API, the platform's relay) makes a `ClientRequest`, hands it to `GatewayCore.accept` and waits
-for its one final answer. The edge also gives the protocol that its nodes speak and the client of its endpoint list.
-Every action of the module is carried out by one entry of `GatewayCore.action_handlers`; nothing here chooses.
+An edge (the object API, the platform's relay) creates a `ClientRequest`, passes it to `GatewayCore.accept` and waits
+for its one final answer. The edge also provides the protocol of its nodes and the client of its endpoint list. Each
+action of the decision module is executed by its handler in `GatewayCore.action_handlers`; the core itself makes no
+scheduling decisions.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class ListedNode(Protocol):
-    """What the core needs of a listed node."""
+    """The properties of a listed node that the core uses."""
 
     @property
     def address(self) -> tuple[str, int]:
@@ -40,34 +41,34 @@
 
     @property
     def phase(self) -> interface.Phase:
-        """Whether it takes requests."""
+        """Lifecycle phase, which says whether the node takes requests."""
 
     @property
     def shard(self) -> int:
-        """The shard that it serves."""
+        """The shard that the node serves."""
 
 
 class EndpointSource(Protocol):
-    """The list of nodes, as a client of its service holds it."""
+    """The node list, as held by the client of the list service."""
 
     @property
     def nodes(self) -> Mapping[int, ListedNode]:
         """The nodes by number."""
 
     def watch(self, on: bool) -> None:
-        """Open or end the watch of the list."""
+        """Open or close the watch of the list."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Request the whole list once."""
 
 
 class GatewayCore:
-    """The part of a gateway that is the same at every edge.
+    """The part of a gateway that is the same for every edge.
 
     Attributes
     ----------
     endpoints
-        Set by the edge before `start`, as its client posts to this core's loop.
+        Set by the edge before `start`; its client posts to the core's event loop, so the core is created first.
     pending
         The open requests, by number.
     """
@@ -114,7 +115,7 @@
         self.checks.start()
 
     def stop(self) -> None:
-        """End everything that `start` began, and the idle greenlets."""
+        """Stop everything that `start` started, and end the idle greenlets."""
         self.checks.stop()
         self.loop.stop()
         self.greenlets.stop()
@@ -126,17 +127,17 @@
         nodes = self.endpoints.nodes.values()
         return {node.address for node in nodes if node.phase is interface.Phase.READY}
 
-    # ------------------------------------------------------------ the client's side
+    # ------------------------------------------------------------ client side
 
     def next_request_id(self) -> int:
-        """Return a number that no request of this process had."""
+        """Return a request number that this process has not used before."""
         self.last_request_id += 1
         return self.last_request_id
 
     def accept(self, pending: ClientRequest) -> None:
-        """Take a request, whose number must be new; the module is told of it in its turn.
+        """Accept a request, whose number must be new, and post its event to the decision module.
 
-        Where its deadline has passed, as the gateway stood still or its client hardly waits, it is rejected.
+        A request whose deadline has passed is rejected: the gateway was stalled, or the client allowed too little time.
         """
         if pending.deadline <= time.monotonic():
             pending.settle(AnswerKind.REJECTED)
@@ -145,13 +146,13 @@
         self.loop.post(lambda: self._request_event(pending))
 
     def _request_event(self, pending: ClientRequest) -> interface.Request | None:
-        left = pending.deadline - time.monotonic()
-        if left <= 0:
+        remaining_s = pending.deadline - time.monotonic()
+        if remaining_s <= 0:
             pending.settle(AnswerKind.REJECTED)
         if pending.state is RequestState.SETTLED:
             self._forget(pending)
             return None
-        return replace(pending.request, timeout_s=left)
+        return replace(pending.request, timeout_s=remaining_s)
 
     def wait_for_answer(self, pending: ClientRequest, grace_s: float, streaming_s: float) -> None:
         """Wait until the final answer is given.
@@ -161,9 +162,9 @@
         pending
             An accepted request.
         grace_s
-            How long after the deadline the gateway answers itself, as the module should have.
+            Seconds after the deadline at which the gateway fails the request itself, as the module gave no answer.
         streaming_s
-            How much longer an answer that is being passed on may take.
+            Further seconds that an answer may take which is being streamed to the client.
         """
         if pending.done.wait(pending.deadline + grace_s):
             return
@@ -171,9 +172,9 @@
         pending.done.wait(time.monotonic() + streaming_s)
 
     def abandon(self, pending: ClientRequest, kind: AnswerKind = AnswerKind.CLIENT_LEFT) -> None:
-        """End a request from the client's side; the module is told and owes nothing more.
+        """End a request on the client's behalf; the decision module is notified and need not answer it.
 
-        An answer that is being passed on stays: its attempt sees for itself that the client left.
+        An answer that is being streamed is not affected: its attempt detects by itself that the client left.
         """
         if pending.state is RequestState.STREAMING:
             return
@@ -182,14 +183,14 @@
             self.loop.post(lambda: self._forget(pending))
 
     def answer_overdue(self, pending: ClientRequest) -> None:
-        """Fail a request whose final answer did not come in time, which the module should not let happen."""
+        """Fail a request that the decision module did not answer in time, which is a fault of the module."""
         if pending.state is RequestState.OPEN:
             self.log.error("answer_overdue", id=pending.request.id, request_class=pending.class_name)
             self.metrics.overdue += 1
             self.abandon(pending, AnswerKind.FAILED)
 
     def count_finished(self, pending: ClientRequest, outcome: str) -> None:
-        """Count and trace a request whose answer was carried out."""
+        """Count a finished request and end its trace."""
         self.metrics.request(pending.class_name, pending.plan_name, outcome)
         if pending.answer_kind is not AnswerKind.SERVED:
             self.metrics.not_served(outcome, reason_label(pending))
@@ -251,7 +252,7 @@
     def _attempt_ended(
         self, pending: ClientRequest, attempt: NodeAttempt, outcome: AttemptOutcome
     ) -> interface.Outcome:
-        """Make the module's event in the loop's own turn, where answers are settled in order."""
+        """Settle the answer and return the module's event; runs in the event loop, which settles answers in order."""
         result = RESULTS[outcome.ending]
         self._count_attempt(pending, attempt, outcome)
         if result is interface.Result.SERVED:
@@ -321,16 +322,16 @@
     def _fail(self, action: interface.FailRequest) -> None:
         self._answer(action.id, AnswerKind.FAILED)
 
-    def _answer(self, ident: int, kind: AnswerKind, retry_after_s: float = 0.0) -> None:
-        pending = self.pending.get(ident)
-        if pending is None or pending.state is RequestState.STREAMING:  # what is passed on is the final answer
+    def _answer(self, request_id: int, kind: AnswerKind, retry_after_s: float = 0.0) -> None:
+        pending = self.pending.get(request_id)
+        if pending is None or pending.state is RequestState.STREAMING:  # the streamed answer is final
             return
         pending.retry_after_s = retry_after_s
         pending.settle(kind)
         self._forget(pending)
 
     def _on_module_error(self, event: interface.Event) -> None:
-        """Fail the request that the module raised on, as it still needs its one answer."""
+        """Fail the request on whose event the module raised, because it still needs its final answer."""
         if isinstance(event, interface.Request | interface.Outcome | interface.ClientDisconnected):
             self._answer(event.id, AnswerKind.FAILED)
         elif isinstance(event, interface.Timer):
@@ -358,13 +359,13 @@
             self.pools.close_idle(node.address)
 
     def _probe(self, action: interface.Probe) -> None:
-        """Answer at once; an edge whose nodes can be probed overrides this."""
+        """Report at once that no probe was sent; an edge whose nodes can be probed overrides this."""
         self.loop.post(interface.Probed(action.node, interface.Result.NOT_SENT, 0.0, None))
 
     def _send_peer_message(self, action: interface.SendPeerMessage) -> None:
-        """Drop the message; an edge whose gateways talk to each other overrides this."""
+        """Drop the message; an edge whose gateways exchange messages overrides this."""
 
 
 def _first_request_id() -> int:
-    """Numbers of a process that is started later are higher."""
+    """Return a first request number from the wall clock: a process that starts later uses higher numbers."""
     return time.time_ns() // 1_000_000 << _REQUEST_ID_BITS_PER_MILLISECOND
--- a/fawnspool/gateway/endpoint_client.py
+++ b/fawnspool/gateway/endpoint_client.py
@@ -1,4 +1,4 @@
-"""The gateway's client of the node list service: a standing watch, polls, and the last list kept on disk."""
+"""The gateway's client of the node list service: a watch, polls, and a copy of the last list on disk."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from fawnspool.scheduling import interface
 from fawnspool.telemetry.logs import EventLogger
 
-_SILENCE_CALL_TIMEOUTS = 2.0  # a watch is silent after so many call time-outs
+_SILENCE_CALL_TIMEOUTS = 2.0  # call timeouts without a message after which a watch counts as silent
 _DELTA = "changes"
 _SNAPSHOT = "whole"
 
 
 class EndpointRecord(msgspec.Struct, frozen=True):
-    """An entry as the list service writes it; ages in seconds, -1: long ago."""
+    """A list entry in the format of the list service; `age_s` -1: the node started long ago."""
 
     node: int
     address: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class ListedEndpoint:
-    """What the gateway needs of a node beside what the module is told."""
+    """The properties of a listed node that the gateway itself uses."""
 
     address: tuple[str, int]
     phase: interface.Phase
@@ -54,16 +54,16 @@
 
 @dataclass(frozen=True)
 class EndpointClientConfig:
-    """How the list is asked for and read.
+    """Settings of an endpoint client.
 
     Attributes
     ----------
     zones, kinds
-        Names in the order of the module's numbers; any other name counts as the first.
+        Names in the order of the decision module's numbers; any other name counts as the first.
     pushes
-        The service tells changes by itself, so that the watch stands from the start.
+        Whether the service pushes changes; the watch is then opened at the start.
     cache
-        File for the last list.
+        File in which the last list is saved.
     """
 
     address: tuple[str, int]
@@ -76,7 +76,7 @@
 
 
 class EndpointClient(WatchClient):
-    """Turns what the list service says into `EndpointUpdate` events."""
+    """Turns messages of the list service into `EndpointUpdate` events."""
 
     def __init__(
         self, config: EndpointClientConfig, post: PostUpdate, log: EventLogger, writer: BackgroundWriter
@@ -95,30 +95,30 @@
             self.watch(True)
 
     def poll_target(self) -> bytes:
-        """Where the whole list is asked for."""
+        """Return the request target for the whole list."""
         return b"/list?head=%d" % self.config.gateway_id
 
     def watch_target(self) -> bytes:
-        """Where a watch of what follows `version` is asked for."""
+        """Return the request target for a watch of the changes after `version`."""
         return b"/watch?head=%d&from=%d" % (self.config.gateway_id, self.version)
 
     def fetch(self) -> None:
-        """Ask for the whole list; where the service pushes, by a new watch in the place of one that broke."""
+        """Request the whole list; if the service pushes and the watch broke, open a new watch instead."""
         watch_broke = self.watch_greenlet is None or self.watch_greenlet.dead
         if self.config.pushes and watch_broke:
-            self.version = 0  # so the first object of the watch is the whole list
+            self.version = 0  # makes the whole list the first object of the watch
             self.watch(True)
         else:
             super().fetch()
 
     def apply(self, data: bytes) -> None:
-        """Take a message of the service, post it and save the list."""
+        """Apply a message of the service: post its update and save the list."""
         try:
             message = msgspec.json.decode(data, type=EndpointMessage)
         except msgspec.DecodeError as error:
             raise MalformedUpdateError(str(error)) from None
         if message.kind == _DELTA and message.version <= self.version and message.entries:
-            return  # heard before
+            return  # already applied
         if message.kind == _SNAPSHOT and message.version < self.version:
             self.log.warning("endpoint_list_version_decreased", previous=self.version, received=message.version)
         kind = interface.UpdateKind.DELTA if message.kind == _DELTA else interface.UpdateKind.SNAPSHOT
@@ -187,7 +187,7 @@
         self.log.error("endpoint_cache_not_saved", error=error)
 
     def _write(self, data: bytes) -> None:
-        """Write beside, then rename: a kill leaves the old list or the new one."""
+        """Write a draft file and rename it, so that a killed process leaves either the old list or the new one."""
         cache = self.config.cache
         draft = cache.with_suffix(".draft")
         try:
@@ -199,7 +199,7 @@
 
 
 class StaticEndpointClient(EndpointClient):
-    """A list that is given once, for a gateway with embedded nodes."""
+    """A fixed list, for a gateway with embedded nodes."""
 
     def __init__(
         self,
@@ -210,7 +210,7 @@
         writer: BackgroundWriter,
     ) -> None:
         super().__init__(config, post, log, writer)
-        self.given = records
+        self.fixed_records = records
 
     def start(self) -> None:
         """Post the list."""
@@ -218,17 +218,17 @@
         self.fetch()
 
     def watch(self, on: bool) -> None:
-        """Post the list again: it never changes."""
+        """Post the list again; as it never changes, no watch is opened."""
         self.fetch()
 
     def fetch(self) -> None:
         """Post the list again."""
         self.last_message_at = time.monotonic()
-        self._apply(interface.UpdateKind.SNAPSHOT, 1, self.given)
+        self._apply(interface.UpdateKind.SNAPSHOT, 1, self.fixed_records)
 
 
 def _listed(record: EndpointRecord) -> ListedEndpoint:
-    """Raise ValueError where the entry does not read."""
+    """Parse an entry; raise ValueError if it is malformed."""
     phase = interface.Phase(record.phase)
     host, _, port = record.address.rpartition(":")
     return ListedEndpoint((host, int(port)), phase, record.zone, record.shard)
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -1,9 +1,9 @@
-"""The one greenlet that owns the decision module.
+"""The event loop: the one greenlet that calls the decision module.
 
-Others post events to one queue. The loop stamps them with the monotonic clock, passes them to the module in order,
-and carries out the actions in order by one table of handlers; nothing else touches the module. Timers are a heap
-beside the queue. Where the module raises, the actions that it had asked for are still carried out, its owner is told
-of the event, and the loop goes on.
+Other greenlets post events to one queue. The loop stamps each event with the monotonic clock, passes the events to the
+module in order, and executes the resulting actions in order through a table of handlers; nothing else calls the
+module. Timers are kept in a heap beside the queue. If the module raises, the actions that it had requested are still
+executed, the owner of the loop is notified of the event, and the loop continues.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
 
-_MAX_EVENTS_PER_ITERATION = 64  # then due timers get their turn, however full the queue is
+_MAX_EVENTS_PER_ITERATION = 64  # due timers are then handled, however full the queue is
 _STOP_TIMEOUT_S = 1.0
 _MAX_LOGGED_ACTION_CHARS = 200
 
 EventFactory = Callable[[], interface.Event | None]
-"""Makes an event when its turn comes; None: there is nothing to tell any more."""
+"""Creates an event when the loop reaches it in the queue; None: the event is obsolete."""
 
 ActionHandlers = Mapping[type[Any], Callable[[Any], None]]
 
 
 class DecisionModule(Protocol):
-    """What chooses: the scheduler, or a baseline beside it."""
+    """Makes the scheduling decisions: the scheduler, or a baseline to compare it with."""
 
     def handle(self, now: float, event: interface.Event, /) -> list[interface.Action]:
-        """Take one event at the monotonic time `now`, in seconds; return what is to be done."""
+        """Handle an event at the monotonic time `now`, in seconds; return the actions to execute."""
 
 
 class EventLoop:
-    """Drives `module`.
+    """Passes events and due timers to `module`, and executes its actions.
 
     Parameters
     ----------
     action_handlers
-        By type of action, what carries it out.
+        The function that executes each type of action.
     on_module_error
-        Called with the event on which the module raised, after the actions are carried out.
+        Called with the event on which the module raised, after its actions have been executed.
     observability
-        Its recorder is the loop's to close.
+        The outputs of the gateway; the loop closes the recorder.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.log = observability.log
         self.recorder = observability.recorder
         self.inbox: deque[interface.Event | EventFactory] = deque()
-        self.timers: list[tuple[float, int, int]] = []  # due time, order of setting, token
+        self.timers: list[tuple[float, int, int]] = []  # due time, sequence number, token
         self.timers_set = 0
         self.wake = WakeupEvent()
         self.asleep = False
@@ -85,14 +85,14 @@
             self.recorder.close()
 
     def post(self, event: interface.Event | EventFactory) -> None:
-        """Queue an event, or a factory that makes it when its turn comes."""
+        """Queue an event, or a factory that creates the event when the loop reaches it."""
         self.inbox.append(event)
         if self.asleep:
             self.asleep = False
             self.wake.set()
 
     def set_timer(self, delay_s: float, token: int) -> None:
-        """Give the module `Timer(token)` after `delay_s` seconds."""
+        """Pass `Timer(token)` to the module after `delay_s` seconds."""
         self.timers_set += 1
         heapq.heappush(self.timers, (time.monotonic() + max(0.0, delay_s), self.timers_set, token))
 
@@ -102,7 +102,7 @@
             self._handle_queued()
             self._handle_due_timers()
             if self.inbox:
-                gevent.sleep(0)  # let sockets move between two turns
+                gevent.sleep(0)  # lets other greenlets serve their sockets between two iterations
                 continue
             if self.recorder is not None:
                 self._flush_recording()
@@ -133,22 +133,22 @@
         self.wake.wait(self.timers[0][0] if self.timers else None)
         self.asleep = False
 
-    def _make_event(self, make: EventFactory) -> interface.Event | None:
+    def _make_event(self, factory: EventFactory) -> interface.Event | None:
         try:
-            return make()
-        except Exception:  # the loop must outlive whatever making an event meets
+            return factory()
+        except Exception:  # no error in a factory may end the loop
             self.log.error("event_factory_failed", exc_info=True)
             return None
 
     def _flush_recording(self) -> None:
-        """Write the recording on; where that fails the recording ends, and no request suffers."""
+        """Flush the recording; if that fails, recording stops, without an effect on requests."""
         assert self.recorder is not None
         self.recorder.flush()
         if self.recorder.stopped:
             self.log.error(
                 "recording_stopped",
                 reason=self.recorder.stopped,
-                remedy="make room or set a faster place under `record`, then restart",
+                remedy="free disk space or set `record` to a file on a faster disk, then restart",
             )
             self.metrics.recordings_stopped += 1
             self.recorder.close()
@@ -179,7 +179,7 @@
             self.on_module_error(event)
 
     def _requested_so_far(self, requested_before: Any) -> list[interface.Action]:
-        """What the module asked for on the event on which it raised, if it came so far as to begin a new list."""
+        """Return the actions that the module requested before it raised; none if it began no new list for the event."""
         requested = getattr(self.module, "actions", None)
         if requested is None or requested is requested_before:
             return []
@@ -188,5 +188,5 @@
     def _perform(self, action: interface.Action) -> None:
         try:
             self.action_handlers[type(action)](action)
-        except Exception:  # the loop must outlive whatever one action meets
+        except Exception:  # no error in an action may end the loop
             self.log.error("action_failed", action=repr(action)[:_MAX_LOGGED_ACTION_CHARS], exc_info=True)
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway behind the object API: the core with its settings in HCL, node list, extent map, peers and traces."""
+"""The gateway behind the object API: the core with HCL settings, node list, extent map, peers and traces."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 from fawnspool.telemetry.metrics import PrometheusExporter, StateSources
 from fawnspool.telemetry.traces import Traces
 
-MAX_MAP_AGE_MS = 10**9  # also sent where the map was never whole
+MAX_MAP_AGE_MS = 10**9  # the largest age that is sent; also sent if the map was never complete
 _WRITING_METHODS = (b"PUT", b"DELETE")
 _OK = 200
 _MS_PER_S = 1000
@@ -62,31 +62,31 @@
 
 
 def make_policy(name: str, settings: interface.Settings, seed: int) -> Any:
-    """Return the decision module, or a baseline, by its name in the settings."""
+    """Create the decision module, or a baseline, from its name in the settings."""
     return POLICIES[name](settings, seed)
 
 
 def volume_number(name: str) -> int:
-    """Return a volume's number, the same at every gateway."""
+    """Return a volume's number, which is the same on every gateway."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 @dataclass(frozen=True, kw_only=True)
 class ObjectRequest:
-    """A checked request of the object API.
+    """A validated request of the object API.
 
     Attributes
     ----------
     forwarded_headers
-        Headers of the client that go to the node.
+        Client headers that are forwarded to the node.
     exchange
-        The client's side, on which the answer is written.
+        The HTTP exchange with the client, to which the answer is written.
     arrived_at
         Seconds of the monotonic clock.
     timeout_s
-        From `arrived_at` until the answer must have left.
+        Seconds from `arrived_at` until the answer must have been sent.
     shard
-        -1: a new object, for any node.
+        Shard that holds the object; -1: a new object, which any node may store.
     """
 
     volume: str
@@ -112,9 +112,9 @@
     Parameters
     ----------
     source
-        The extent map, where it is in this process.
+        The extent map, if it is held in this process; None: the map service is used.
     records
-        The node list, where it is given and not asked for.
+        A fixed node list; None: the list service is used.
     """
 
     endpoints: EndpointClient
@@ -200,13 +200,13 @@
         )
 
     def _log_unsaved_map(self, problem: str) -> None:
-        """Log that the map's files lag: a restart will ask the map service for more."""
+        """Log that the saved map is out of date, so that a restart fetches more from the map service."""
         self.log.error("map_save_failed", error=problem)
 
     # ------------------------------------------------------------ start and end
 
     def start(self) -> None:
-        """Start the gateway and what it shares with the others."""
+        """Start the gateway, and its leases and gossip where these are configured."""
         head = self.config.head
         if self.config.peer and head.peer_listen:
             peer_addresses = {int(peer.name): parse_address(peer.address) for peer in self.config.peer}
@@ -243,12 +243,12 @@
         return FleetPlace(head.number, head.heads, head.seed)
 
     def hand_over(self) -> None:
-        """Give the leases of this gateway to others at once: the first step of a shutdown."""
+        """Hand over this gateway's leases to other gateways at once: the first step of a shutdown."""
         if self.leases is not None:
             self.leases.hand_over()
 
     def stop(self) -> None:
-        """End everything that `start` began, and write what is still to be written."""
+        """Stop everything that `start` started, and write the records that are still queued."""
         if self.leases is not None:
             self.leases.stop()
         if self.gossip is not None:
@@ -271,12 +271,12 @@
 
     def _check_file_writer(self) -> None:
         if error := self.file_writer.take_error():
-            self.log.error("file_write_failed", error=error, remedy="see `head.trace` and `head.data`")
+            self.log.error("file_write_failed", error=error, remedy="check the disks of `head.trace` and `head.data`")
 
     # ------------------------------------------------------------ requests
 
     def submit(self, request: ObjectRequest) -> ClientRequest:
-        """Take a request; `ClientRequest.done` opens with its one final answer."""
+        """Accept a request; its `ClientRequest.done` is set with its one final answer."""
         volume = self.volumes[request.volume]
         pending = ClientRequest(
             request=self._module_request(request),
@@ -292,7 +292,7 @@
             class_name=self.config.class_[request.class_index].name,
             plan_name=volume.plan,
         )
-        if age_s := self.extent_directory.stale_for_s():  # the client is told that its object's place may be old
+        if age_s := self.extent_directory.stale_for_s():  # reports that the object's location may be outdated
             pending.answer_headers = [(b"Fawn-Map-Age-Ms", b"%d" % min(age_s * _MS_PER_S, MAX_MAP_AGE_MS))]
         if self.traces is not None:
             pending.span = self.traces.begin(
@@ -371,15 +371,15 @@
     # ------------------------------------------------------------ state for operators
 
     def duty_status(self) -> dict[str, Any] | None:
-        """Return the state of leases; None: this gateway takes no part in them."""
+        """Return the state of the leases; None if this gateway does not take part in leasing."""
         return None if self.leases is None else self.leases.status()
 
     def shared_status(self) -> dict[str, Any] | None:
-        """Return the state of gossip; None: this gateway takes no part in it."""
+        """Return the state of gossip; None if this gateway does not take part in it."""
         return None if self.gossip is None else self.gossip.status()
 
     def status(self) -> dict[str, Any]:
-        """Return what the gateway thinks of each node, and how it fares itself."""
+        """Return the status page: the state of the gateway and its view of each node."""
         now = time.monotonic()
         counters = self.metrics
         last_message_at = self.endpoints.last_message_at
--- a/fawnspool/gateway/greenlet_pool.py
+++ b/fawnspool/gateway/greenlet_pool.py
@@ -1,4 +1,4 @@
-"""Greenlets that run attempts and are reused for the next: starting one costs a tenth of a request's time."""
+"""A pool of greenlets that run attempts: starting a greenlet for each would cost a tenth of a request's time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class GreenletPool:
-    """Runs calls, each at once and in a greenlet of its own.
+    """Runs each call at once, in a greenlet of its own.
 
     Parameters
     ----------
     max_idle
-        How many greenlets without a call wait for the next one.
+        Maximum number of idle greenlets that are kept for later calls.
     """
 
     def __init__(self, max_idle: int) -> None:
@@ -35,7 +35,7 @@
         gevent.spawn(self._run, greenlet)
 
     def stop(self) -> None:
-        """End the idle greenlets now, and those at work with their calls."""
+        """End the idle greenlets now, and each busy greenlet when its call returns."""
         self.stopped = True
         while self.idle:
             self.idle.pop().wake.set()
@@ -53,7 +53,7 @@
 
 
 class _PooledGreenlet:
-    """The call that a greenlet runs next, and what wakes it for that."""
+    """The next call of a pooled greenlet, and the event that wakes the greenlet to run it."""
 
     __slots__ = ("args", "call", "wake")
 
@@ -68,7 +68,7 @@
         self.wake.set()
 
     def take(self) -> tuple[Callable[..., None], tuple[Any, ...]]:
-        """The assigned call, which is then forgotten so that its arguments can be freed."""
+        """Return the assigned call, and drop the references to it so that its arguments can be freed."""
         assert self.call is not None
         assigned = self.call, self.args
         self.call = None
--- a/fawnspool/gateway/json_splitter.py
+++ b/fawnspool/gateway/json_splitter.py
@@ -12,30 +12,30 @@
     """An object of the stream exceeds the limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        super().__init__(f"an object of over {max_bytes} bytes")
+        super().__init__(f"a JSON object exceeds the limit of {max_bytes} bytes")
 
 
 class ObjectSplitter:
-    """Takes bytes and yields complete JSON objects.
+    """Splits received bytes into complete JSON objects.
 
-    An object ends with the line that closes its last brace: it may stand on one line or, indented, on several.
+    An object ends with the line that closes its last bracket: it may be on one line or, indented, on several lines.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self.line_parts: list[bytes] = []  # of the line that has no end yet
+        self.line_parts: list[bytes] = []  # parts of the line whose end has not arrived
         self.line_bytes = 0
-        self.object_lines: list[bytes] = []  # of the object that is not complete yet
+        self.object_lines: list[bytes] = []  # lines of the object that is not complete
         self.object_bytes = 0
         self.depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        r"""Yield each object that `data` completes, and b"" for an empty line between two.
+        r"""Yield each object that `data` completes, and b"" for an empty line between two objects.
 
         Raises
         ------
         ObjectTooLargeError
-            The object under way has more than `max_bytes`.
+            The incomplete object exceeds `max_bytes`.
         """
         *line_ends, last = data.split(b"\n")
         for line_end in line_ends:
--- a/fawnspool/gateway/node_protocol.py
+++ b/fawnspool/gateway/node_protocol.py
@@ -1,4 +1,4 @@
-"""The project's own protocol to its nodes (docs/node-wire.md), without I/O."""
+"""Fawnspool's protocol between a gateway and its nodes (docs/node-wire.md); does no I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from fawnspool.net.node_headers import ATTEMPT_HEADER, REPORT_HEADER, AttemptHeader, parse_node_report
 from fawnspool.scheduling.interface import Settings
 
-_UNDERSTOOD = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))
+_ANSWERED_STATUSES = frozenset((200, 201, 204, 206, 304, 404, 412, 416, 421, 425))
 _UNAVAILABLE = 503
 
 
 class FawnspoolNodeProtocol:
-    """How this gateway speaks to its nodes.
+    """Formats requests to nodes and interprets the headers of their responses.
 
     Parameters
     ----------
     max_buffered_bytes
-        Bytes; a larger answer is passed on as it comes.
+        Size of a response body, in bytes, above which the body is streamed to the client.
     """
 
     streams_large = True
@@ -53,26 +53,26 @@
         return format_request_head(pending.method, pending.target, b"node", headers, pending.body.length)
 
     def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
-        """Return what the answer's headers tell of the node.
+        """Return what the response's headers report about the node.
 
         Raises
         ------
         ValueError
-            They do not read, which spoils the answer.
+            The headers are malformed, which makes the response invalid.
         """
         report = parse_node_report(head.headers.get(REPORT_HEADER))
         volume_usage = self._volume_usage(pending, report.volume_units_per_s)
         return NodeFeedback(report.served_elsewhere, volume_usage, report.load)
 
     def _volume_usage(self, pending: ClientRequest, units_per_s: float | None) -> float | None:
-        """The volume's use as a fraction of its rate; None: not known."""
+        """Return the volume's use as a fraction of its rate; None: not known."""
         rate = self.settings.plans[pending.request.plan_index].rate
         if units_per_s is None or rate <= 0:
             return None
         return units_per_s / rate
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        """Return how an attempt ended whose answer came complete."""
+        """Return how an attempt with a complete response ended."""
         if head.code == _UNAVAILABLE and parse_node_report(head.headers.get(REPORT_HEADER)).overloaded:
             return AttemptEnding.REJECTED
-        return AttemptEnding.ANSWERED if head.code in _UNDERSTOOD else AttemptEnding.NODE_ERROR
+        return AttemptEnding.ANSWERED if head.code in _ANSWERED_STATUSES else AttemptEnding.NODE_ERROR
--- a/fawnspool/gateway/node_status.py
+++ b/fawnspool/gateway/node_status.py
@@ -1,6 +1,6 @@
-"""What operators see of the nodes: the scheduler's view of each, for the status page and the metrics.
+"""The scheduler's view of each node, for the status page and the metrics.
 
-This is the one place that looks into the decision module; a baseline has nothing to show.
+This is the one place that reads the scheduler's state for operators; a baseline has no such state.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 def _state(node_queue: NodeQueue) -> str:
-    """Return what the scheduler makes of a node, in the words of the status page."""
+    """Return the scheduler's assessment of a node, as the status page names it."""
     if not node_queue.is_available():
         return "trials only"
     return "sound" if node_queue.slow_start.started_at is None else "may be cold"
--- a/fawnspool/gateway/observability.py
+++ b/fawnspool/gateway/observability.py
@@ -1,4 +1,4 @@
-"""Where a gateway's core reports what it does: counters, log, decision recording and traces."""
+"""The outputs of a gateway's core: counters, log, decision recording and traces."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Observability:
-    """The sinks of one gateway. None: it does not record, or does not trace."""
+    """The outputs of one gateway; without a recorder or traces it does not record or trace."""
 
     metrics: GatewayCounters
     log: EventLogger
--- a/fawnspool/gateway/periodic_checks.py
+++ b/fawnspool/gateway/periodic_checks.py
@@ -1,4 +1,4 @@
-"""Checks that a gateway repeats while it runs, and the one for clients that left without their answer."""
+"""Periodic checks of a running gateway, among them the check for clients that disconnected before their answer."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class PeriodicChecks:
-    """Runs checks every `CHECK_INTERVAL_S` in a greenlet of its own; one that raises is logged and run again.
+    """Runs checks every `CHECK_INTERVAL_S` in a greenlet of its own; a check that raises is logged and stays scheduled.
 
     Parameters
     ----------
     checks
-        Gives the checks of the next round, in order.
+        Returns the checks of the next round, in order.
     """
 
     def __init__(self, checks: Callable[[], Iterable[Check]], metrics: GatewayCounters, log: EventLogger) -> None:
@@ -52,19 +52,19 @@
     def _run_check(self, check: Check) -> None:
         try:
             check()
-        except Exception:  # without further checks the gateway would give back nothing that it should
+        except Exception:  # if the checks ended, the gateway would no longer release its resources
             self.log.error("periodic_check_failed", check=check.__name__, exc_info=True)
 
 
 class DisconnectDetector:
-    """Finds clients that closed their connection while their answer was awaited.
+    """Finds clients that closed their connection before they got their answer.
 
-    It looks at some sockets at a time, in turn: watching each of them would cost every request.
+    Each check examines a limited number of sockets, in turn: watching every socket would make each request more costly.
 
     Parameters
     ----------
     pending
-        The requests that are open, by number.
+        The open requests, by number.
     on_disconnect
         Called with each request whose client left.
     """
@@ -75,20 +75,20 @@
         self._to_check: list[int] = []
 
     def check(self) -> None:
-        """Look at the next clients."""
+        """Check the next clients."""
         if not self.pending:
             return
         if not self._to_check:
             self._to_check = list(self.pending)
         now = time.monotonic()
-        for ident in [self._to_check.pop() for _ in range(min(_CLIENTS_PER_CHECK, len(self._to_check)))]:
-            pending = self.pending.get(ident)
+        for request_id in [self._to_check.pop() for _ in range(min(_CLIENTS_PER_CHECK, len(self._to_check)))]:
+            pending = self.pending.get(request_id)
             if pending is not None and _client_left(pending, now):
                 self.on_disconnect(pending)
 
 
 def _client_left(pending: ClientRequest, now: float) -> bool:
-    """Whether the client left; not looked at while its request is young, being read, or being answered."""
+    """Return whether the client left; not checked while its request is new, being read, or being answered."""
     if now - pending.arrived_at <= CHECK_INTERVAL_S or pending.state is not RequestState.OPEN:
         return False
     return bool(pending.exchange.request_read and pending.exchange.client_left())
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -1,8 +1,7 @@
 """The state of one client request in the gateway, from its arrival to its one final answer.
 
-``TRANSITIONS`` is the whole state machine: a pair of state and event that it does not list changes nothing. As no
-event leaves ``SETTLED``, the first caller of `ClientRequest.settle` gives the final answer and later ones are told
-that they came too late.
+``TRANSITIONS`` is the whole state machine: an event that it does not list for a state is ignored. As no event leaves
+``SETTLED``, the first call of `ClientRequest.settle` gives the final answer, and later calls return False.
 """
 
 from __future__ import annotations
@@ -20,15 +19,15 @@
 
 
 class RequestState(Enum):
-    """How far the answer to a request is."""
+    """The progress of the answer to a request."""
 
     OPEN = "open"
-    STREAMING = "streaming"  # the first bytes of an answer went to the client
+    STREAMING = "streaming"  # a node's answer is being streamed to the client
     SETTLED = "settled"
 
 
 class RequestEvent(Enum):
-    """What can happen to the answer of a request."""
+    """An event that changes the state of a request."""
 
     START_STREAM = "start stream"
     SETTLE = "settle"
@@ -42,22 +41,22 @@
 
 
 class AnswerKind(Enum):
-    """What the client's one final answer is. The values are labels of metrics."""
+    """The kind of a client's final answer. The values are metric labels."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_LEFT = "left"  # nobody is there to answer
+    CLIENT_LEFT = "left"  # the client disconnected, so no answer is written
 
 
 @dataclass(slots=True)
 class NodeAnswer:
-    """A node's answer: held as a whole in `body`, or already passed on to the client.
+    """A node's answer: held completely in `body`, or already streamed to the client.
 
     Attributes
     ----------
     streamed_bytes
-        How much of the body was passed on; None where the answer is held.
+        Number of body bytes that were streamed; None if the answer is held in `body`.
     """
 
     status: int
@@ -67,17 +66,17 @@
 
 
 class RequestBody:
-    """The body of a request, for as many attempts as it lasts.
+    """The body of a request, which is sent with each attempt as long as it is available.
 
-    A short body is held as a whole in `start`. Of a long one `start` holds the beginning, and `rest` yields what
-    follows once: after that the body is `spent` and cannot be sent again.
+    A short body is held completely in `start`. Of a long body, `start` holds the beginning and `rest` yields the
+    remainder once; the body is then `spent` and cannot be sent again.
 
     Attributes
     ----------
     length
-        Bytes in all; None where the client did not say.
+        Total number of bytes; None if the client did not declare it.
     error
-        What reading the rest from the client raised.
+        The exception that was raised while `rest` was read from the client.
     """
 
     __slots__ = ("error", "length", "rest", "spent", "start")
@@ -92,18 +91,18 @@
 
 @dataclass(slots=True, eq=False)
 class NodeAttempt:
-    """One sending of a request to one node. Times are seconds of the monotonic clock.
+    """One attempt to send a request to a node. Times are seconds of the monotonic clock.
 
     Attributes
     ----------
     write_by
-        The request must be completely written by then, or is not sent.
+        Time by which the request must be completely written.
     connection
-        In use by the attempt; None before and after.
+        The connection that the attempt uses; None before and afterwards.
     sent
-        Some of the request was handed to the kernel, so the node may have run it.
+        Part of the request was handed to the kernel, so the node may have run it.
     ending
-        None while the attempt runs.
+        How the attempt ended; None while it runs.
     """
 
     number: int
@@ -131,21 +130,21 @@
     request
         The scheduler's `Request` event; the scheduler keeps a `PendingRequest` of its own for it.
     forwarded_headers
-        Headers of the client that go to the node.
+        Client headers that are forwarded to the node.
     exchange
-        The client's side, on which the answer is written.
+        The HTTP exchange with the client, to which the answer is written.
     deadline
-        When the answer leaves at the latest.
+        Time by which the answer must have been sent.
     retry_after_s
-        Advice for a rejected client; 0: none.
+        Seconds after which a rejected client should retry; 0: no advice.
     served_by_shard
-        Shard of the node whose answer was taken.
+        Shard of the node whose answer was used.
     answer_headers
         Headers that every answer to this request carries.
     done
-        Set with the final answer.
+        Set when the final answer is given.
     span
-        The request's trace, where it is traced.
+        The request's trace span; None if it is not traced.
     """
 
     request: Request
@@ -173,18 +172,18 @@
 
     @property
     def served_status(self) -> int | None:
-        """HTTP status of the node's answer that the client gets; None: it gets no node's answer."""
+        """HTTP status of the node's answer that the client gets; None if no node's answer is used."""
         if self.answer_kind is not AnswerKind.SERVED or self.answer is None:
             return None
         return self.answer.status
 
     def start_streaming(self) -> bool:
-        """Claim the client's answer for an attempt that passes its own on as it comes.
+        """Reserve the client's answer for an attempt that streams its response.
 
         Returns
         -------
         bool
-            False where another answer has begun or stands: the attempt passes nothing on.
+            False if another answer has been started or given; the attempt must then stream nothing.
         """
         return self._advance(RequestEvent.START_STREAM)
 
@@ -194,7 +193,7 @@
         Returns
         -------
         bool
-            False where the request already has one, which stays.
+            False if the request already has a final answer, which is kept.
         """
         if not self._advance(RequestEvent.SETTLE):
             return False
@@ -204,8 +203,8 @@
         return True
 
     def _advance(self, event: RequestEvent) -> bool:
-        following = TRANSITIONS.get((self.state, event))
-        if following is None:
+        next_state = TRANSITIONS.get((self.state, event))
+        if next_state is None:
             return False
-        self.state = following
+        self.state = next_state
         return True
--- a/fawnspool/gateway/watch_client.py
+++ b/fawnspool/gateway/watch_client.py
@@ -1,6 +1,6 @@
-"""A client of a list service: one standing watch and single polls, for any form of the list.
+"""A client of a list service: one watch and single polls, for any format of the list.
 
-Each failure is one `EndpointUpdate` event: when to ask again is not decided here.
+Each failure is posted as one `EndpointUpdate` event; the decision module chooses when to poll or watch again.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 DEFAULT_MAX_OBJECT_BYTES = 4 << 20
 _MAX_CONNECTIONS = 4
 _IDLE_TIMEOUT_S = 60.0
-_MAX_EVICTIONS = 4  # connections closed for one of ours
+_MAX_EVICTIONS = 4  # connections closed to free a descriptor for one call
 _OK = 200
 _Result = TypeVar("_Result")
 
@@ -31,33 +31,33 @@
 
 
 class MalformedUpdateError(ValueError):
-    """What the service sent does not read, or contradicts what it sent before."""
+    """A message of the service is malformed or contradicts an earlier one."""
 
 
 class UnexpectedStatusError(Exception):
     """The service answered with an error."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"answered {status}")
+        super().__init__(f"the service answered with HTTP status {status}")
         self.status = status
 
 
 class WatchEndedError(ConnectionClosedError):
-    """The service ended a watch."""
+    """The service closed a watch."""
 
     def __init__(self) -> None:
-        super().__init__("the watch ended")
+        super().__init__("the service closed the watch")
 
 
 class WatchClient:
-    """Polls and watches one service; subclasses know the form of its list.
+    """Polls and watches one service; subclasses parse its list.
 
     Parameters
     ----------
     post
-        Takes the events for the decision module.
+        Called with each event for the decision module.
     free_descriptor
-        Closes a connection that can be spared; False: there is none.
+        Closes a connection that is not in use, to free its descriptor; returns False if there is none.
     """
 
     version = 0
@@ -81,30 +81,30 @@
         self.watch_greenlet: gevent.Greenlet | None = None
         self.poll_greenlets: set[gevent.Greenlet] = set()
 
-    # ------------------------------------------------------------ the form of the list
+    # ------------------------------------------------------------ the format of the list
 
     def poll_target(self) -> bytes:
-        """Where the whole list is asked for."""
+        """Return the request target for the whole list."""
         raise NotImplementedError
 
     def watch_target(self) -> bytes:
-        """Where a watch of what follows `version` is asked for."""
+        """Return the request target for a watch of the changes after `version`."""
         raise NotImplementedError
 
     def apply(self, data: bytes) -> None:
-        """Take the answer to a poll, or an object of a watch.
+        """Apply the answer to a poll, or an object of a watch.
 
         Raises
         ------
         MalformedUpdateError
-            It does not read; the watch ends with it.
+            `data` is malformed; the watch ends.
         """
         raise NotImplementedError
 
     def on_heartbeat(self) -> None:
-        """Take note that the watch stands and has no news."""
+        """Handle a heartbeat: the watch is alive and has no changes."""
 
-    # ------------------------------------------------------------ what the module asks for
+    # ------------------------------------------------------------ requests of the decision module
 
     def stop(self) -> None:
         """End the watch and all polls."""
@@ -112,11 +112,11 @@
         self.cancel_polls()
 
     def cancel_polls(self) -> None:
-        """End the polls under way; their answers are not heard."""
+        """Cancel the polls in progress; their answers are ignored."""
         gevent.killall(list(self.poll_greenlets), block=False)
 
     def watch(self, on: bool) -> None:
-        """Open a watch where none stands, or end the one that does."""
+        """Open a watch if none is open, or close the open one."""
         if self.watch_greenlet is not None and (not on or self.watch_greenlet.dead):
             self.watch_greenlet.kill(block=False)
             self.watch_greenlet = None
@@ -124,7 +124,7 @@
             self.watch_greenlet = gevent.spawn(self._watch)
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Request the whole list once."""
         greenlet = gevent.spawn(self._poll)
         self.poll_greenlets.add(greenlet)
         greenlet.link(self.poll_greenlets.discard)
@@ -134,29 +134,29 @@
     def _poll(self) -> None:
         try:
             self._apply_poll()
-        except Exception as error:  # whatever it is: the module has to know, or it never asks again
+        except Exception as error:  # the module must learn of any failure, or it would never poll again
             self._failed(error)
 
     def _apply_poll(self) -> None:
-        version = self.version
-        status, body = self._with_descriptor(
+        version_before = self.version
+        head, body = self._with_descriptor(
             lambda: call(self.pool, b"GET", self.poll_target(), time.monotonic() + self.timeouts.call_s)
         )
-        if status.code != _OK:
-            raise UnexpectedStatusError(status.code)
-        if self.version != version:
+        if head.code != _OK:
+            raise UnexpectedStatusError(head.code)
+        if self.version != version_before:
             self.log.info("endpoint_poll_overtaken_by_watch")
             return
         self._on_message(body)
 
     def _watch(self) -> None:
-        """Reopen a watch that falls silent at once, for what it missed has to be heard soon.
+        """Follow a watch; one that falls silent is reopened at once, so that missed changes arrive soon.
 
-        After any other failure the module chooses when.
+        After any other failure the decision module chooses when to reopen it.
         """
         this_greenlet = gevent.getcurrent()
         while True:
-            pool = self.pool  # a move changes it
+            pool = self.pool  # `self.pool` is replaced when the service moves to another address
             connection: ClientConnection | None = None
             try:
                 connection = self._open_watch(pool)
@@ -187,14 +187,14 @@
 
     def _begin_watch(self, connection: ClientConnection, deadline: float) -> None:
         connection.send(format_request_head(b"GET", self.watch_target(), b"list", []), deadline)
-        status = connection.read_head(deadline)
-        if status.code != _OK:
-            raise UnexpectedStatusError(status.code)
+        head = connection.read_head(deadline)
+        if head.code != _OK:
+            raise UnexpectedStatusError(head.code)
 
     def _follow(self, connection: ClientConnection) -> None:
-        """Take in what a watch tells, until it ends.
+        """Apply the objects of a watch until it ends.
 
-        Only what is complete shows that it lives: an empty line, or an object to its last brace.
+        Only complete input shows that the watch is alive: an empty line, or a whole object.
         """
         last_complete = time.monotonic()
         splitter = ObjectSplitter(self.max_object_bytes)
@@ -202,16 +202,16 @@
             data = connection.read_piece(last_complete + self.timeouts.silence_s)
             if data is None:
                 raise WatchEndedError
-            for complete in splitter.feed(data):
+            for message in splitter.feed(data):
                 last_complete = time.monotonic()
-                if complete:
-                    self._on_message(complete)
+                if message:
+                    self._on_message(message)
                 else:
                     self.last_message_at = last_complete
                     self.on_heartbeat()
 
     def _with_descriptor(self, work: Callable[[], _Result]) -> _Result:
-        """Do work that needs a descriptor; where none is left, spare connections are closed for it."""
+        """Call `work`, which needs a descriptor; if none is left, close unused connections and call it again."""
         for _ in range(_MAX_EVICTIONS):
             try:
                 return work()
