--- a/fawnspool/api/__init__.py
+++ b/fawnspool/api/__init__.py
@@ -1,1 +1,1 @@
-"""The object API over HTTP: the clients' side of a gateway."""
+"""The object API over HTTP, through which clients use a gateway."""
--- a/fawnspool/api/answer_writer.py
+++ b/fawnspool/api/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes the one answer that each client of the object API gets."""
+"""Writes the final answers to clients of the object API."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 PROMETHEUS_TEXT = (b"Content-Type", b"text/plain; version=0.0.4")
 _BINARY = (b"Content-Type", b"application/octet-stream")
 _ACCEPT_RANGES = (b"Accept-Ranges", b"bytes")
-_PASSED_ON_HEADERS = ((b"etag", b"ETag"), (b"content-range", b"Content-Range"))
+_FORWARDED_HEADERS = ((b"etag", b"ETag"), (b"content-range", b"Content-Range"))
 _NODE_ERROR_CODES = {404: "no-such-object", 412: "precondition", 416: "range"}
 _FIRST_ERROR_STATUS = 400
 _BAD_GATEWAY = 502
@@ -30,7 +30,7 @@
 
 
 def respond_error(exchange: Exchange, status: int, code: str, reason: str) -> None:
-    """Answer with an error, where there is no answer yet."""
+    """Answer with an error, unless the exchange has been answered already."""
     if exchange.answered:
         return
     retry_after = [(b"Retry-After", b"1")] if status == _UNAVAILABLE else []
@@ -38,13 +38,13 @@
 
 
 class AnswerWriter:
-    """Carries out the final answers of one gateway's requests."""
+    """Writes the final answers to the requests of one gateway."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
 
     def finish(self, pending: ClientRequest) -> None:
-        """Count the request and write its final answer, unless the answer was passed on or its client left."""
+        """Count the request and write its final answer, unless the answer was streamed or the client left."""
         exchange: Exchange = pending.exchange
         kind = pending.answer_kind or AnswerKind.FAILED
         self.gateway.count_finished(pending, kind.value)
@@ -65,33 +65,33 @@
 
     def _write_rejected(self, pending: ClientRequest) -> None:
         wait_s = pending.retry_after_s
-        headers = _own_headers(pending)
+        headers = _common_headers(pending)
         if wait_s > 0:
             headers.append((b"Retry-After", b"%d" % max(1, round(wait_s))))
             headers.append((b"Fawn-Retry-After-Ms", b"%d" % (wait_s * 1000)))
-        value = {
+        error_body = {
             "error": "refused",
             "reason": reason_for_client(pending),
             "may_have_run": False,
             "request": pending.operation_id,
         }
-        respond_json(pending.exchange, _UNAVAILABLE, value, headers)
+        respond_json(pending.exchange, _UNAVAILABLE, error_body, headers)
 
     def _write_failed(self, pending: ClientRequest) -> None:
         reason = reason_for_client(pending)
-        value = {
+        error_body = {
             "error": "failed",
             "reason": reason,
             "may_have_run": len(pending.attempts) > 0,
             "request": pending.operation_id,
         }
         status = _GATEWAY_TIMEOUT if "no answer" in reason else _BAD_GATEWAY
-        respond_json(pending.exchange, status, value, _own_headers(pending))
+        respond_json(pending.exchange, status, error_body, _common_headers(pending))
 
     def _write_served(self, pending: ClientRequest, answer: NodeAnswer) -> None:
         exchange: Exchange = pending.exchange
-        headers = _own_headers(pending)
-        for name, written_name in _PASSED_ON_HEADERS:
+        headers = _common_headers(pending)
+        for name, written_name in _FORWARDED_HEADERS:
             if name in answer.headers:
                 headers.append((written_name, answer.headers[name]))
         if answer.status >= _FIRST_ERROR_STATUS:
@@ -110,5 +110,5 @@
         exchange.respond(answer.status, headers, answer.body)
 
 
-def _own_headers(pending: ClientRequest) -> HeaderList:
+def _common_headers(pending: ClientRequest) -> HeaderList:
     return [(b"Fawn-Request-Id", pending.operation_id.encode()), *pending.answer_headers]
--- a/fawnspool/api/errors.py
+++ b/fawnspool/api/errors.py
@@ -1,19 +1,19 @@
-"""Errors that the object API answers its clients with."""
+"""Errors that the object API returns to its clients."""
 
 from __future__ import annotations
 
 
 class ApiError(Exception):
-    """A request that can't be carried out.
+    """A request that the object API cannot carry out.
 
     Parameters
     ----------
     status
         HTTP status of the answer.
     code
-        The error in one word, for programs.
+        Short error code, for programs.
     reason
-        The error in a sentence, for people.
+        Description of the error, for people.
     """
 
     def __init__(self, status: int, code: str, reason: str) -> None:
@@ -24,35 +24,35 @@
 
 
 class BadRequestError(ApiError):
-    """The request does not read."""
+    """The request is malformed."""
 
     def __init__(self, code: str, reason: str) -> None:
         super().__init__(400, code, reason)
 
 
 class NotFoundError(ApiError):
-    """There is nothing at the request's target."""
+    """The request's target does not exist."""
 
     def __init__(self, code: str, reason: str) -> None:
         super().__init__(404, code, reason)
 
 
 class NoSuchObjectError(NotFoundError):
-    """The volume holds no such object."""
+    """The volume has no such object."""
 
     def __init__(self, volume: str, key: str) -> None:
-        super().__init__("no-such-object", f"volume {volume!r} holds no {key!r}")
+        super().__init__("no-such-object", f"volume {volume!r} has no object {key!r}")
 
 
 class MethodNotAllowedError(ApiError):
-    """The target does not take this method."""
+    """The target does not support this method."""
 
     def __init__(self, code: str, reason: str) -> None:
         super().__init__(405, code, reason)
 
 
 class UnavailableError(ApiError):
-    """Nothing was done for the request; a later one may be served."""
+    """The request had no effect; a later retry may be served."""
 
     def __init__(self, code: str, reason: str) -> None:
         super().__init__(503, code, reason)
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -39,8 +39,8 @@
 from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_options import ServerOptions
 
-_NEW_OBJECT = ExtentLocation(shard=-1, size=0)  # a new object goes to any node
-_OWN_PAGES = b"/-/"
+_NEW_OBJECT = ExtentLocation(shard=-1, size=0)  # any node may store a new object
+_GATEWAY_PAGES = b"/-/"
 _FORWARDED_HEADERS = (b"if-match", b"if-none-match", b"range")
 _MOVED_STATUS = 421
 _OPENING_STATUS = 425
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class _Operation:
-    """What a client asked for, and what goes to the nodes for it."""
+    """An operation that a client requested, with what is sent to the nodes for it."""
 
     exchange: Exchange
     volume: str
@@ -63,7 +63,7 @@
 
 
 class ObjectApi:
-    """Serves one gateway's clients."""
+    """The HTTP server for the clients of one gateway."""
 
     def __init__(self, gateway: Gateway, listener: Any = None) -> None:
         self.gateway = gateway
@@ -99,7 +99,7 @@
         self.server.start()
 
     def stop(self, grace: float = 0.0) -> None:
-        """End the server; requests in hand have `grace` seconds."""
+        """Stop the server; open requests have `grace` seconds to finish."""
         self.server.stop(grace)
 
     def _on_error(self, error: Exception) -> None:
@@ -111,7 +111,7 @@
     # ------------------------------------------------------------ routing
 
     def handle(self, exchange: Exchange) -> None:
-        """Answer one request, once."""
+        """Handle one request, which gets exactly one answer."""
         try:
             self._route(exchange)
         except ApiError as error:
@@ -120,28 +120,28 @@
 
     def _route(self, exchange: Exchange) -> None:
         head = exchange.head
-        if head.target.startswith(_OWN_PAGES):
-            self._own_page(exchange)
+        if head.target.startswith(_GATEWAY_PAGES):
+            self._gateway_page(exchange)
             return
-        found = read_target(head.target)
-        if found.volume not in self.gateway.volumes:
-            raise NotFoundError("unknown-volume", f"there is no volume {found.volume!r} here")
-        if found.raw_key is None:
+        target = read_target(head.target)
+        if target.volume not in self.gateway.volumes:
+            raise NotFoundError("unknown-volume", f"this gateway has no volume {target.volume!r}")
+        if target.raw_key is None:
             if head.method != b"GET":
-                raise MethodNotAllowedError("bad-method", "a volume's objects are listed by GET")
-            self._list(exchange, found.volume, found.query)
+                raise MethodNotAllowedError("bad-method", "listing the objects of a volume supports only GET")
+            self._list(exchange, target.volume, target.query)
             return
         route = self.routes.get(head.method)
         if route is None:
-            raise MethodNotAllowedError("bad-method", "an object takes GET, HEAD, PUT and DELETE")
+            raise MethodNotAllowedError("bad-method", "an object supports GET, HEAD, PUT and DELETE")
         if len(self.gateway.pending) >= self.config.clients.open_requests:
-            raise UnavailableError("too-many-open", "this head has as many requests open as it takes")
-        route(exchange, found.volume, read_key(found.raw_key))
+            raise UnavailableError("too-many-open", "this gateway has reached its limit of open requests")
+        route(exchange, target.volume, read_key(target.raw_key))
 
-    def _own_page(self, exchange: Exchange) -> None:
+    def _gateway_page(self, exchange: Exchange) -> None:
         page = exchange.head.target
         if exchange.head.method != b"GET":
-            raise MethodNotAllowedError("bad-method", "the head's own pages are read by GET")
+            raise MethodNotAllowedError("bad-method", "the gateway's own pages support only GET")
         if page == b"/-/status":
             respond_json(exchange, 200, self.gateway.status())
         elif page == b"/-/metrics":
@@ -149,7 +149,7 @@
         elif page == b"/-/health":
             exchange.respond(200, [JSON], b'{"ok":true}')
         else:
-            raise NotFoundError("no-such-place", "the head's own pages: /-/status, /-/metrics, /-/health")
+            raise NotFoundError("no-such-place", "the gateway's own pages are /-/status, /-/metrics and /-/health")
 
     # ------------------------------------------------------------ objects
 
@@ -172,7 +172,7 @@
     def _read_with_one_fresh_lookup(
         self, operation: _Operation, deadline: float, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
-        """Read at the location that the map has; where no object is there, ask the map service once and read again."""
+        """Read at the location in the local map; if no object is there, ask the map service once and read again."""
         directory = self.gateway.extent_directory
         read_location: ExtentLocation | None = _NEW_OBJECT
         read_at = 0.0
@@ -199,11 +199,11 @@
         head = exchange.head
         max_bytes = self.config.clients.largest_body
         if head.length is not None and head.length > max_bytes:
-            raise ApiError(413, "too-large", f"a body has {max_bytes} bytes at most")
+            raise ApiError(413, "too-large", f"the body exceeds the limit of {max_bytes} bytes")
         deadline = self.reader.deadline(exchange, class_index)
         location = self._find(volume, key, deadline)
         operation = _Operation(exchange, volume, key, class_index, b"PUT", self._read_body(exchange))
-        generation = -1  # of the location that it was sent to last
+        generation = -1  # of the location to which the request was last sent
 
         def submit(location: ExtentLocation) -> ClientRequest:
             nonlocal generation
@@ -213,11 +213,11 @@
         pending = self._submit_following_moves(operation, location or _NEW_OBJECT, submit)
         if pending.served_status in _WRITTEN_STATUSES:
             self.gateway.metrics.bytes_in += exchange.body_bytes
-            self._note_written(operation, pending, generation)
+            self._record_write(operation, pending, generation)
         self.answers.finish(pending)
 
-    def _note_written(self, operation: _Operation, pending: ClientRequest, generation: int) -> None:
-        """Note the new location at the map service; where that fails the request has failed."""
+    def _record_write(self, operation: _Operation, pending: ClientRequest, generation: int) -> None:
+        """Record the new location at the map service; if that fails, the request has failed."""
         exchange = operation.exchange
         assert pending.served_by_shard is not None
         is_new = exchange.head.headers.get(b"if-none-match", b"").strip() == b"*"
@@ -225,12 +225,12 @@
             operation.volume, operation.key, pending.served_by_shard, exchange.body_bytes, is_new, generation
         )
         try:
-            is_noted = self.gateway.extent_directory.record_write(write, self._note_deadline(pending))
+            is_recorded = self.gateway.extent_directory.record_write(write, self._map_update_deadline(pending))
         except MapServiceError as error:
             self._log_location_error("written_location_not_noted", operation, error)
             pending.answer_kind = AnswerKind.FAILED
         else:
-            if not is_noted:
+            if not is_recorded:
                 pending.answer = NodeAnswer(412, {})
 
     def _delete(self, exchange: Exchange, volume: str, key: str) -> None:
@@ -245,19 +245,19 @@
             operation, location, lambda location: self._submit(operation, location.shard, 0)
         )
         if pending.served_status in _DELETED_STATUSES:
-            self._note_deleted(operation, pending)
+            self._record_delete(operation, pending)
         self.answers.finish(pending)
 
-    def _note_deleted(self, operation: _Operation, pending: ClientRequest) -> None:
+    def _record_delete(self, operation: _Operation, pending: ClientRequest) -> None:
         try:
-            self.gateway.extent_directory.delete(operation.volume, operation.key, self._note_deadline(pending))
+            self.gateway.extent_directory.delete(operation.volume, operation.key, self._map_update_deadline(pending))
         except MapServiceError as error:
             self._log_location_error("deleted_location_not_dropped", operation, error)
 
     def _log_location_error(self, event: str, operation: _Operation, error: MapServiceError) -> None:
         self.gateway.log.error(event, volume=operation.volume, key=operation.key, error=str(error))
 
-    def _note_deadline(self, pending: ClientRequest) -> float:
+    def _map_update_deadline(self, pending: ClientRequest) -> float:
         return pending.deadline + self.config.clients.answer_margin / 2
 
     def _list(self, exchange: Exchange, volume: str, query: str) -> None:
@@ -278,17 +278,17 @@
     # ------------------------------------------------------------ the steps of a request
 
     def _find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
-        """Return where the object is, None: there is none; `fresh`: ask the map service, not the local map."""
+        """Return the object's location, None: there is no object; `fresh`: ask the map service, not the local map."""
         try:
             return self.gateway.extent_directory.find(volume, key, deadline, fresh)
         except MapServiceError as error:
             raise UnavailableError("no-catalogue", str(error)) from None
 
     def _read_body(self, exchange: Exchange) -> RequestBody:
-        """Read a small body as a whole, so that it can be sent again and a slow client holds up nobody else."""
+        """Read a small body completely, so that it can be sent again and a slow client does not delay others."""
         head = exchange.head
-        replayable = self.config.clients.replay_bytes
-        if head.length is not None and head.length <= replayable:
+        max_replayed_bytes = self.config.clients.replay_bytes
+        if head.length is not None and head.length <= max_replayed_bytes:
             return RequestBody(b"".join(exchange.body()), head.length)
         pieces = exchange.body()
         start: list[bytes] = []
@@ -297,25 +297,25 @@
             for piece in pieces:
                 start.append(piece)
                 size += len(piece)
-                if size > replayable:
+                if size > max_replayed_bytes:
                     break
             else:
-                return RequestBody(b"".join(start), size)  # chunked, and small after all
+                return RequestBody(b"".join(start), size)  # a chunked body that turned out to be small
         rest = _limited(pieces, size, self.config.clients.largest_body)
         return RequestBody(b"".join(start), head.length, rest)
 
     def _submit_following_moves(
         self, operation: _Operation, location: ExtentLocation, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
-        """Submit and wait, again where nodes say that the extent has moved or is about to open.
+        """Submit and wait; submit again if a node reports that the extent has moved or is about to open there.
 
-        Nothing was done at such a node. Each submission is a request of its own to the module, and the client gets
-        one answer.
+        Such a node has not run the request. Each submission is a separate request to the decision module, and the
+        client gets one answer.
 
         Raises
         ------
         ApiError
-            `extents.staleness` ends it.
+            The limits in `extents.staleness` allow no further submission.
         """
         is_ordered = self.config.class_[operation.class_index].ordered
         only_once = is_ordered or operation.body.rest is not None
@@ -338,7 +338,7 @@
         raise UnavailableError("moving", "the object is being moved and no node serves it yet: nothing was done")
 
     def _submit(self, operation: _Operation, shard: int, size: int | None) -> ClientRequest:
-        """Submit once; size: bytes to be read or written, None: not known."""
+        """Submit one request; `size`: bytes to be read or written, None: not known."""
         exchange = operation.exchange
         headers = exchange.head.headers
         operation_id = read_token(exchange, b"fawn-op") or self._next_operation_id()
@@ -368,8 +368,8 @@
         return f"{self.config.head.number}-{self.gateway.last_request_id + 1:x}"
 
     def _wait(self, pending: ClientRequest) -> None:
-        """Wait for the final answer; raise what came of reading the client's body."""
-        # The gateway's own answer comes after the module's and still before the client gives up.
+        """Wait for the final answer; raise the error, if any, that occurred in reading the client's body."""
+        # The gateway fails an overdue request after the module's time for an answer, but before the client gives up.
         grace_s = min(self.config.clients.answer_margin / 2, (pending.deadline - pending.arrived_at) / 6)
         self.gateway.wait_for_answer(pending, grace_s, self.config.clients.request_timeout)
         if pending.body.error is not None:
@@ -378,14 +378,14 @@
 
 
 def _moved_to(pending: ClientRequest) -> tuple[int, int] | None:
-    """Return the shard and the generation that a node named in its answer; None: it named none."""
+    """Return the shard and the generation to which a node redirected the request; None: it named none."""
     if pending.answer is None or pending.answer.status != _MOVED_STATUS:
         return None
     return parse_moved(pending.answer.headers.get(MOVED_HEADER))
 
 
 def _limited(pieces: Iterator[bytes], size: int, max_bytes: int) -> Iterator[bytes]:
-    """Yield the pieces of a body of which `size` bytes were read before; raise HttpError where it is too long."""
+    """Yield the remaining pieces of a body, after its first `size` bytes; raise HttpError if the body is too long."""
     for piece in pieces:
         size += len(piece)
         if size > max_bytes:
--- a/fawnspool/api/request_reader.py
+++ b/fawnspool/api/request_reader.py
@@ -1,8 +1,8 @@
-"""Reads and checks what clients send, so that nothing malformed reaches the decision module.
+"""Parses and validates client requests, so that nothing malformed reaches the decision module.
 
-Headers that clients may send: `Fawn-Class` (a request class), `Fawn-Patience-Ms` (how long it will wait),
-`Fawn-Repeat: 1` (its own retry), `Fawn-Op` (its name for the operation, the same over its retries),
-`Idempotency-Key`, `Fawn-Run` (requests of one run share it).
+Headers that clients may send: `Fawn-Class` (a request class), `Fawn-Patience-Ms` (how long the client will
+wait), `Fawn-Repeat: 1` (a retry by the client), `Fawn-Op` (the client's name for the operation, the same in its
+retries), `Idempotency-Key`, `Fawn-Run` (requests of one run share it).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 _PATH = re.compile(r"/v1/volumes/([A-Za-z0-9._-]{1,64})/objects(?:/(.*))?", re.DOTALL)
 _BYTE_RANGE = re.compile(rb"bytes=(\d{1,15})-(\d{1,15})$")
 _LIST_PARAMETERS = {"prefix", "after", "limit"}
-_FIRST_CONTROL_FREE = 32
+_FIRST_PRINTABLE_CHARACTER = 32
 _DELETE_CHARACTER = 127
 
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class ListQuery:
-    """Which keys of a volume are asked for: those that begin with `prefix` and come after `after`."""
+    """The keys of a volume to list: those that begin with `prefix` and sort after `after`."""
 
     prefix: str
     after: str
@@ -51,31 +51,31 @@
 
 
 def read_target(raw: bytes) -> ObjectTarget:
-    """Read a request's target.
+    """Parse a request's target.
 
     Raises
     ------
     ApiError
-        It names nothing of this API.
+        The target is not a path of this API.
     """
     try:
         text = raw.decode("ascii")
     except UnicodeDecodeError:
-        raise BadRequestError("bad-target", "the target is not ASCII; escape it") from None
+        raise BadRequestError("bad-target", "the target is not ASCII; percent-encode it") from None
     path, _, query = text.partition("?")
-    found = _PATH.fullmatch(path)
-    if found is None:
-        raise NotFoundError("no-such-place", "places here: /v1/volumes/{volume}/objects/{key}, /-/status, /-/metrics")
-    return ObjectTarget(found[1], found[2] or None, query)
+    match = _PATH.fullmatch(path)
+    if match is None:
+        raise NotFoundError("no-such-place", "valid paths: /v1/volumes/{volume}/objects/{key}, /-/status, /-/metrics")
+    return ObjectTarget(match[1], match[2] or None, query)
 
 
 def read_key(raw: str) -> str:
-    """Return the key of a target's last part.
+    """Decode and validate the key, which is the last part of a target.
 
     Raises
     ------
     ApiError
-        It is no plain key.
+        The key is invalid.
     """
     data = unquote_to_bytes(raw)
     try:
@@ -83,57 +83,59 @@
     except UnicodeDecodeError:
         raise BadRequestError("bad-key", "the key is not UTF-8") from None
     if not key or len(data) > MAX_KEY_BYTES:
-        raise BadRequestError("bad-key", f"a key has 1 to {MAX_KEY_BYTES} bytes")
-    if any(ord(char) < _FIRST_CONTROL_FREE or ord(char) == _DELETE_CHARACTER for char in key):
-        raise BadRequestError("bad-key", "a key holds no control characters")
+        raise BadRequestError("bad-key", f"a key must have 1 to {MAX_KEY_BYTES} bytes")
+    if any(ord(char) < _FIRST_PRINTABLE_CHARACTER or ord(char) == _DELETE_CHARACTER for char in key):
+        raise BadRequestError("bad-key", "a key must not contain control characters")
     if any(part in ("", ".", "..") for part in key.split("/")):
-        raise BadRequestError("bad-key", "a key's parts between slashes are not empty, '.' or '..'")
+        raise BadRequestError("bad-key", "a key's parts between slashes must not be empty, '.' or '..'")
     return key
 
 
 def read_list_query(query: str) -> ListQuery:
-    """Read the query of a listing; raise ApiError where it does not read."""
+    """Parse the query of a listing; raise ApiError if it is malformed."""
     parameters = dict(parse_qsl(query, keep_blank_values=True))
     if unknown := set(parameters) - _LIST_PARAMETERS:
-        raise BadRequestError("bad-query", f"unknown: {', '.join(sorted(unknown))}; known: prefix, after, limit")
+        raise BadRequestError(
+            "bad-query", f"unknown parameters: {', '.join(sorted(unknown))}; allowed: prefix, after, limit"
+        )
     limit = parameters.get("limit", DEFAULT_LISTED_KEYS)
     if not limit.isdigit() or not 1 <= int(limit) <= MAX_LISTED_KEYS:
-        raise BadRequestError("bad-query", f"limit is a number from 1 to {MAX_LISTED_KEYS}")
+        raise BadRequestError("bad-query", f"limit must be a number from 1 to {MAX_LISTED_KEYS}")
     return ListQuery(parameters.get("prefix", ""), parameters.get("after", ""), int(limit))
 
 
 def read_token(exchange: Exchange, name: bytes) -> str:
-    """Return a header that is a short name; "" where it is not there."""
+    """Return the value of a header that holds a short name; "" if the header is absent."""
     raw = exchange.head.headers.get(name)
     if raw is None:
         return ""
     if not _TOKEN.fullmatch(raw):
-        raise BadRequestError("bad-header", f"{name.decode()} has 1 to 64 letters, digits, '.', '_' or '-'")
+        raise BadRequestError("bad-header", f"{name.decode()} must be 1 to 64 letters, digits, '.', '_' or '-'")
     return raw.decode()
 
 
 def read_requested_bytes(exchange: Exchange, size: int) -> int:
-    """Return how much of an object of `size` bytes is asked for, roughly: for counting its units."""
-    found = _BYTE_RANGE.match(exchange.head.headers.get(b"range", b""))
-    if found is None:
+    """Return roughly how many of an object's `size` bytes are requested, from which the units are computed."""
+    match = _BYTE_RANGE.match(exchange.head.headers.get(b"range", b""))
+    if match is None:
         return size
-    return max(0, min(size, int(found[2]) + 1) - int(found[1]))
+    return max(0, min(size, int(match[2]) + 1) - int(match[1]))
 
 
 def discard_body(exchange: Exchange) -> None:
-    """Read the body of a request that needs none; raise ApiError where it is long."""
+    """Read and discard the body of a request that needs none; raise ApiError if it is long."""
     for _ in exchange.body():
         if exchange.body_bytes > MAX_IGNORED_BODY_BYTES:
             raise BadRequestError("body", "this request takes no body")
 
 
 def body_too_long(max_bytes: int) -> HttpError:
-    """Return the error for a body that turns out too long while it is read."""
-    return HttpError(413, f"a body has {max_bytes} bytes at most")
+    """Return the error for a body that proves too long while it is read."""
+    return HttpError(413, f"the body exceeds the limit of {max_bytes} bytes")
 
 
 class RequestReader:
-    """Reads the headers whose limits the settings give."""
+    """Parses the headers whose limits are in the settings."""
 
     def __init__(self, config: HeadConfig) -> None:
         self.config = config
@@ -142,42 +144,44 @@
         self.default_write_class = min(1, len(config.class_) - 1)
 
     def class_index(self, exchange: Exchange, default: int) -> int:
-        """Return the request's class, `default` where it names none."""
+        """Return the index of the request's class; `default` if the request names none."""
         raw = exchange.head.headers.get(b"fawn-class")
         if raw is None:
             return default
-        found = self.class_indexes.get(raw.decode("latin-1"))
-        if found is None:
-            raise BadRequestError("unknown-class", f"Fawn-Class is one of: {', '.join(self.class_indexes)}")
-        return found
+        index = self.class_indexes.get(raw.decode("latin-1"))
+        if index is None:
+            raise BadRequestError("unknown-class", f"Fawn-Class must be one of: {', '.join(self.class_indexes)}")
+        return index
 
     def deadline(self, exchange: Exchange, class_index: int) -> float:
-        """Check the headers before anybody else is asked anything.
+        """Validate the headers, before any other component is involved.
 
         Returns
         -------
         float
-            When the answer must have left, in seconds of the monotonic clock.
+            Time by which the answer must have been sent, in seconds of the monotonic clock.
         """
         for name in _TOKEN_HEADERS:
             read_token(exchange, name)
         deadline = exchange.arrived_at + self.timeout_s(exchange, class_index)
         if deadline <= time.monotonic():
-            raise UnavailableError("refused", "its time was up when its turn came: nothing was done for it")
+            raise UnavailableError(
+                "refused", "the request's time was up before it was started; nothing was done for it"
+            )
         return deadline
 
     def timeout_s(self, exchange: Exchange, class_index: int) -> float:
-        """Return the time from the request's arrival within which its answer leaves."""
+        """Return the seconds from the request's arrival within which its answer must be sent."""
         timeout_s: float = self.config.class_[class_index].deadline
         raw = exchange.head.headers.get(b"fawn-patience-ms")
         if raw is not None:
             if not raw.isdigit() or len(raw) > MAX_TIMEOUT_DIGITS or int(raw) == 0:
-                raise BadRequestError("bad-patience", "Fawn-Patience-Ms is a whole number of milliseconds above 0")
+                raise BadRequestError("bad-patience", "Fawn-Patience-Ms must be a whole number of milliseconds above 0")
             timeout_s = min(timeout_s, int(raw) / 1000)
         return self._without_margin(timeout_s)
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
+        """Return the time after which starting a request is pointless; roughly, as it is not validated yet."""
         raw = head.headers.get(b"fawn-patience-ms", b"")
         if raw.isdigit() and len(raw) <= MAX_TIMEOUT_DIGITS:
             timeout_s = int(raw) / 1000
@@ -186,11 +190,11 @@
         return arrived_at + self._without_margin(timeout_s)
 
     def _without_margin(self, timeout_s: float) -> float:
-        """Leave the answer some time for its way."""
+        """Subtract the time that the answer takes to reach the client."""
         return timeout_s - min(self.config.clients.answer_margin, timeout_s / 4)
 
     def units(self, size: int | None) -> float:
-        """Return the units of a request for `size` bytes; None: not known."""
+        """Return the units of a request for `size` bytes; None: not known, counted as the largest request."""
         units = self.config.units
         if size is None:
             return float(units.largest)
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -326,7 +326,7 @@
             raise _AttemptEndedError(AttemptEnding.TRUNCATED_RESPONSE) from None
 
     def _connection_lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
-        """Return the error for a lost connection, which for a cancelled attempt is the cancellation."""
+        """Return the error for a lost connection; if the attempt was cancelled, the cancellation closed it."""
         if not self.attempt.cancelled:
             return _AttemptEndedError(ending)
         if unsent:
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -96,7 +96,7 @@
     Attributes
     ----------
     write_by
-        Time by which the request must be completely written.
+        Time by which the request must be completely written; it is not sent after that.
     connection
         The connection that the attempt uses; None before and afterwards.
     sent
