--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -1,4 +1,9 @@
-"""Hard cases, really caused over loopback sockets: each request still gets its one answer, and no rule gives way."""
+"""Tests of rare faults, each of them caused on real loopback sockets.
+
+Resets, lost answers, drains, stopped services, cold nodes, departed clients and a failing decision module must neither
+leave a request without its one answer nor break a rule, such as the one against retrying unsafe requests that may
+have run.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +28,14 @@
 
 @pytest.fixture
 def rigs(tmp_path: Path) -> Iterator[Callable[..., Rig]]:
-    made: list[Rig] = []
+    built_rigs: list[Rig] = []
 
-    def build(**more: Any) -> Rig:
-        made.append(Rig(tmp_path / str(len(made)), **more))
-        return made[-1]
+    def build(**options: Any) -> Rig:
+        built_rigs.append(Rig(tmp_path / str(len(built_rigs)), **options))
+        return built_rigs[-1]
 
     yield build
-    for rig in made:
+    for rig in built_rigs:
         rig.stop()
 
 
@@ -39,15 +44,15 @@
 
 
 def watch_endings(rig: Rig) -> None:
-    """Keep how each attempt ended, in order."""
+    """Record the ending of each attempt from now on, in order."""
     rig.ended = []  # type: ignore[attr-defined]
-    before = rig.head._attempt_ended
+    original = rig.head._attempt_ended
 
-    def ended(pending: Any, attempt: Any, outcome: Any) -> interface.Outcome:
+    def record_ending(pending: Any, attempt: Any, outcome: Any) -> interface.Outcome:
         rig.ended.append(outcome.ending)  # type: ignore[attr-defined]
-        return before(pending, attempt, outcome)
+        return original(pending, attempt, outcome)
 
-    rig.head._attempt_ended = ended  # type: ignore[method-assign]
+    rig.head._attempt_ended = record_ending  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
@@ -64,37 +69,37 @@
         ({"refuse": True}, AttemptEnding.CONNECT_REFUSED),
     ],
 )
-def test_each_way_a_socket_ends_is_one_result(
+def test_each_node_fault_ends_an_attempt_in_its_own_way(
     rigs: Callable[..., Rig], fault: dict[str, Any], ending: AttemptEnding
 ) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    assert c.ask("PUT", KEY, b"x" * 100).status == 201
+    client = rig.client()
+    assert client.ask("PUT", KEY, b"x" * 100).status == 201
     watch_endings(rig)
-    port = rig.nodes[0].address
+    node_address = rig.nodes[0].address
     rig.nodes[0].set_faults(fault)
-    began = time.monotonic()
-    got = c.ask("PUT", KEY, b"y" * 100, Fawn_Class="unsafe", Fawn_Patience_Ms="1500")
-    if ending is AttemptEnding.CLOSED:  # a kept connection, or a fresh one after it: either may be what is reset
+    started_at = time.monotonic()
+    response = client.ask("PUT", KEY, b"y" * 100, Fawn_Class="unsafe", Fawn_Patience_Ms="1500")
+    if ending is AttemptEnding.CLOSED:  # the node closes the reused connection, or resets the new one that follows it
         assert endings(rig) and set(endings(rig)) <= {AttemptEnding.CLOSED, AttemptEnding.RESET}
     else:
         assert ending in endings(rig)
-    assert time.monotonic() - began < 1.5
-    never = endings(rig)[-1] in NEVER_RAN
-    assert got.status == (503 if never else 504 if ending is AttemptEnding.RESPONSE_TIMEOUT else 502)
-    assert (b'"may_have_run": false' in got.data) == never
-    if not never:
-        assert len(endings(rig)) == 1  # an unsafe request that may have run is not tried again
+    assert time.monotonic() - started_at < 1.5
+    never_ran = endings(rig)[-1] in NEVER_RAN
+    assert response.status == (503 if never_ran else 504 if ending is AttemptEnding.RESPONSE_TIMEOUT else 502)
+    assert (b'"may_have_run": false' in response.data) == never_ran
+    if not never_ran:
+        assert len(endings(rig)) == 1  # an unsafe request that may have run is not retried
     rig.nodes[0].set_faults(
         {name: 0.0 for name in fault if name not in ("drain", "refuse")}
         | {name: False for name in fault if name in ("drain", "refuse")}
     )
-    assert rig.nodes[0].address == port
+    assert rig.nodes[0].address == node_address
 
 
-def test_every_ending_has_a_result_and_never_ran_is_certain() -> None:
+def test_every_ending_has_a_result_and_only_certain_ones_count_as_never_ran() -> None:
     assert set(RESULTS) == set(AttemptEnding)
-    doubt = {
+    may_have_run = {
         AttemptEnding.RESET,
         AttemptEnding.CLOSED,
         AttemptEnding.TRUNCATED_RESPONSE,
@@ -108,310 +113,312 @@
         AttemptEnding.ANSWERED,
         AttemptEnding.CLIENT_LEFT_STREAMING,
     }
-    assert set(AttemptEnding) - doubt == NEVER_RAN
+    assert set(AttemptEnding) - may_have_run == NEVER_RAN
 
 
-def test_reset_before_the_request_was_wholly_written_never_ran(rigs: Callable[..., Rig]) -> None:
+def test_request_reset_before_it_was_completely_written_never_ran(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
     watch_endings(rig)
-    c = rig.client()
+    client = rig.client()
     size = 64 << 20
-    c.sock.sendall(
+    client.sock.sendall(
         b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (KEY.encode(), size)
     )
     sent = 0
 
-    def feed() -> None:
+    def send_body() -> None:
         nonlocal sent
         try:
             while sent < size:
-                c.sock.sendall(b"z" * 65536)
+                client.sock.sendall(b"z" * 65536)
                 sent += 65536
                 gevent.sleep(0.001)
         except OSError:
             return
 
-    feeder = gevent.spawn(feed)
+    sender = gevent.spawn(send_body)
     wait_for(lambda: sent > 2 << 20)
     rig.nodes[0].server.reset_all()
-    got = c.answer("PUT")
-    feeder.kill()
+    response = client.answer("PUT")
+    sender.kill()
     assert endings(rig)[0] is AttemptEnding.UNWRITTEN_RESET and set(endings(rig)) <= NEVER_RAN
-    assert got.status == 503 and not rig.seen(0, "did")
+    assert response.status == 503 and not rig.seen(0, "did")
     assert rig.nodes[0].store.find("v", "k") is None and not list(rig.nodes[0].store.folder.glob("draft-*"))
 
 
-def test_an_answer_lost_just_before_patience_ends(rigs: Callable[..., Rig]) -> None:
+def test_lost_answer_of_an_unsafe_request_fails_before_the_client_gives_up(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1, traits=SLOW)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
     rig.nodes[0].set_faults({"lose": 1.0, "slow": 5.0})
-    began = time.monotonic()
-    got = c.ask("PUT", KEY, b"y", Fawn_Class="unsafe", Fawn_Patience_Ms="500")
-    took = time.monotonic() - began
-    assert got.status == 504 and b'"may_have_run": true' in got.data
-    assert took < 0.5
+    started_at = time.monotonic()
+    response = client.ask("PUT", KEY, b"y", Fawn_Class="unsafe", Fawn_Patience_Ms="500")
+    duration_s = time.monotonic() - started_at
+    assert response.status == 504 and b'"may_have_run": true' in response.data
+    assert duration_s < 0.5
     assert len(rig.seen(0, "in")) == 2
 
 
-def test_a_drain_between_choice_and_write_stops_the_write(rigs: Callable[..., Rig]) -> None:
+def test_nothing_is_sent_to_a_node_that_drains_while_its_connection_is_acquired(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
     watch_endings(rig)
     pool = next(iter(rig.head.pools.by_address.values()))
-    acquire, told = pool.acquire, []
+    acquire, drained_at = pool.acquire, []
 
-    def late(deadline: float) -> Any:  # the notice comes while the connection is being made
+    def acquire_after_drain(deadline: float) -> Any:  # the node starts to drain while the connection is being made
         rig.list.change(rig.entry(0, "draining"))
         wait_for(lambda: rig.head.endpoints.nodes[1].phase is interface.Phase.DRAINING)
-        told.append(time.monotonic())
+        drained_at.append(time.monotonic())
         return acquire(deadline)
 
-    pool.acquire = late  # type: ignore[method-assign]
-    got = c.ask("GET", KEY)
+    pool.acquire = acquire_after_drain  # type: ignore[method-assign]
+    response = client.ask("GET", KEY)
     pool.acquire = acquire  # type: ignore[method-assign]
-    assert told and endings(rig)[0] is AttemptEnding.NODE_DRAINING
-    assert got.status == 503
-    assert all(row["t"] < told[0] for row in rig.seen(0, "in"))
+    assert drained_at and endings(rig)[0] is AttemptEnding.NODE_DRAINING
+    assert response.status == 503
+    assert all(row["t"] < drained_at[0] for row in rig.seen(0, "in"))
 
 
-def test_nothing_new_after_the_grace_of_a_drain(rigs: Callable[..., Rig]) -> None:
+def test_no_request_reaches_a_draining_node_after_its_grace_period(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=2, traits=SLOW)
-    stop = time.monotonic() + 1.2
+    stop_at = time.monotonic() + 1.2
     statuses: list[int] = []
 
-    def writer(k: int) -> None:
-        c, n = rig.client(), 0
-        while time.monotonic() < stop:
-            n += 1
-            statuses.append(c.ask("PUT", f"/v1/volumes/v/objects/w{k}-{n}", b"x").status)
+    def write_objects(writer: int) -> None:
+        client, sequence = rig.client(), 0
+        while time.monotonic() < stop_at:
+            sequence += 1
+            statuses.append(client.ask("PUT", f"/v1/volumes/v/objects/w{writer}-{sequence}", b"x").status)
             gevent.sleep(0.005)
 
-    jobs = [gevent.spawn(writer, k) for k in range(6)]
+    writers = [gevent.spawn(write_objects, writer) for writer in range(6)]
     gevent.sleep(0.4)
     rig.list.change(rig.entry(0, "draining"))
-    gevent.joinall(jobs, raise_error=True)
-    told = next(t for t, _, phase, node in rig.told if phase == "draining" and node == 1)
-    after = [r["t"] - told for r in rig.seen(0, "in") if r["t"] > told]
-    assert max(after, default=0.0) < 0.1 + 0.05  # the grace of these settings, and the loopback's time
-    assert rig.seen(1, "in")[-1]["t"] > told + 0.3 and statuses.count(201) > 20
+    gevent.joinall(writers, raise_error=True)
+    drained_at = next(time_s for time_s, _, phase, node in rig.told if phase == "draining" and node == 1)
+    delays_s = [row["t"] - drained_at for row in rig.seen(0, "in") if row["t"] > drained_at]
+    assert max(delays_s, default=0.0) < 0.1 + 0.05  # `drain_grace` of the rig's settings, and time for loopback
+    assert rig.seen(1, "in")[-1]["t"] > drained_at + 0.3 and statuses.count(201) > 20
 
 
-def test_a_node_killed_in_the_middle_of_a_body_down(rigs: Callable[..., Rig]) -> None:
+def test_download_cut_by_its_node_ends_short_and_counts_as_failed(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c, data = rig.client(), bytes(8 << 20)
-    assert c.ask("PUT", KEY, data, Fawn_Class="bulk").status == 201
-    c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\n\r\n" % KEY.encode())
-    got = c.sock.recv(65536)
-    assert got.startswith(b"HTTP/1.1 200")
+    client, data = rig.client(), bytes(8 << 20)
+    assert client.ask("PUT", KEY, data, Fawn_Class="bulk").status == 201
+    client.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\n\r\n" % KEY.encode())
+    start = client.sock.recv(65536)
+    assert start.startswith(b"HTTP/1.1 200")
     rig.nodes[0].server.reset_all()
-    total = len(got)
-    c.sock.settimeout(5)
+    received_bytes = len(start)
+    client.sock.settimeout(5)
     try:
-        while piece := c.sock.recv(1 << 20):
-            total += len(piece)
+        while piece := client.sock.recv(1 << 20):
+            received_bytes += len(piece)
     except ConnectionError:
         pass
-    assert total < len(data)  # cut short and closed: the client can tell
+    assert received_bytes < len(data)  # the connection closes early, so the client detects the cut
     wait_for(lambda: not rig.head.pending)
     assert rig.head.metrics.requests["bulk", "basic", "failed"] == 1
     assert rig.client().ask("GET", "/-/health").status == 200
 
 
 @pytest.mark.parametrize("when", ["waiting", "up", "down"])
-def test_a_client_that_leaves(rigs: Callable[..., Rig], when: str) -> None:
+def test_disconnect_ends_the_request_and_leaves_the_object_whole(rigs: Callable[..., Rig], when: str) -> None:
     rig = rigs(nodes=1, traits=SLOW)
-    c = rig.client()
-    assert c.ask("PUT", KEY, bytes(4 << 20), Fawn_Class="bulk").status == 201
-    before = len(rig.seen(0, "did"))
+    client = rig.client()
+    assert client.ask("PUT", KEY, bytes(4 << 20), Fawn_Class="bulk").status == 201
+    done_before = len(rig.seen(0, "did"))
     if when == "waiting":
         rig.nodes[0].set_faults({"slow": 20.0})
-        c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\n\r\n" % KEY.encode())
+        client.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\n\r\n" % KEY.encode())
         wait_for(lambda: rig.head.pending)
     elif when == "up":
-        c.sock.sendall(
+        client.sock.sendall(
             b"PUT %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\nContent-Length: %d\r\n\r\n" % (KEY.encode(), 4 << 20)
             + bytes(1 << 20)
         )
         wait_for(lambda: rig.head.pending)
     else:
-        c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\n\r\n" % KEY.encode())
-        c.sock.recv(100)
-    c.close()
+        client.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Class: bulk\r\n\r\n" % KEY.encode())
+        client.sock.recv(100)
+    client.close()
     wait_for(lambda: not rig.head.pending)
     rig.nodes[0].set_faults({"slow": 1.0})
     if when == "up":
-        assert len(rig.seen(0, "did")) == before  # half a body is no write
+        assert len(rig.seen(0, "did")) == done_before  # an incomplete body is not written
     assert len(rig.client().ask("GET", KEY, Fawn_Class="bulk").data) == 4 << 20
     wait_for(lambda: not rig.api.server.connections or len(rig.api.server.connections) <= 1)
 
 
-def test_the_list_gone_while_a_node_is_replaced(rigs: Callable[..., Rig]) -> None:
+def test_node_replaced_while_the_list_service_is_down_is_found_after_its_return(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=2)
-    c = rig.client()
-    for k in range(8):
-        c.ask("PUT", f"/v1/volumes/v/objects/{k}", b"%d" % k)
-    where = {k: rig.catalogue.database.find("v", str(k))[0] for k in range(8)}  # type: ignore[index]
+    client = rig.client()
+    for number in range(8):
+        client.ask("PUT", f"/v1/volumes/v/objects/{number}", b"%d" % number)
+    shards = {number: rig.catalogue.database.find("v", str(number))[0] for number in range(8)}  # type: ignore[index]
     rig.list.stop()
     wait_for(lambda: not rig.head.endpoints.reachable)
-    rig.nodes[0].stop()  # dies, and another takes its cell at another port
-    for k in range(8):
-        got = c.ask("GET", f"/v1/volumes/v/objects/{k}", Fawn_Patience_Ms="300")
-        assert got.status == (200 if where[k] == 1 else 503), got.data
+    rig.nodes[0].stop()  # the node dies; its replacement serves the same shard on another port
+    for number in range(8):
+        response = client.ask("GET", f"/v1/volumes/v/objects/{number}", Fawn_Patience_Ms="300")
+        assert response.status == (200 if shards[number] == 1 else 503), response.data
     rig.nodes[0] = rig.make_node(0)
     rig.nodes[0].ident = 77
-    rig.list.entries = {e.node: e for e in (rig.entry(0), rig.entry(1))}
+    rig.list.entries = {entry.node: entry for entry in (rig.entry(0), rig.entry(1))}
     rig.list.version += 1
     rig.list.start()
     wait_for(lambda: rig.head.endpoints.reachable and 77 in rig.head.endpoints.nodes, 15)
-    for k in range(8):
-        assert wait_for(lambda k=k: c.ask("GET", f"/v1/volumes/v/objects/{k}").data == b"%d" % k)  # type: ignore[misc]
+    for number in range(8):
+        assert wait_for(
+            lambda number=number: client.ask("GET", f"/v1/volumes/v/objects/{number}").data == b"%d" % number  # type: ignore[misc]
+        )
 
 
-def test_a_node_back_cold_on_the_same_port_unnoticed(rigs: Callable[..., Rig]) -> None:
+def test_cold_node_restarted_on_its_port_without_a_list_update_is_not_overloaded(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1, traits=SLOW)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x" * 1000)
+    client = rig.client()
+    client.ask("PUT", KEY, b"x" * 1000)
     for _ in range(30):
-        c.ask("GET", KEY)
+        client.ask("GET", KEY)
     port = rig.nodes[0].address[1]
     rig.nodes[0].server.reset_all()
     rig.nodes[0].stop()
     for _ in range(4):
-        c.ask("GET", KEY, Fawn_Patience_Ms="300")  # refused connects: the head sees that it is away
+        client.ask("GET", KEY, Fawn_Patience_Ms="300")  # refused connections show the gateway that the node is down
     rig.nodes[0] = rig.make_node(0, cold=True, port=port)
     statuses = []
 
-    def reader() -> None:
-        mine = rig.client()
+    def read_repeatedly() -> None:
+        reader = rig.client()
         for _ in range(25):
-            statuses.append(mine.ask("GET", KEY, Fawn_Patience_Ms="400").status)
+            statuses.append(reader.ask("GET", KEY, Fawn_Patience_Ms="400").status)
 
-    gevent.joinall([gevent.spawn(reader) for _ in range(12)], raise_error=True)
+    gevent.joinall([gevent.spawn(read_repeatedly) for _ in range(12)], raise_error=True)
     assert not rig.seen(0, "fell") and statuses.count(200) > 20
 
 
-def test_a_thousand_connections_at_once(rigs: Callable[..., Rig]) -> None:
+def test_each_of_a_thousand_simultaneous_clients_is_answered(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=2)
     rig.client().ask("PUT", KEY, b"x" * 4096)
     statuses: list[int] = []
 
-    def one() -> None:
-        c = rig.client()
-        statuses.append(c.ask("GET", KEY).status)
-        c.close()
+    def read_once() -> None:
+        client = rig.client()
+        statuses.append(client.ask("GET", KEY).status)
+        client.close()
 
-    gevent.joinall([gevent.spawn(one) for _ in range(1000)], raise_error=True)
-    # How many can be served in time is the machine's doing; that each is answered, once and well formed, is not.
+    gevent.joinall([gevent.spawn(read_once) for _ in range(1000)], raise_error=True)
+    # How many are served in time depends on the machine; that each gets one well-formed answer does not.
     assert len(statuses) == 1000 and set(statuses) <= {200, 503} and statuses.count(200) > 100
     assert not rig.head.pending
 
 
-def test_a_module_that_raises_costs_one_request_only(rigs: Callable[..., Rig]) -> None:
+def test_error_in_the_decision_module_fails_only_one_request(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
     module, handle = rig.head.loop.module, rig.head.loop.module.handle
 
-    def raises(now: float, event: interface.Event) -> list[interface.Action]:
+    def raise_on_large_request(now: float, event: interface.Event) -> list[interface.Action]:
         if isinstance(event, interface.Request) and event.units == 2:
-            raise ValueError("no such thing")
+            raise ValueError("caused by the test")
         return handle(now, event)  # type: ignore[no-any-return]
 
-    module.handle = raises
-    bad = c.ask("PUT", "/v1/volumes/v/objects/big", b"x" * 70_000)
-    assert bad.status == 502, bad.data
-    got = c.ask("GET", KEY)
-    assert got.status == 200, got.data
+    module.handle = raise_on_large_request
+    failed = client.ask("PUT", "/v1/volumes/v/objects/big", b"x" * 70_000)
+    assert failed.status == 502, failed.data
+    served = client.ask("GET", KEY)
+    assert served.status == 200, served.data
     assert rig.head.metrics.module_errors == 1 and not rig.head.pending
 
 
-def test_a_module_that_never_answers_is_overdue_not_silent(rigs: Callable[..., Rig]) -> None:
+def test_gateway_fails_a_request_that_the_decision_module_never_answers(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
     rig.head.loop.module.handle = lambda now, event: []
-    began = time.monotonic()
-    got = c.ask("GET", KEY, Fawn_Patience_Ms="800")
-    assert got.status == 502 and time.monotonic() - began < 0.8
+    started_at = time.monotonic()
+    response = client.ask("GET", KEY, Fawn_Patience_Ms="800")
+    assert response.status == 502 and time.monotonic() - started_at < 0.8
     assert rig.head.metrics.overdue == 1
 
 
-def test_a_limit_holds_and_what_is_beyond_it_is_refused_at_once(rigs: Callable[..., Rig]) -> None:
+def test_rate_limit_holds_and_requests_beyond_it_are_rejected_at_once(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1, traits=SLOW)
     statuses: list[int] = []
 
-    def put(k: int) -> None:
-        statuses.append(rig.client().ask("PUT", f"/v1/volumes/w/objects/{k}", b"x" * 250_000).status)
+    def put(number: int) -> None:
+        statuses.append(rig.client().ask("PUT", f"/v1/volumes/w/objects/{number}", b"x" * 250_000).status)
 
-    began = time.monotonic()
-    gevent.joinall([gevent.spawn(put, k) for k in range(20)], raise_error=True)
-    assert time.monotonic() - began < 2.0
-    units = sum(r["units"] for r in rig.seen(0, "in"))
+    started_at = time.monotonic()
+    gevent.joinall([gevent.spawn(put, number) for number in range(20)], raise_error=True)
+    assert time.monotonic() - started_at < 2.0
+    units = sum(row["units"] for row in rig.seen(0, "in"))
     assert 503 in statuses and units <= 16 + 8 + 10 * 2
-    assert all(a in (201, 503) for a in statuses)
+    assert all(status in (201, 503) for status in statuses)
 
 
-def test_the_kernel_stamp_counts_time_that_the_head_did_not_run(rigs: Callable[..., Rig]) -> None:
+def test_client_timeout_includes_the_time_in_which_the_gateway_was_stopped(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
-    c.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Patience-Ms: 300\r\n\r\n" % KEY.encode())
-    time.sleep(0.4)  # this whole process stands still, as a stopped one does
-    got = c.answer()
-    assert got.status in (502, 503, 504)  # its client has given up: no attempt is worth it now
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
+    client.sock.sendall(b"GET %s HTTP/1.1\r\nHost: t\r\nFawn-Patience-Ms: 300\r\n\r\n" % KEY.encode())
+    time.sleep(0.4)  # blocks the whole process, as stopping it would
+    response = client.answer()
+    assert response.status in (502, 503, 504)  # its client has given up, so that no attempt is made
     assert len(rig.seen(0, "in")) == 1
 
 
-def test_status_and_metrics_tell_what_the_head_thinks(rigs: Callable[..., Rig]) -> None:
+def test_status_page_and_metrics_show_requests_and_node_states(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=2)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x" * 10)
-    c.ask("GET", KEY)
-    page = c.ask("GET", "/-/metrics").data.decode()
+    client = rig.client()
+    client.ask("PUT", KEY, b"x" * 10)
+    client.ask("GET", KEY)
+    page = client.ask("GET", "/-/metrics").data.decode()
     assert 'fawnspool_requests_total{class="read",outcome="served",plan="basic"} 1.0' in page
     assert "fawnspool_node_bound{" in page and 'fawnspool_attempts_total{node="' in page
     status = rig.head.status()
-    assert {n["node"] for n in status["nodes"]} == {1, 2} and status["module"]["errors"] == 0
-    assert all(n["state"] == "sound" for n in status["nodes"])
+    assert {row["node"] for row in status["nodes"]} == {1, 2} and status["module"]["errors"] == 0
+    assert all(row["state"] == "sound" for row in status["nodes"])
 
 
-def test_traces_hold_each_attempt_and_the_reason_for_its_end(rigs: Callable[..., Rig], tmp_path: Path) -> None:
+def test_trace_records_each_attempt_and_the_reason_for_the_answer(rigs: Callable[..., Rig], tmp_path: Path) -> None:
     import json
 
     path = tmp_path / "trace.jsonl"
     rig = rigs(nodes=1, head=f'trace = "{path}"\n trace_share = 1')
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
     rig.nodes[0].set_faults({"reset": 1.0})
-    c.ask("GET", KEY, Fawn_Patience_Ms="300")
+    client.ask("GET", KEY, Fawn_Patience_Ms="300")
     spans = wait_for(
         lambda: [
-            s
-            for s in map(json.loads, path.read_text().splitlines())
-            if s["name"] == "request" and s.get("outcome") in ("failed", "refused")
+            span
+            for span in map(json.loads, path.read_text().splitlines())
+            if span["name"] == "request" and span.get("outcome") in ("failed", "refused")
         ]
     )
-    attempts = [s for s in map(json.loads, path.read_text().splitlines()) if s["parent"] == spans[0]["span"]]
+    attempts = [span for span in map(json.loads, path.read_text().splitlines()) if span["parent"] == spans[0]["span"]]
     assert attempts and attempts[0]["ending"] == AttemptEnding.RESET.value and attempts[0]["result"] == "broken"
     assert spans[0]["attempts"] == len(attempts) and "reset" in spans[0]["reason"]
 
 
-def test_one_answer_is_an_invariant_of_the_request(rigs: Callable[..., Rig]) -> None:
+def test_answered_request_rejects_a_second_answer(rigs: Callable[..., Rig]) -> None:
     rig = rigs(nodes=1)
-    c = rig.client()
-    c.ask("PUT", KEY, b"x")
-    taken: list[Any] = []
+    client = rig.client()
+    client.ask("PUT", KEY, b"x")
+    accepted: list[Any] = []
     submit = rig.head.submit
 
-    def keep(request: ObjectRequest) -> Any:
-        taken.append(submit(request))
-        return taken[-1]
+    def submit_and_keep(request: ObjectRequest) -> Any:
+        accepted.append(submit(request))
+        return accepted[-1]
 
-    rig.head.submit = keep  # type: ignore[method-assign]
-    c.ask("GET", KEY)
-    pending = taken[0]
+    rig.head.submit = submit_and_keep  # type: ignore[method-assign]
+    client.ask("GET", KEY)
+    pending = accepted[0]
     assert pending.answer_kind is AnswerKind.SERVED
     assert (
         not pending.settle(AnswerKind.FAILED)
--- a/tests/e2e/test_objects.py
+++ b/tests/e2e/test_objects.py
@@ -1,4 +1,8 @@
-"""The object API over real sockets: what a client sends, and the bytes that come back."""
+"""Tests of the object API over real sockets: the requests that a client sends, and the responses that it receives.
+
+They guard against wrong answers to valid requests, and against malformed input that reaches the decision module or is
+taken for a second request.
+"""
 
 from __future__ import annotations
 
@@ -14,69 +18,69 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[Rig]:
-    made = Rig(tmp_path)
-    yield made
-    made.stop()
+    built_rig = Rig(tmp_path)
+    yield built_rig
+    built_rig.stop()
 
 
-def test_put_and_a_ranged_get(rig: Rig) -> None:
-    c = rig.client()
-    put = c.ask("PUT", OBJECT, b"0123456789")
+def test_get_returns_the_stored_object_and_its_byte_ranges(rig: Rig) -> None:
+    client = rig.client()
+    put = client.ask("PUT", OBJECT, b"0123456789")
     assert put.status == 201 and put.headers["ETag"]
-    got = c.ask("GET", OBJECT, Range="bytes=2-5")
-    assert (got.status, got.data, got.headers["Content-Range"]) == (206, b"2345", "bytes 2-5/10")
-    assert got.headers["ETag"] == put.headers["ETag"]
-    assert c.ask("GET", OBJECT, Range="bytes=-3").data == b"789"
-    assert c.ask("GET", OBJECT).data == b"0123456789"
-    assert c.ask("GET", OBJECT, Range="bytes=10-").status == 416
-    assert c.ask("GET", OBJECT, Range="bytes=5-2").data == b"0123456789"  # no range at all: ignored
+    part = client.ask("GET", OBJECT, Range="bytes=2-5")
+    assert (part.status, part.data, part.headers["Content-Range"]) == (206, b"2345", "bytes 2-5/10")
+    assert part.headers["ETag"] == put.headers["ETag"]
+    assert client.ask("GET", OBJECT, Range="bytes=-3").data == b"789"
+    assert client.ask("GET", OBJECT).data == b"0123456789"
+    assert client.ask("GET", OBJECT, Range="bytes=10-").status == 416
+    assert client.ask("GET", OBJECT, Range="bytes=5-2").data == b"0123456789"  # an invalid range is ignored
 
 
-def test_head_delete_and_list(rig: Rig) -> None:
-    c = rig.client()
+def test_head_list_and_delete_of_stored_objects(rig: Rig) -> None:
+    client = rig.client()
     for key in ("a/1", "a/2", "b/1"):
-        assert c.ask("PUT", f"/v1/volumes/v/objects/{key}", b"x" * 7).status == 201
-    head = c.ask("HEAD", "/v1/volumes/v/objects/a/1")
+        assert client.ask("PUT", f"/v1/volumes/v/objects/{key}", b"x" * 7).status == 201
+    head = client.ask("HEAD", "/v1/volumes/v/objects/a/1")
     assert (head.status, head.headers["Content-Length"], head.data) == (200, "7", b"")
     assert (
-        c.ask("GET", "/v1/volumes/v/objects?prefix=a/").data
+        client.ask("GET", "/v1/volumes/v/objects?prefix=a/").data
         == b'{"volume": "v", "objects": [{"key": "a/1", "size": 7}, {"key": "a/2", "size": 7}]}'
     )
-    first = c.ask("GET", "/v1/volumes/v/objects?limit=2").data
+    first = client.ask("GET", "/v1/volumes/v/objects?limit=2").data
     assert b'"after": "a/2"' in first
-    assert b'"b/1"' in c.ask("GET", "/v1/volumes/v/objects?limit=2&after=a/2").data
-    assert c.ask("DELETE", "/v1/volumes/v/objects/a/1").status == 204
-    assert c.ask("GET", "/v1/volumes/v/objects/a/1").status == 404
-    assert c.ask("DELETE", "/v1/volumes/v/objects/a/1").status == 404
-
-
-def test_preconditions(rig: Rig) -> None:
-    c = rig.client()
-    etag = c.ask("PUT", OBJECT, b"one", If_None_Match="*").headers["ETag"]
-    assert c.ask("PUT", OBJECT, b"two", If_None_Match="*").status == 412
-    assert c.ask("PUT", OBJECT, b"two", If_Match='"other"').status == 412
-    assert c.ask("GET", OBJECT, If_None_Match=etag).status == 304
-    new = c.ask("PUT", OBJECT, b"two", If_Match=etag)
-    assert new.status == 200 and new.headers["ETag"] != etag
-    assert c.ask("GET", OBJECT).data == b"two"
-
-
-def test_chunked_body_and_expect(rig: Rig) -> None:
-    c = rig.client()
-    c.sock.sendall(
+    assert b'"b/1"' in client.ask("GET", "/v1/volumes/v/objects?limit=2&after=a/2").data
+    assert client.ask("DELETE", "/v1/volumes/v/objects/a/1").status == 204
+    assert client.ask("GET", "/v1/volumes/v/objects/a/1").status == 404
+    assert client.ask("DELETE", "/v1/volumes/v/objects/a/1").status == 404
+
+
+def test_failed_preconditions_leave_the_object_unchanged(rig: Rig) -> None:
+    client = rig.client()
+    etag = client.ask("PUT", OBJECT, b"one", If_None_Match="*").headers["ETag"]
+    assert client.ask("PUT", OBJECT, b"two", If_None_Match="*").status == 412
+    assert client.ask("PUT", OBJECT, b"two", If_Match='"other"').status == 412
+    assert client.ask("GET", OBJECT, If_None_Match=etag).status == 304
+    replaced = client.ask("PUT", OBJECT, b"two", If_Match=etag)
+    assert replaced.status == 200 and replaced.headers["ETag"] != etag
+    assert client.ask("GET", OBJECT).data == b"two"
+
+
+def test_chunked_body_is_stored_after_100_continue(rig: Rig) -> None:
+    client = rig.client()
+    client.sock.sendall(
         b"PUT %s HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n" % OBJECT.encode()
     )
-    assert c.sock.recv(100).startswith(b"HTTP/1.1 100")
-    c.sock.sendall(b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
-    assert c.answer("PUT").status == 201
-    assert c.ask("GET", OBJECT).data == b"abcdefg"
+    assert client.sock.recv(100).startswith(b"HTTP/1.1 100")
+    client.sock.sendall(b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
+    assert client.answer("PUT").status == 201
+    assert client.ask("GET", OBJECT).data == b"abcdefg"
 
 
-def test_large_body_streams_both_ways(rig: Rig) -> None:
-    c, data = rig.client(), bytes(range(256)) * 12_000
-    assert c.ask("PUT", OBJECT, data, Fawn_Class="bulk").status == 201
-    assert c.ask("GET", OBJECT, Fawn_Class="bulk").data == data
-    assert c.ask("GET", OBJECT, Fawn_Class="bulk", Range="bytes=100-2000000").data == data[100:2000001]
+def test_large_body_is_streamed_in_both_directions(rig: Rig) -> None:
+    client, data = rig.client(), bytes(range(256)) * 12_000
+    assert client.ask("PUT", OBJECT, data, Fawn_Class="bulk").status == 201
+    assert client.ask("GET", OBJECT, Fawn_Class="bulk").data == data
+    assert client.ask("GET", OBJECT, Fawn_Class="bulk", Range="bytes=100-2000000").data == data[100:2000001]
 
 
 @pytest.mark.parametrize(
@@ -114,36 +118,36 @@
         (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),
     ],
 )
-def test_bad_input_is_told_and_never_reaches_the_module(rig: Rig, raw: bytes, status: int) -> None:
-    before = rig.head.metrics.module_events
-    c = Client(rig.address)
-    c.sock.sendall(raw)
-    got = c.answer()
-    assert got.status == status
-    assert b'"error"' in got.data
+def test_bad_input_is_answered_with_an_error_and_never_reaches_the_module(rig: Rig, raw: bytes, status: int) -> None:
+    events_before = rig.head.metrics.module_events
+    client = Client(rig.address)
+    client.sock.sendall(raw)
+    response = client.answer()
+    assert response.status == status
+    assert b'"error"' in response.data
     assert rig.head.last_request_id & 0xFFFFF == 0
-    timers = rig.head.metrics.module_events - before
-    assert not rig.head.pending and timers <= 2  # the module's own timers at most
+    new_events = rig.head.metrics.module_events - events_before
+    assert not rig.head.pending and new_events <= 2  # none but the module's own timers
     if status not in (404, 405, 413) and b"objects/k HTTP/1.1" not in raw[:60] and b"%" not in raw:
-        c.sock.settimeout(5)
+        client.sock.settimeout(5)
         if b".." not in raw and b"//" not in raw:
-            assert c.sock.recv(1) == b""  # framing in doubt: closed
+            assert client.sock.recv(1) == b""  # closed, as the framing of further requests is uncertain
 
 
-def test_smuggled_request_is_not_read(rig: Rig) -> None:
-    c = Client(rig.address)
-    c.sock.sendall(
+def test_request_smuggled_behind_conflicting_lengths_is_not_read(rig: Rig) -> None:
+    client = Client(rig.address)
+    client.sock.sendall(
         b"PUT /v1/volumes/v/objects/k HTTP/1.1\r\nHost: t\r\nContent-Length: 6\r\nTransfer-Encoding: chunked"
         b"\r\n\r\n0\r\n\r\nGET /-/health HTTP/1.1\r\nHost: t\r\n\r\n"
     )
-    assert c.answer().status == 400
-    c.sock.settimeout(5)
-    assert c.sock.recv(100) == b""
+    assert client.answer().status == 400
+    client.sock.settimeout(5)
+    assert client.sock.recv(100) == b""
 
 
-def test_slow_sender_is_cut_off(rig: Rig) -> None:
-    c = Client(rig.address)
-    c.sock.sendall(b"PUT /v1/volumes/v/objects/k HTTP/1.1\r\nHost: t\r\nContent-Length: 100\r\n\r\nabc")
-    assert c.answer().status == 408
-    c.sock.settimeout(5)
-    assert c.sock.recv(1) == b"" and not rig.head.pending
+def test_slow_sender_gets_408_and_is_disconnected(rig: Rig) -> None:
+    client = Client(rig.address)
+    client.sock.sendall(b"PUT /v1/volumes/v/objects/k HTTP/1.1\r\nHost: t\r\nContent-Length: 100\r\n\r\nabc")
+    assert client.answer().status == 408
+    client.sock.settimeout(5)
+    assert client.sock.recv(1) == b"" and not rig.head.pending
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,8 @@
-"""How an attempt ends, by what its connection met: a typed error decides, never its text."""
+"""Tests which ending an attempt gets for each error or response on its connection.
+
+With a wrong ending, the scheduler would retry a request that may have run, or count a failure against a sound node.
+Endings are chosen by the type and errno of an error, not by its text.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class PlainProtocol:
-    """Requests without a body; a status of 200 is an answer."""
+    """A node protocol of requests without a body, in which only status 200 is an answer."""
 
     max_buffered_bytes = 1000
     streams_large = False
@@ -32,7 +36,7 @@
         return format_request_head(b"GET", b"/", b"node", [])
 
     def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
-        if b"spoilt" in head.headers:
+        if b"malformed" in head.headers:
             raise ValueError
         return NodeFeedback()
 
@@ -46,12 +50,12 @@
     return ClientRequest(request, b"GET", b"/", [], RequestBody(b"", 0), None, "op", "", now, now + 5, "read", "plan")
 
 
-def one_attempt(seconds: float = 5.0) -> NodeAttempt:
+def make_attempt(timeout_s: float = 5.0) -> NodeAttempt:
     now = time.monotonic()
-    return NodeAttempt(0, 0, now, now + seconds)
+    return NodeAttempt(0, 0, now, now + timeout_s)
 
 
-def run(pool: ConnectionPool, attempt: NodeAttempt) -> AttemptEnding:
+def attempt_ending(pool: ConnectionPool, attempt: NodeAttempt) -> AttemptEnding:
     hooks = AttemptHooks(PlainProtocol(), lambda node: False, lambda pending, attempt: None)
     return run_attempt(pending_request(), attempt, pool, hooks).ending
 
@@ -64,7 +68,7 @@
     (
         OSError(errno.ETIMEDOUT, "ETIMEDOUT"),
         AttemptEnding.CONNECT_REFUSED,
-    ),  # the system gave up, our deadline had not come
+    ),  # the system timed out before the attempt's deadline
     (OSError(errno.EHOSTUNREACH, "EHOSTUNREACH"), AttemptEnding.CONNECT_REFUSED),
     (OSError(errno.EMFILE, "Too many open files"), AttemptEnding.POOL_EXHAUSTED),
     (OSError(errno.ENFILE, "Too many open files in system"), AttemptEnding.POOL_EXHAUSTED),
@@ -72,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("error", "ending"), CONNECT_ERRORS, ids=lambda value: str(value))
-def test_an_attempt_without_a_connection_ends_by_the_error_met(
+def test_connect_error_determines_the_ending_and_nothing_is_sent(
     monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding
 ) -> None:
     def connect(address: tuple[str, int], deadline: float) -> Any:
@@ -80,16 +84,16 @@
 
     monkeypatch.setattr(connection_pool, "connect", connect)
     pool = ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0))
-    attempt = one_attempt()
-    assert run(pool, attempt) is ending and not attempt.sent and pool.open_count == 0
+    attempt = make_attempt()
+    assert attempt_ending(pool, attempt) is ending and not attempt.sent and pool.open_count == 0
 
 
 @pytest.mark.parametrize(("error", "ending"), CONNECT_ERRORS, ids=lambda value: str(value))
 @pytest.mark.parametrize("cancelled", [True, False])
-def test_no_connection_error_counts_against_a_node_once_the_attempt_is_over(
+def test_connect_error_after_cancellation_or_write_deadline_is_not_blamed_on_the_node(
     monkeypatch: pytest.MonkeyPatch, error: OSError, ending: AttemptEnding, cancelled: bool
 ) -> None:
-    attempt = one_attempt()
+    attempt = make_attempt()
 
     def connect(address: tuple[str, int], deadline: float) -> Any:
         if cancelled:
@@ -99,41 +103,45 @@
         raise error
 
     monkeypatch.setattr(connection_pool, "connect", connect)
-    want = AttemptEnding.CANCELLED_UNSENT if cancelled else AttemptEnding.OUT_OF_TIME
-    assert run(ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0)), attempt) is want
+    expected = AttemptEnding.CANCELLED_UNSENT if cancelled else AttemptEnding.OUT_OF_TIME
+    assert attempt_ending(ConnectionPool(("127.0.0.1", 1), PoolOptions(2, 0.5, 10.0)), attempt) is expected
 
 
-def test_a_pool_without_a_place_ends_an_attempt_unsent() -> None:
+def test_full_pool_ends_an_attempt_as_pool_exhausted() -> None:
     assert (
-        run(ConnectionPool(("127.0.0.1", 1), PoolOptions(0, 0.5, 10.0)), one_attempt()) is AttemptEnding.POOL_EXHAUSTED
+        attempt_ending(ConnectionPool(("127.0.0.1", 1), PoolOptions(0, 0.5, 10.0)), make_attempt())
+        is AttemptEnding.POOL_EXHAUSTED
     )
 
 
-def test_a_connect_that_nobody_answers_ends_an_attempt_by_its_timeout() -> None:
+def test_unanswered_connect_ends_an_attempt_after_the_connect_timeout() -> None:
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
-    fill = [socket.socket() for _ in range(4)]
-    for sock in fill:
+    backlog_sockets = [socket.socket() for _ in range(4)]
+    for sock in backlog_sockets:
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
     assert (
-        run(ConnectionPool(listener.getsockname(), PoolOptions(1, 0.1, 5.0)), one_attempt())
+        attempt_ending(ConnectionPool(listener.getsockname(), PoolOptions(1, 0.1, 5.0)), make_attempt())
         is AttemptEnding.CONNECT_TIMEOUT
     )
-    for sock in [*fill, listener]:
+    for sock in [*backlog_sockets, listener]:
         sock.close()
 
 
-def test_a_port_where_nobody_listens_refuses_an_attempt() -> None:
+def test_port_without_listener_ends_an_attempt_as_connect_refused() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
-    assert run(ConnectionPool(address, PoolOptions(1, 0.5, 5.0)), one_attempt()) is AttemptEnding.CONNECT_REFUSED
+    assert (
+        attempt_ending(ConnectionPool(address, PoolOptions(1, 0.5, 5.0)), make_attempt())
+        is AttemptEnding.CONNECT_REFUSED
+    )
     with pytest.raises(ConnectRefusedError):
         ConnectionPool(address, PoolOptions(1, 0.5, 5.0)).acquire(time.monotonic() + 1)
 
 
-# ------------------------------------------------------------------ a connection that ends under its request
+# ------------------------------------------------------------------ responses and connections that end during a request
 
 
 def close(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
@@ -154,7 +162,7 @@
     connection.close()
 
 
-def call_off(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
+def cancel(peer: socket.socket, connection: ClientConnection, attempt: NodeAttempt) -> None:
     attempt.cancelled = True
     connection.close()
 
@@ -162,12 +170,12 @@
 LENGTH_2 = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
 CASES: dict[str, tuple[bytes, Callable[..., None], AttemptEnding, AttemptEnding]] = {
-    # name: (what the node says, what comes then, ending on a new connection, ending on a kept one)
-    "closed under the request": (b"", close, AttemptEnding.RESET, AttemptEnding.CLOSED),
-    "reset under the request": (b"", reset, AttemptEnding.RESET, AttemptEnding.RESET),
-    "closed on this side": (b"", close_own_end, AttemptEnding.RESET, AttemptEnding.CLOSED),
-    "called off": (b"", call_off, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
-    "no answer": (b"", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
+    # name: (bytes of the response, what then happens, ending on a new connection, ending on a reused one)
+    "closed without a response": (b"", close, AttemptEnding.RESET, AttemptEnding.CLOSED),
+    "reset without a response": (b"", reset, AttemptEnding.RESET, AttemptEnding.RESET),
+    "closed by the gateway": (b"", close_own_end, AttemptEnding.RESET, AttemptEnding.CLOSED),
+    "cancelled": (b"", cancel, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
+    "no response": (b"", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
     "closed in the head": (
         b"HTTP/1.1 200 OK\r\nX",
         close,
@@ -180,44 +188,49 @@
         AttemptEnding.TRUNCATED_RESPONSE,
         AttemptEnding.TRUNCATED_RESPONSE,
     ),
-    "no HTTP": (b"what?\r\n\r\n", wait, AttemptEnding.MALFORMED_RESPONSE, AttemptEnding.MALFORMED_RESPONSE),
+    "not HTTP": (b"what?\r\n\r\n", wait, AttemptEnding.MALFORMED_RESPONSE, AttemptEnding.MALFORMED_RESPONSE),
     "an upgrade": (
         b"HTTP/1.1 101 S\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
         AttemptEnding.MALFORMED_RESPONSE,
     ),
-    "a length twice": (
+    "two different lengths": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
         AttemptEnding.MALFORMED_RESPONSE,
     ),
-    "bytes that do not read": (
-        b"HTTP/1.1 200 OK\r\nSpoilt: 1\r\nContent-Length: 2\r\n\r\nok",
+    "malformed feedback header": (
+        b"HTTP/1.1 200 OK\r\nMalformed: 1\r\nContent-Length: 2\r\n\r\nok",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
         AttemptEnding.MALFORMED_RESPONSE,
     ),
     "closed in the body": (LENGTH_2 + b"o", close, AttemptEnding.TRUNCATED_RESPONSE, AttemptEnding.TRUNCATED_RESPONSE),
     "reset in the body": (LENGTH_2 + b"o", reset, AttemptEnding.TRUNCATED_RESPONSE, AttemptEnding.TRUNCATED_RESPONSE),
-    "called off in the body": (LENGTH_2 + b"o", call_off, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
-    "no end of the body": (LENGTH_2 + b"o", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
-    "bytes behind the end": (LENGTH_2 + b"okmore", wait, AttemptEnding.WRONG_LENGTH, AttemptEnding.WRONG_LENGTH),
-    "a second answer": (LENGTH_2 + b"ok" + LENGTH_2, wait, AttemptEnding.WRONG_LENGTH, AttemptEnding.WRONG_LENGTH),
-    "a chunk that does not read": (
+    "cancelled in the body": (LENGTH_2 + b"o", cancel, AttemptEnding.CANCELLED, AttemptEnding.CANCELLED),
+    "body without an end": (LENGTH_2 + b"o", wait, AttemptEnding.RESPONSE_TIMEOUT, AttemptEnding.RESPONSE_TIMEOUT),
+    "bytes after the end of the body": (
+        LENGTH_2 + b"okmore",
+        wait,
+        AttemptEnding.WRONG_LENGTH,
+        AttemptEnding.WRONG_LENGTH,
+    ),
+    "a second response": (LENGTH_2 + b"ok" + LENGTH_2, wait, AttemptEnding.WRONG_LENGTH, AttemptEnding.WRONG_LENGTH),
+    "malformed chunk": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
         AttemptEnding.MALFORMED_RESPONSE,
     ),
-    "a length over the bound": (
+    "length over the limit": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 1001\r\n\r\n",
         wait,
         AttemptEnding.WRONG_LENGTH,
         AttemptEnding.WRONG_LENGTH,
     ),
-    "a body over the bound": (
+    "chunked body over the limit": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n" + b"x" * 1001 + b"\r\n",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
@@ -232,45 +245,45 @@
     ),
 }
 LENIENT_CASES: dict[str, tuple[bytes, Callable[..., None], AttemptEnding]] = {
-    "closed behind an answer without a length": (NO_LENGTH + b"all", close, AttemptEnding.ANSWERED_UNTIL_CLOSE),
-    "reset in an answer without a length": (NO_LENGTH + b"half", reset, AttemptEnding.BROKEN_WITHOUT_LENGTH),
-    "closed on this side": (NO_LENGTH + b"half", close_own_end, AttemptEnding.BROKEN_WITHOUT_LENGTH),
-    "bytes behind the end": (LENGTH_2 + b"okmore", wait, AttemptEnding.ANSWERED),
+    "closed after a response without a length": (NO_LENGTH + b"all", close, AttemptEnding.ANSWERED_UNTIL_CLOSE),
+    "reset in a response without a length": (NO_LENGTH + b"half", reset, AttemptEnding.BROKEN_WITHOUT_LENGTH),
+    "closed by the gateway": (NO_LENGTH + b"half", close_own_end, AttemptEnding.BROKEN_WITHOUT_LENGTH),
+    "bytes after the end of the body": (LENGTH_2 + b"okmore", wait, AttemptEnding.ANSWERED),
 }
 
 
-def ending_against(said: bytes, then: Callable[..., None], kept: bool, lenient: bool = False) -> AttemptEnding:
-    """The ending of an attempt whose node says `said` once the request has come."""
+def ending_after(response: bytes, then: Callable[..., None], reused: bool, lenient: bool = False) -> AttemptEnding:
+    """Return the ending of an attempt whose node sends `response` to the request, after which `then` is called."""
     listener = socket.create_server(("127.0.0.1", 0))
     pool = ConnectionPool(listener.getsockname(), PoolOptions(1, 1.0, 5.0, lenient=lenient))
-    if kept:
+    if reused:
         pool.release(pool.acquire(time.monotonic() + 1))
-    attempt = one_attempt(0.3)
-    job = gevent.spawn(run, pool, attempt)
+    attempt = make_attempt(0.3)
+    greenlet = gevent.spawn(attempt_ending, pool, attempt)
     while not attempt.sent:
         gevent.sleep(0.001)
     gevent.sleep(0.005)
     peer, _ = listener.accept()
-    if said:
-        peer.sendall(said)
+    if response:
+        peer.sendall(response)
         gevent.sleep(0.02)
     if attempt.connection is not None:
         then(peer, attempt.connection, attempt)
-    got: AttemptEnding = job.get(timeout=5)
+    ending: AttemptEnding = greenlet.get(timeout=5)
     for sock in (peer, listener):
         sock.close()
-    return got
+    return ending
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
+@pytest.mark.parametrize("reused", [False, True], ids=["new", "reused"])
 @pytest.mark.parametrize("case", CASES)
-def test_an_attempt_ends_by_what_its_connection_met(case: str, kept: bool) -> None:
-    said, then, on_new, on_kept = CASES[case]
-    assert ending_against(said, then, kept) is (on_kept if kept else on_new)
+def test_response_and_connection_end_determine_the_ending(case: str, reused: bool) -> None:
+    response, then, ending_when_new, ending_when_reused = CASES[case]
+    assert ending_after(response, then, reused) is (ending_when_reused if reused else ending_when_new)
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
+@pytest.mark.parametrize("reused", [False, True], ids=["new", "reused"])
 @pytest.mark.parametrize("case", LENIENT_CASES)
-def test_a_lenient_pool_takes_an_answer_that_its_close_ends(case: str, kept: bool) -> None:
-    said, then, ending = LENIENT_CASES[case]
-    assert ending_against(said, then, kept, lenient=True) is ending
+def test_lenient_pool_accepts_a_response_that_ends_at_the_close(case: str, reused: bool) -> None:
+    response, then, ending = LENIENT_CASES[case]
+    assert ending_after(response, then, reused, lenient=True) is ending
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -1,4 +1,8 @@
-"""A request has one final answer, whatever happens to it and in whichever order."""
+"""Tests that a request gets exactly one final answer, in whichever order its events happen.
+
+The decision module, an attempt, a disconnect and the gateway's own timeout can each end a request at nearly the same
+time; if the second one settled it as well, its client would get two answers.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
     )
 
 
-def happen(pending: ClientRequest, event: RequestEvent) -> bool:
+def apply_event(pending: ClientRequest, event: RequestEvent) -> bool:
     if event is RequestEvent.START_STREAM:
         return pending.start_streaming()
     return pending.settle(AnswerKind.FAILED)
@@ -39,20 +43,18 @@
 
 @pytest.mark.parametrize("state", RequestState)
 @pytest.mark.parametrize("event", RequestEvent)
-def test_a_request_changes_its_state_as_the_table_says_and_not_otherwise(
-    state: RequestState, event: RequestEvent
-) -> None:
+def test_state_changes_only_as_the_transition_table_lists(state: RequestState, event: RequestEvent) -> None:
     pending = pending_request(state=state)
-    assert happen(pending, event) is ((state, event) in TRANSITIONS)
+    assert apply_event(pending, event) is ((state, event) in TRANSITIONS)
     assert pending.state is TRANSITIONS.get((state, event), state)
 
 
-def test_nothing_leaves_the_settled_state() -> None:
+def test_no_transition_leaves_the_settled_state() -> None:
     assert not [state for state, _ in TRANSITIONS if state is RequestState.SETTLED]
 
 
 @given(st.lists(st.tuples(st.sampled_from(AnswerKind), st.booleans()), min_size=1, max_size=8))
-def test_the_first_final_answer_stands(calls: list[tuple[AnswerKind, bool]]) -> None:
+def test_first_final_answer_is_kept(calls: list[tuple[AnswerKind, bool]]) -> None:
     pending = pending_request()
     settled: list[tuple[AnswerKind, NodeAnswer]] = []
     for kind, streams_before in calls:
@@ -80,7 +82,9 @@
         ([RESET, None], RESET.value, f"2 attempts; the last: {RESET.value}"),
     ],
 )
-def test_a_failed_request_names_its_last_attempt(endings: list[AttemptEnding | None], label: str, reason: str) -> None:
+def test_failed_request_reports_its_last_finished_attempt(
+    endings: list[AttemptEnding | None], label: str, reason: str
+) -> None:
     pending = pending_request()
     for number, ending in enumerate(endings):
         pending.attempts.append(NodeAttempt(number, 1, 0.0, 1.0, ending=ending))
@@ -89,7 +93,7 @@
     assert reason_for_client(pending).startswith(reason)
 
 
-def test_a_served_request_has_no_other_reason() -> None:
+def test_served_request_reports_no_failed_attempt() -> None:
     pending = pending_request(attempts=[NodeAttempt(0, 1, 0.0, 1.0, ending=AttemptEnding.RESET)])
     pending.settle(AnswerKind.SERVED)
     assert reason_label(pending) == reason_for_client(pending) == "served"
