--- a/fawnspool/api/request_reader.py
+++ b/fawnspool/api/request_reader.py
@@ -126,7 +126,7 @@
     """Read and discard the body of a request that needs none; raise ApiError if it is long."""
     for _ in exchange.body():
         if exchange.body_bytes > MAX_IGNORED_BODY_BYTES:
-            raise BadRequestError("body", "this request takes no body")
+            raise BadRequestError("body", "this request must not have a body")
 
 
 def body_too_long(max_bytes: int) -> HttpError:
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -140,7 +140,7 @@
         self.answer: NodeAnswer | None = None
 
     def run(self) -> AttemptOutcome:
-        """Connect, send, read the response, and give the connection back."""
+        """Connect, send, read the response, and return the connection to its pool."""
         connection: ClientConnection | None = None
         reusable = False
         try:
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -41,7 +41,7 @@
 
     @property
     def phase(self) -> interface.Phase:
-        """Lifecycle phase, which says whether the node takes requests."""
+        """Lifecycle phase; only a node in phase READY gets new requests."""
 
     @property
     def shard(self) -> int:
@@ -164,7 +164,7 @@
         grace_s
             Seconds after the deadline at which the gateway fails the request itself, as the module gave no answer.
         streaming_s
-            Further seconds that an answer may take which is being streamed to the client.
+            Seconds after that at which the wait ends, even if an answer is still being streamed to the client.
         """
         if pending.done.wait(pending.deadline + grace_s):
             return
--- a/tests/e2e/test_objects.py
+++ b/tests/e2e/test_objects.py
@@ -1,7 +1,7 @@
 """Tests of the object API over real sockets: the requests that a client sends, and the responses that it receives.
 
 They guard against wrong answers to valid requests, and against malformed input that reaches the decision module or is
-taken for a second request.
+parsed as a second request.
 """
 
 from __future__ import annotations
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -36,7 +36,7 @@
         return format_request_head(b"GET", b"/", b"node", [])
 
     def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
-        if b"malformed" in head.headers:
+        if b"spoilt" in head.headers:
             raise ValueError
         return NodeFeedback()
 
@@ -202,7 +202,7 @@
         AttemptEnding.MALFORMED_RESPONSE,
     ),
     "malformed feedback header": (
-        b"HTTP/1.1 200 OK\r\nMalformed: 1\r\nContent-Length: 2\r\n\r\nok",
+        b"HTTP/1.1 200 OK\r\nSpoilt: 1\r\nContent-Length: 2\r\n\r\nok",
         wait,
         AttemptEnding.MALFORMED_RESPONSE,
         AttemptEnding.MALFORMED_RESPONSE,
