--- a/fawnspool/leases/acceptor.py
+++ b/fawnspool/leases/acceptor.py
@@ -1,8 +1,8 @@
-"""An acceptor: its promises for all roles, its memory on disk, and whom it nominates.
+"""An acceptor: its promises for all roles, its memory on disk, and its nominations.
 
-A granted vote must be on disk before it is announced. Until whoever writes it confirms that (`confirm_persisted`),
-each further grant to the same ballot asks for it to be written again: otherwise a vote would be announced that a
-restart forgets.
+A granted vote must be on disk before it is announced. Until the runner confirms that the vote was written
+(`confirm_persisted`), each further grant to the same ballot requests the write again: otherwise the acceptor could
+announce a vote that it does not remember after a restart.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
     Parameters
     ----------
     member
-        This life of this gateway.
+        This incarnation of this gateway.
     now
         Time in seconds; only differences count.
     memory
-        What the disk held; None if there is nothing or nothing that can be read.
+        What was read from the disk; None if nothing is stored or the file is unreadable.
     """
 
     def __init__(self, settings: LeaseSettings, member: LeaseMember, now: float, memory: AcceptorMemory | None) -> None:
@@ -57,14 +57,14 @@
                 self.promises[role] = ballots.restore(Promise(token, incarnation), now, settings.lease_s)
         self.nominator = Nominator(settings, self.gateway_id, self.random, self.promises, now)
         self.foreign_messages = 0  # from gateways whose settings differ
-        self.disk_failed = False  # set by whoever persists votes
-        # Before a recovered floor is on disk no vote may be there, or the file would look complete.
+        self.disk_failed = False  # set by the runner, which persists votes
+        # A recovered floor must be stored with or before the next vote, or the file would look complete without it.
         self._unpersisted_votes: dict[int, Ballot] = {}
         self._unpersisted_floor = False
 
     @property
     def is_voting(self) -> bool:
-        """Whether it gives votes: it has its memory."""
+        """Whether the acceptor gives votes, which requires its memory."""
         return self.recovery is None
 
     # ------------------------------------------------------------ messages
@@ -77,41 +77,41 @@
         match message.type:
             case LeaseMessageType.VOTE_REQUEST:
                 self.nominator.directory.record_message(now, sender, message)
-                return self._answer_request(now, sender, message)
+                return self._respond_to_request(now, sender, message)
             case LeaseMessageType.HEARTBEAT:
                 self.nominator.directory.record_message(now, sender, message)
             case LeaseMessageType.RELEASE:
-                # A gateway that gives up its last role for good says here that it takes no more.
+                # The releases of a leaving gateway also report that it accepts no more roles.
                 self.nominator.directory.record_message(now, sender, message)
                 self._release(now, message)
             case LeaseMessageType.RECOVERY_REQUEST if sender in self.settings.acceptors:
-                return [self._answer_recovery(sender, message)]
+                return [self._respond_to_recovery(sender, message)]
             case LeaseMessageType.RECOVERY_RESPONSE if sender in self.settings.acceptors:
-                return self._recover(sender, message)
+                return self._handle_recovery_response(sender, message)
         return []
 
-    def _answer(
+    def _response(
         self,
         recipient: int,
-        kind: LeaseMessageType,
+        message_type: LeaseMessageType,
         request: LeaseMessage,
         entries: tuple[BallotEntry, ...],
         count: int,
     ) -> SendLeaseMessage:
-        """Return a response, which bears the numbers of the request."""
+        """Return a response with the incarnation and the serial of the request."""
         response = LeaseMessage(
-            kind, self.settings.fingerprint, request.incarnation, request.serial, count, entries=entries
+            message_type, self.settings.fingerprint, request.incarnation, request.serial, count, entries=entries
         )
         return SendLeaseMessage(recipient, response)
 
     def _send(
-        self, recipient: int, kind: LeaseMessageType, entries: tuple[BallotEntry, ...] = (), serial: int = 0
+        self, recipient: int, message_type: LeaseMessageType, entries: tuple[BallotEntry, ...] = (), serial: int = 0
     ) -> SendLeaseMessage:
-        message = LeaseMessage(kind, self.settings.fingerprint, self.incarnation, serial, entries=entries)
+        message = LeaseMessage(message_type, self.settings.fingerprint, self.incarnation, serial, entries=entries)
         return SendLeaseMessage(recipient, message)
 
-    def _answer_request(self, now: float, sender: int, message: LeaseMessage) -> list[LeaseAction]:
-        answers: list[BallotEntry] = []
+    def _respond_to_request(self, now: float, sender: int, message: LeaseMessage) -> list[LeaseAction]:
+        response_entries: list[BallotEntry] = []
         records: list[VoteRecord] = []
         for entry in message.entries:
             if entry.role >= len(self.settings.role_names) or entry.token < 1:
@@ -119,28 +119,30 @@
             self.nominator.record_request(sender, entry, message.incarnation)
             if self.recovery is not None:
                 wait_s = max(0.0, self.recovery.silent_until - now)
-                answers.append(BallotEntry(entry.role, 0, BallotVerdict.RECOVERING, wait_s))
+                response_entries.append(BallotEntry(entry.role, 0, BallotVerdict.RECOVERING, wait_s))
                 continue
-            answers.append(self._vote(now, entry, message.incarnation, records))
-        if not answers:
+            response_entries.append(self._vote(now, entry, message.incarnation, records))
+        if not response_entries:
             return []
-        available = self.nominator.directory.available_count(now)
-        answer = self._answer(sender, LeaseMessageType.VOTE_RESPONSE, message, tuple(answers), available)
+        available_count = self.nominator.directory.available_count(now)
+        response = self._response(
+            sender, LeaseMessageType.VOTE_RESPONSE, message, tuple(response_entries), available_count
+        )
         if not records and not self._unpersisted_floor:
-            return [answer]
+            return [response]
         floor = self.floor if self._unpersisted_floor else None
-        return [PersistVotes(tuple(records), floor), answer]
+        return [PersistVotes(tuple(records), floor), response]
 
     def _vote(self, now: float, entry: BallotEntry, incarnation: int, records: list[VoteRecord]) -> BallotEntry:
-        """Return the answer for one role; a vote that must be written first is added to `records`."""
+        """Answer the request for one role; append a vote that must be written first to `records`."""
         role = entry.role
-        requested = Ballot(entry.token, incarnation)
-        before = self.promises.get(role, Promise())
-        promise, verdict = ballots.vote(before, requested, now, self.floor, self.settings.lease_s)
+        requested_ballot = Ballot(entry.token, incarnation)
+        previous = self.promises.get(role, Promise())
+        promise, verdict = ballots.vote(previous, requested_ballot, now, self.floor, self.settings.lease_s)
         self.promises[role] = promise
         if verdict is BallotVerdict.GRANTED:
             self.nominator.record_grant(role)
-            if promise.ballot != before.ballot:
+            if promise.ballot != previous.ballot:
                 self._unpersisted_votes[role] = promise.ballot
             if role in self._unpersisted_votes:
                 records.append(VoteRecord(role, promise.token, promise.incarnation))
@@ -150,7 +152,7 @@
         return BallotEntry(role, max(promise.token, self.floor), verdict, wait_s)
 
     def confirm_persisted(self, persisted: PersistVotes) -> None:
-        """Take note that votes are on disk."""
+        """Record that votes are on disk."""
         if persisted.floor is not None and persisted.floor >= self.floor:
             self._unpersisted_floor = False
         for role, token, incarnation in persisted.records:
@@ -159,24 +161,24 @@
 
     def _release(self, now: float, message: LeaseMessage) -> None:
         for entry in message.entries:
-            released = Ballot(entry.token, message.incarnation)
+            released_ballot = Ballot(entry.token, message.incarnation)
             self.nominator.record_released_elsewhere(now, entry.role, message.incarnation)
-            before = self.promises.get(entry.role)
-            if before is None:
+            previous = self.promises.get(entry.role)
+            if previous is None:
                 continue
-            after = ballots.release(before, released)
-            if after is not before:
-                self.promises[entry.role] = after
-                self.nominator.record_release(now, entry, released)
+            updated = ballots.release(previous, released_ballot)
+            if updated is not previous:
+                self.promises[entry.role] = updated
+                self.nominator.record_release(now, entry, released_ballot)
 
-    # ------------------------------------------------------------ memory lost
+    # ------------------------------------------------------------ lost memory
 
-    def _answer_recovery(self, sender: int, message: LeaseMessage) -> SendLeaseMessage:
-        highest = max([self.floor, *(promise.token for promise in self.promises.values())])
-        entries = (BallotEntry(0, highest),)
-        return self._answer(sender, LeaseMessageType.RECOVERY_RESPONSE, message, entries, int(self.is_voting))
+    def _respond_to_recovery(self, sender: int, message: LeaseMessage) -> SendLeaseMessage:
+        highest_token = max([self.floor, *(promise.token for promise in self.promises.values())])
+        entries = (BallotEntry(0, highest_token),)
+        return self._response(sender, LeaseMessageType.RECOVERY_RESPONSE, message, entries, int(self.is_voting))
 
-    def _recover(self, sender: int, message: LeaseMessage) -> list[LeaseAction]:
+    def _handle_recovery_response(self, sender: int, message: LeaseMessage) -> list[LeaseAction]:
         if self.recovery is None or message.incarnation != self.incarnation:
             return []
         floor = self.recovery.receive(sender, message)
@@ -190,13 +192,13 @@
     # ------------------------------------------------------------ time
 
     def next_deadline(self) -> float:
-        """Return when `tick` must be called."""
+        """Return the time at which `tick` must be called."""
         if self.recovery is not None:
             return self.recovery.next_request_at()
         return self.nominator.next_check_at()
 
     def tick(self, now: float) -> list[LeaseAction]:
-        """Do what is due: ask the other acceptors, or nominate gateways to vacant roles."""
+        """Do what is due: ask the other acceptors for recovery, or nominate gateways for vacant roles."""
         if self.recovery is not None:
             return self._request_recovery(now, self.recovery)
         return [
@@ -217,5 +219,5 @@
     # ------------------------------------------------------------ status
 
     def vacant_for_s(self, now: float) -> dict[int, float]:
-        """Return the roles without a holder as this acceptor sees it, and the seconds since."""
+        """Return, by role, the seconds for which this acceptor has seen no holder."""
         return {role: now - since for role, since in self.nominator.vacant_since.items()}
--- a/fawnspool/leases/actions.py
+++ b/fawnspool/leases/actions.py
@@ -1,7 +1,7 @@
-"""What acceptors and lease holders have their gateway carry out, and who they are.
+"""Actions that acceptors and lease holders request from their gateway, and the identity of a gateway.
 
-Actions are in order: a `PersistVotes` must be on disk before the messages behind it are sent. Where it can't be
-written, nothing behind it is sent; the promise stands all the same, which is only more careful.
+Actions are ordered: a `PersistVotes` must be on disk before the messages after it are sent. If it can't be written,
+no message after it is sent; the promise in memory remains, which is safe.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseMember:
-    """One life of one gateway.
+    """One incarnation of one gateway.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     incarnation
         Drawn anew at each start of the gateway.
     seed
-        Of its random draws.
+        Seed of the gateway's random draws.
     """
 
     gateway_id: int
@@ -51,7 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistVotes:
-    """Write votes to disk before what follows is sent; floor: where the acceptor has recovered its memory now."""
+    """Write votes to disk before the messages that follow are sent.
+
+    `floor` is set if the acceptor has just recovered its memory, or could not store its recovered floor so far.
+    """
 
     records: tuple[VoteRecord, ...] = ()
     floor: int | None = None
@@ -62,7 +65,7 @@
 
 @dataclass(frozen=True)
 class AcceptorMemory:
-    """What an acceptor's disk held: the vote of each role, and the floor that it once recovered."""
+    """The content of an acceptor's disk: the vote for each role, and the floor from its last recovery."""
 
     votes: Mapping[int, Ballot]
     floor: int = 0
--- a/fawnspool/leases/backoff.py
+++ b/fawnspool/leases/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of a gateway that should take no roles for a while: roles are not left with one that can't work on them."""
+"""Backoff of a gateway that can't do the work of roles for now, so that other gateways take them."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class PauseReason(Enum):
-    """Why a gateway takes no roles for a while, as logs say it."""
+    """Why a gateway accepts no roles for a while, as written in logs."""
 
-    UNUSABLE = "what a role needs is out of reach"
+    UNUSABLE = "a service that a role needs is unreachable"
     UNANSWERED = "no majority of acceptors answered in time"
     LAGGING = "its event loop runs late"
 
 
 class CandidacyBackoff:
-    """Until when a gateway takes no roles, longer each time in a row.
+    """Time until which a gateway accepts no roles; consecutive pauses get longer.
 
     Parameters
     ----------
     lease_s
-        The lease in seconds; pauses are multiples of it.
+        The lease in seconds; the length of a pause is in proportion to it.
 
     Attributes
     ----------
     until, reason
-        When the latest pause ends, and why it began; None before the first.
+        End of the latest pause, and its reason; the reason is None before the first pause.
     """
 
     def __init__(self, lease_s: float) -> None:
@@ -40,13 +40,13 @@
         self._unanswered = 0
 
     def is_over(self, now: float) -> bool:
-        """Return whether roles may be taken."""
+        """Return whether the gateway may accept roles."""
         return now >= self.until
 
     def record_unusable(self, now: float) -> None:
-        """Pause as what a role needs was out of reach; roles given back together count once.
+        """Pause because a service that a role needs is unreachable; roles released together count once.
 
-        The pause is up to 8 leases, also where the service itself is away from all gateways.
+        The pause is at most 8 leases, also if the service is unreachable from all gateways.
         """
         if self.is_over(now):
             self._unusable = min(MAX_UNUSABLE, self._unusable + 1)
@@ -54,9 +54,10 @@
             self.reason = PauseReason.UNUSABLE
 
     def record_unanswered(self, now: float) -> bool:
-        """Pause as no majority of acceptors was heard; return whether a pause began.
+        """Pause because no majority of acceptors answered; return whether a pause began.
 
-        A gateway that is heard and does not hear would be nominated again and again, and its votes hold up others.
+        A gateway that can send but not receive would be nominated again and again, and the votes that it is given
+        would block other candidates.
         """
         if not self.is_over(now):
             return False
@@ -66,14 +67,14 @@
         return True
 
     def record_lagging(self, now: float) -> None:
-        """Pause for a lease as the event loop runs late."""
+        """Pause for one lease because the event loop runs late."""
         self.until = max(self.until, now + self.lease_s)
         self.reason = PauseReason.LAGGING
 
     def record_usable(self) -> None:
-        """Take note that what a role needs was within reach."""
+        """Record that a service that a role needs was reachable."""
         self._unusable = 0
 
     def record_answered(self) -> None:
-        """Take note that a majority answered."""
+        """Record that a majority of acceptors answered."""
         self._unanswered = 0
--- a/fawnspool/leases/ballot.py
+++ b/fawnspool/leases/ballot.py
@@ -1,4 +1,4 @@
-"""An acceptor's promise for one role: to whom it gave its vote, and until when.
+"""An acceptor's promise for one role: which ballot has its vote, and until when.
 
 Pure functions, so that the model checker, the simulation and the gateways run the same code. Token and incarnation
 are on disk before a vote is announced; the expiry is not. An acceptor that restarts therefore treats every remembered
@@ -30,7 +30,7 @@
 
 
 class RecoveryResponse(NamedTuple):
-    """What another acceptor says to one that lost its memory."""
+    """Another acceptor's response to one that lost its memory."""
 
     has_memory: bool
     highest_token: int
@@ -47,9 +47,9 @@
     incarnation
         The gateway incarnation that it was promised to.
     expires_at
-        On the acceptor's clock; nobody else gets the vote before.
+        When the vote expires, on the acceptor's clock; no other gateway gets the vote before.
     released
-        Whether that incarnation gave the vote back. It may not have the same token again.
+        Whether that incarnation released the vote. It can't get a vote for the same token again.
     """
 
     token: int = 0
@@ -63,7 +63,7 @@
         return Ballot(self.token, self.incarnation)
 
     def is_vacant(self, now: float) -> bool:
-        """Return whether another gateway may have the vote."""
+        """Return whether another gateway may get the vote."""
         return self.released or now >= self.expires_at
 
 
@@ -76,9 +76,9 @@
     Parameters
     ----------
     promise
-        The acceptor's present promise.
+        The acceptor's current promise.
     ballot
-        The vote that is asked for.
+        The requested ballot.
     now
         Time in seconds on the acceptor's clock.
     floor
@@ -97,7 +97,7 @@
 
 
 def release(promise: Promise, ballot: Ballot) -> Promise:
-    """Take a vote back from exactly the ballot it was given to, so that a late message releases nothing newer.
+    """Release the vote for exactly this ballot, so that a late message can't release a newer one.
 
     The same object is returned if nothing changes.
     """
@@ -114,12 +114,12 @@
 
 
 def recovered_floor(responses: Mapping[int, RecoveryResponse], acceptor_count: int) -> int | None:
-    """Return how high tokens may have risen, for an acceptor without memory.
+    """Return the highest token that may have been promised, for an acceptor without memory.
 
-    A token that counted was promised by a majority. Beside this acceptor that is one less than a majority, so any
-    majority of the others with memory contains one that promised it. If all the others have answered, that holds as
-    long as no majority lost its memory, and it lets the very first start of a fleet through. Ask only after a silence
-    of one lease: a ballot in which a forgotten vote counted is over then.
+    A token under which a role was held was promised by a majority. Without this acceptor that is at least a majority
+    less one, so a majority of acceptors with memory contains one that promised it. If all the others have answered,
+    that holds as long as no majority lost its memory, and it allows the first start of a fleet. The acceptor must
+    have been silent for one lease before: every ballot in which a forgotten vote counted is over then.
 
     Parameters
     ----------
--- a/fawnspool/leases/candidate.py
+++ b/fawnspool/leases/candidate.py
@@ -1,8 +1,8 @@
 """A candidate's proposal to hold one role: the votes it has, and until when they make it the holder.
 
 A vote counts from the moment of its request on the candidate's own clock, as the acceptor's lease began later. The
-two clocks may drift apart, so a vote that an acceptor promises for a lease of its seconds stands for a slightly
-shorter guaranteed time of the candidate's. A proposal holds while a majority of its votes stands.
+two clocks may drift apart, so a vote that is promised for one lease on the acceptor's clock is guaranteed for a
+slightly shorter time on the candidate's clock. A proposal holds while a majority of its votes stands.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def guaranteed_lease_s(lease_s: float, clock_drift: float) -> float:
-    """Return the seconds on the candidate's clock for which a vote stands, if each clock drifts at most so far."""
+    """Return the seconds on the candidate's clock for which a vote stands, given the bound on clock drift."""
     return lease_s * (1 - clock_drift) / (1 + clock_drift)
 
 
@@ -36,7 +36,7 @@
     votes: dict[int, float] = field(default_factory=dict)
 
     def with_vote(self, acceptor: int, requested_at: float) -> Proposal:
-        """Return the proposal with a vote added. Responses may be late or doubled: the latest request counts."""
+        """Return the proposal with a vote added. Responses may be late or duplicated: the latest request counts."""
         if requested_at <= self.votes.get(acceptor, NEVER):
             return self
         return Proposal(self.token, self.started_at, {**self.votes, acceptor: requested_at})
--- a/fawnspool/leases/candidate_directory.py
+++ b/fawnspool/leases/candidate_directory.py
@@ -1,4 +1,4 @@
-"""What an acceptor knows of the gateways that may be nominated to a role, from their messages."""
+"""An acceptor's knowledge, from messages, of the gateways that it may nominate for a role."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from fawnspool.leases.messages import Availability, LeaseMessage
 from fawnspool.leases.settings import LeaseSettings
 
-SAMPLE_SIZE = 8  # gateways compared for a nomination, whose work must not grow with the fleet
-MAX_MISSED = 4  # doublings of the rest of a gateway that did not follow nominations
+SAMPLE_SIZE = 8  # gateways compared for one nomination, so that its cost does not grow with the fleet
+MAX_MISSED = 4  # nominations missed in a row up to which the pause of a gateway doubles
 MAX_HEARTBEATS_MISSED = 3  # two messages in a row may be lost
 
 
 @dataclass(slots=True)
 class _Candidate:
-    """A gateway as this acceptor knows it; held counts the roles it reported and nominations since."""
+    """A gateway as this acceptor knows it; `held_count` is the roles that it reported and its nominations since."""
 
     last_heard_at: float
-    held: int = 0
+    held_count: int = 0
     is_available: bool = False
     incarnation: int = 0
     is_leaving: bool = False
-    missed: int = 0  # nominations in a row that it did not follow
-    resting_until: float = NEVER
+    missed_nominations: int = 0  # nominations in a row that the gateway did not follow
+    paused_until: float = NEVER
 
 
 class CandidateDirectory:
@@ -39,7 +39,7 @@
         self._counted_at = NEVER
 
     def record_message(self, now: float, sender: int, message: LeaseMessage) -> None:
-        """Note what a gateway says of itself."""
+        """Record what a gateway reports about itself."""
         candidate = self.candidates.get(sender)
         if candidate is None:
             candidate = self.candidates[sender] = _Candidate(now)
@@ -47,14 +47,14 @@
         if message.incarnation != candidate.incarnation:
             candidate.incarnation = message.incarnation
             candidate.is_leaving = False
-        # What it sent before that it leaves may arrive after it.
+        # A message sent before the gateway began to leave may arrive after its LEAVING message.
         candidate.is_leaving |= message.availability == Availability.LEAVING
         candidate.last_heard_at = now
-        candidate.held = message.count
+        candidate.held_count = message.count
         candidate.is_available = message.availability == Availability.AVAILABLE and not candidate.is_leaving
 
     def available_count(self, now: float) -> int:
-        """Return the number of gateways that take roles, counted anew once a renewal interval."""
+        """Return the number of gateways that accept roles, recounted once per renewal interval."""
         if now - self._counted_at >= self.settings.renewal_interval_s:
             self._counted_at = now
             self._available = sum(
@@ -63,30 +63,30 @@
         return self._available
 
     def may_be_present(self, gateway_id: int, now: float) -> bool:
-        """Return whether a gateway is there as far as is known; one that was never heard of may be."""
+        """Return whether a gateway may be running; also true if no message from it has arrived yet."""
         candidate = self.candidates.get(gateway_id)
         return candidate is None or (not candidate.is_leaving and self._is_fresh(candidate, now))
 
     def record_nomination(self, gateway_id: int) -> None:
-        """Count a nomination as a role until the gateway says what it holds."""
-        self.candidates[gateway_id].held += 1
+        """Count a nomination as a held role until the gateway reports its own count."""
+        self.candidates[gateway_id].held_count += 1
 
     def record_followed(self, gateway_id: int) -> None:
-        """Note that a gateway followed its nomination."""
-        self.candidates[gateway_id].missed = 0
+        """Record that a gateway followed its nomination."""
+        self.candidates[gateway_id].missed_nominations = 0
 
     def record_missed(self, now: float, gateway_id: int) -> None:
-        """Let a gateway rest that did not follow its nomination, longer each time."""
+        """Pause nominations of a gateway that did not follow its last one, longer each time."""
         candidate = self.candidates.get(gateway_id)
         if candidate is not None:
-            candidate.missed = min(MAX_MISSED, candidate.missed + 1)
-            candidate.resting_until = now + self.settings.lease_s * 2.0 ** (candidate.missed - 1) / 2
+            candidate.missed_nominations = min(MAX_MISSED, candidate.missed_nominations + 1)
+            candidate.paused_until = now + self.settings.lease_s * 2.0 ** (candidate.missed_nominations - 1) / 2
 
     def choose(self, now: float) -> int | None:
-        """Return, of some drawn gateways, the available one with the fewest roles; None if there is none."""
+        """Return the available gateway with the fewest roles in a random sample; None if there is none."""
         sample = self.known if len(self.known) <= SAMPLE_SIZE else self.random.sample(self.known, SAMPLE_SIZE)
         eligible = [
-            (self.candidates[gateway_id].held, self.random.random(), gateway_id)
+            (self.candidates[gateway_id].held_count, self.random.random(), gateway_id)
             for gateway_id in sample
             if self._is_eligible(self.candidates[gateway_id], now)
         ]
@@ -96,8 +96,8 @@
         return (
             candidate.is_available
             and self._is_fresh(candidate, now)
-            and now >= candidate.resting_until
-            and candidate.held < self.settings.max_held_roles
+            and now >= candidate.paused_until
+            and candidate.held_count < self.settings.max_held_roles
         )
 
     def _is_fresh(self, candidate: _Candidate, now: float) -> bool:
--- a/fawnspool/leases/drain.py
+++ b/fawnspool/leases/drain.py
@@ -1,8 +1,8 @@
 """Decisions of the gateway that drains one partition of the extents.
 
-Which extents belong to a partition follows from their names, and where they go from rendezvous hashing, so a
-successor continues where its predecessor stopped without being told. Each partition uses an even part of the fleet's
-rates, and rests while its gateway is busy.
+The partition of an extent follows from its name, and its target shard from rendezvous hashing, so a successor
+continues where its predecessor stopped without any message from it. Each partition uses an equal part of the fleet's
+rates, and pauses while its gateway is busy.
 """
 
 from __future__ import annotations
@@ -12,23 +12,24 @@
 
 import xxhash
 
-FIRST_BACKOFF_S = 0.2  # after the first failure of an extent; doubled with each
+FIRST_BACKOFF_S = 0.2  # after the first failure of an extent; doubled with each further one
 MAX_BACKOFF_S = 10.0
 MAX_BACKOFF_DOUBLINGS = 10
-BURST_S = 1.0  # of the rates that may be used at once: an even flow, so that a start is no surge
+BURST_S = 1.0  # of the rates may be used at once; short, so that a start causes no surge
 BUSY_WAIT_S = 0.05
-MIN_WAIT_S = 0.001  # a wait of nothing, by rounding, would be asked for over and over
+MIN_WAIT_S = 0.001  # a wait rounded to zero would be requested over and over
 
 
 def partition_of(volume: str, extent: str, partitions: int) -> int:
-    """Return the partition of an extent. It hashes extents and not volumes, so that many drain one large volume."""
+    """Return the partition of an extent; the extents of one large volume are spread over all partitions."""
     return xxhash.xxh3_64_intdigest(f"{volume}\0{extent}".encode()) % partitions
 
 
 def target_shard(volume: str, extent: str, shards: Iterable[int]) -> int | None:
     """Return the shard that an extent moves to, by rendezvous hashing; None if there is no shard.
 
-    It is the same on all gateways, evenly spread, and a shard that comes or goes changes only its own part.
+    All gateways choose the same shard, extents are spread evenly, and a shard that is added or removed changes the
+    target only of extents that move to it or from it.
     """
     return max(
         shards, key=lambda shard: xxhash.xxh3_64_intdigest(f"{shard}\0{volume}\0{extent}".encode()), default=None
@@ -37,14 +38,14 @@
 
 @dataclass
 class MoveRateLimiter:
-    """Token buckets of moves and of bytes, of one partition.
+    """Token buckets for the moves and the bytes of one partition.
 
     Parameters
     ----------
     moves_per_s, bytes_per_s
         Rates of the two buckets.
     max_in_flight
-        Requests in flight on the gateway from which on no move begins.
+        Number of requests in flight on the gateway at which no move begins.
     """
 
     moves_per_s: float
@@ -54,7 +55,7 @@
     refilled_at: float | None = None
 
     def wait_s(self, now: float, size: int, in_flight: int) -> float:
-        """Return the seconds until a move of `size` bytes may begin; 0 starts it, and charges the buckets.
+        """Return the seconds until a move of `size` bytes may begin; if 0, the buckets have been charged.
 
         A move larger than a burst waits for a full bucket and leaves it below zero.
         """
@@ -85,13 +86,13 @@
 class RetrySchedule:
     """Extents whose move failed, each with its backoff while others are moved.
 
-    It is bounded: beyond `MAX_EXTENTS` the oldest is tried as if it were new.
+    Beyond `MAX_EXTENTS`, the oldest entry is dropped: that extent is tried as if it had not failed.
     """
 
     MAX_EXTENTS = 4096
 
     def __init__(self) -> None:
-        self.failures: dict[tuple[str, str], tuple[int, float]] = {}  # number of failures, when to retry
+        self.failures: dict[tuple[str, str], tuple[int, float]] = {}  # number of failures, time of the retry
 
     def is_due(self, now: float, extent: tuple[str, str]) -> bool:
         """Return whether the extent may be tried now."""
--- a/fawnspool/leases/fencing.py
+++ b/fawnspool/leases/fencing.py
@@ -1,44 +1,44 @@
-"""Fencing where effects happen: a node or the map service takes a step of a role only under the newest token it knows.
+"""Fencing at nodes and the map service: each accepts a step of a role only under the newest token that it has seen.
 
-A lease alone is never the safety, as a holder may be stopped between its look at the clock and its step. A place that
-has seen no step under a newer token still takes an older one. A new holder therefore shows its token to every place
-that it will touch, and touches none that has not taken it. Two incarnations with one token can only come of acceptors
-that forgot or differ; then the first incarnation that a place saw has it there.
+A lease alone is not safe, as a holder may be stopped between its check of the clock and its step. A service that has
+seen no newer token still accepts an older one. A new holder therefore shows its token to every service that it will
+change, and sends no step to one that has not accepted the token. Two incarnations get the same token only if acceptors
+lost their memory or have different settings; a service then accepts only the incarnation that it saw first.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MAX_ROLES = 4096  # that one place remembers: it may not forget any, so it takes no more
+MAX_ROLES = 4096  # remembered by one service: it must not forget any, so it rejects further ones
 
 
 class StaleTokenError(Exception):
-    """A place has seen a newer token, or another incarnation with the same one.
+    """The service has seen a newer token, or another incarnation with the same one.
 
     Attributes
     ----------
     role : str
         Name of the role.
     newest : int
-        The newest token that the place has seen.
+        The newest token that the service has seen.
     """
 
     def __init__(self, role: str, newest: int) -> None:
-        super().__init__(f"{role}: a newer holder has been here, with token {newest}")
+        super().__init__(f"stale token for role {role}: the newest token seen is {newest}")
         self.role = role
         self.newest = newest
 
 
 class TooManyRolesError(ValueError):
-    """A place can remember no further role."""
+    """The service can remember no further role."""
 
     def __init__(self) -> None:
-        super().__init__(f"over {MAX_ROLES} duties")
+        super().__init__(f"no further role can be fenced: the limit is {MAX_ROLES} roles")
 
 
 class Fence:
-    """The newest tokens that one place has seen.
+    """The newest tokens that one service has seen.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
                 self.newest[role] = (token, incarnation)
 
     def admit(self, role: str, token: int, incarnation: int) -> bool:
-        """Check a step's token and remember it.
+        """Check the token of a step and remember it.
 
         Returns
         -------
@@ -63,7 +63,7 @@
         Raises
         ------
         StaleTokenError
-            If a newer token, or another incarnation with this one, was here.
+            If a newer token, or another incarnation with this one, was seen here.
         TooManyRolesError
             If the role is new and no further one can be remembered.
         """
--- a/fawnspool/leases/inventory.py
+++ b/fawnspool/leases/inventory.py
@@ -1,6 +1,4 @@
-"""Comparison of what nodes hold with what the map says, for one partition of the extents. It reports and repairs
-nothing.
-"""
+"""Comparison of the extents that nodes hold with the extent map, for one partition; it repairs nothing."""
 
 from __future__ import annotations
 
@@ -9,21 +7,21 @@
 
 from fawnspool.leases.drain import partition_of
 
-MAX_EXAMPLES = 5  # named in a report
+MAX_EXAMPLES = 5  # extents named in a report
 
 
 @dataclass(frozen=True)
 class InventoryReport:
-    """Differences between the map and the nodes; of nodes that did not answer nothing is said.
+    """Differences between the map and the nodes; nodes that did not answer are left out of them.
 
     Parameters
     ----------
     compared
         Number of mapped extents in the partition.
     missing
-        Extents that the map has at a node that does not hold them.
+        Extents that the node named by the map does not hold.
     stray
-        Extents that a node holds and the map has elsewhere or not at all.
+        Extents that a node holds although the map names another node, or none.
     unreachable
         Shards whose node did not answer.
     """
--- a/fawnspool/leases/lease_holder.py
+++ b/fawnspool/leases/lease_holder.py
@@ -1,7 +1,7 @@
-"""One gateway's side of the leases: it follows nominations, requests votes, renews, and gives roles back.
+"""One gateway as candidate and lease holder: it follows nominations, requests votes, renews and releases roles.
 
-A gateway that takes no roles for now, or whose event loop runs late, gives back what it holds. A token is used by one
-claim of one incarnation, and never again once given back, so that a late message can't revive it.
+A gateway that accepts no roles for now, or whose event loop runs late, releases the roles that it holds. A token is
+used by one claim of one incarnation, and never again once released, so that a late message can't revive the claim.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from fawnspool.leases.settings import LeaseSettings
 
 SERIAL_BITS = 31
-MAX_REQUESTS = 256  # remembered by serial; older ones are longer ago than a lease
-MAX_LAGS_PER_LEASE = 2  # late wake-ups within a lease with which a gateway is too slow to hold anything
+MAX_REQUESTS = 256  # remembered by serial; older ones were sent more than a lease ago
+MAX_LAGS_PER_LEASE = 2  # late wake-ups within a lease at which a gateway is too slow to hold any role
 FIRST_HEARTBEAT_SPREAD = 0.25  # of the heartbeat interval
 HEARTBEAT_SPREAD = (0.8, 1.2)  # of the heartbeat interval
 RELEASE_REPEATS_PER_LEASE = 20
-MIN_RETRIES_PER_LEASE = 20  # of a candidate, whatever an acceptor has it wait
-RETRY_SLACKS_PER_LEASE = 100  # added to the wait that an acceptor names
+MIN_RETRIES_PER_LEASE = 20  # of a candidate, however long the wait that an acceptor reports
+RETRY_SLACKS_PER_LEASE = 100  # one slack is added to the wait that an acceptor reports
 REBALANCES_PER_LEASE = 4
-LAGS = "its loop lags"
-LEAVES = "ends"
+EVENT_LOOP_LAG = "its loop lags"
+SHUTDOWN = "ends"
 NOT_RENEWED = "not renewed"
 OUT_OF_REACH = "what it needs is out of reach"
 REBALANCED = "relieved"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """This gateway holds the role from now on; where it did already, under a higher token."""
+    """This gateway holds the role from now on or, if it held the role before, holds it under a higher token."""
 
     role: int
     token: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """This gateway no longer holds the role, and its work must end at once; reason: for log and metrics."""
+    """This gateway no longer holds the role, and its work must end at once; `reason` is for logs and metrics."""
 
     role: int
     token: int
@@ -69,14 +69,14 @@
 
 
 class LeaseHolder:
-    """Candidate and holder of one gateway.
+    """The candidate and lease holder of one gateway.
 
-    `events` collects what happened, in order; whoever reads it empties it.
+    `events` collects acquired and lost leases in order; its reader empties it.
 
     Parameters
     ----------
     member
-        This life of this gateway.
+        This incarnation of this gateway.
     now
         Time in seconds; only differences count.
     """
@@ -90,22 +90,22 @@
         self.events: list[LeaseEvent] = []
         self.claims: dict[int, RoleClaim] = {}
         self.backoff = CandidacyBackoff(settings.lease_s)
-        self.foreign_messages = 0  # from gateways whose settings differ, or that are no acceptors
-        self._highest_tokens: dict[int, int] = {}  # heard of, by role
+        self.foreign_messages = 0  # from gateways whose settings differ, or that are not acceptors
+        self._highest_tokens: dict[int, int] = {}  # seen in messages, by role
         self._serial = self.random.getrandbits(SERIAL_BITS)
-        self._requests: dict[int, float] = {}  # serial to when it was sent
+        self._requests: dict[int, float] = {}  # serial to the time when it was sent
         self._next_heartbeat = now + self.random.random() * settings.heartbeat_interval_s * FIRST_HEARTBEAT_SPREAD
         self._next_renewal = now
-        self._available_counts: dict[int, tuple[float, int]] = {}  # acceptor: when it said how many take roles
+        self._available_counts: dict[int, tuple[float, int]] = {}  # by acceptor: time and number of available gateways
         self._rebalanced_at = now
         self._lags: list[float] = []
         self._pending_releases: list[_PendingRelease] = []
-        self._reached_at: dict[tuple[int, str], float] = {}  # by role and what it needs
+        self._reached_at: dict[tuple[int, str], float] = {}  # by role and dependency
 
-    # ------------------------------------------------------------ what it holds
+    # ------------------------------------------------------------ held roles
 
     def remaining_s(self, now: float, role: int, token: int) -> float:
-        """Return the seconds in which a step under this token may still be begun; 0 or less if none may."""
+        """Return the seconds during which a step under this token may still begin; 0 or less if none may."""
         claim = self.claims.get(role)
         if claim is None or not claim.is_holding or claim.proposal.token != token:
             return 0.0
@@ -121,7 +121,7 @@
         return NEVER if claim is None else claim.held_until(self.settings)
 
     def is_available(self, now: float) -> bool:
-        """Return whether the gateway takes roles at all now, however many it holds."""
+        """Return whether the gateway accepts roles now, regardless of how many it holds."""
         return self.accepts_roles and not self.is_leaving and self.backoff.is_over(now)
 
     def _accepts_nomination(self, now: float) -> bool:
@@ -137,7 +137,7 @@
         if message.type is LeaseMessageType.NOMINATION:
             return self._follow_nomination(now, message)
         if message.type is LeaseMessageType.VOTE_RESPONSE:
-            return self._take_response(now, sender, message)
+            return self._handle_response(now, sender, message)
         return []
 
     def _follow_nomination(self, now: float, message: LeaseMessage) -> list[LeaseAction]:
@@ -146,17 +146,17 @@
             is_known_role = entry.role < len(self.settings.role_names)
             if not is_known_role or entry.role in self.claims or not self._accepts_nomination(now):
                 continue
-            self._note_token(entry.role, entry.token)
-            token = self._raise_token(entry.role)
+            self._record_token(entry.role, entry.token)
+            token = self._next_token(entry.role)
             self.claims[entry.role] = RoleClaim(Proposal(token, now), now)
             requests.append(BallotEntry(entry.role, token))
         return self._request_votes(now, requests)
 
-    def _note_token(self, role: int, token: int) -> None:
+    def _record_token(self, role: int, token: int) -> None:
         self._highest_tokens[role] = max(self._highest_tokens.get(role, 0), token)
 
-    def _raise_token(self, role: int) -> int:
-        """Return a token above all that were heard of; the highest that there is can't be outbid."""
+    def _next_token(self, role: int) -> int:
+        """Return a token above all seen for the role; `MAX_TOKEN` can't be exceeded."""
         self._highest_tokens[role] = min(self._highest_tokens.get(role, 0) + 1, MAX_TOKEN)
         return self._highest_tokens[role]
 
@@ -171,10 +171,10 @@
         return actions
 
     def _send_to_all(
-        self, now: float, kind: LeaseMessageType, entries: tuple[BallotEntry, ...] = (), serial: int = 0
+        self, now: float, message_type: LeaseMessageType, entries: tuple[BallotEntry, ...] = (), serial: int = 0
     ) -> list[LeaseAction]:
         message = LeaseMessage(
-            kind,
+            message_type,
             self.settings.fingerprint,
             self.incarnation,
             serial,
@@ -189,7 +189,7 @@
             return Availability.LEAVING
         return Availability.AVAILABLE if self._accepts_nomination(now) else Availability.UNAVAILABLE
 
-    def _take_response(self, now: float, acceptor: int, message: LeaseMessage) -> list[LeaseAction]:
+    def _handle_response(self, now: float, acceptor: int, message: LeaseMessage) -> list[LeaseAction]:
         requested_at = self._requests.get(message.serial)
         if requested_at is None or message.incarnation != self.incarnation:
             return []
@@ -197,51 +197,53 @@
         released: list[BallotEntry] = []
         for entry in message.entries:
             if entry.role < len(self.settings.role_names):
-                self._note_token(entry.role, entry.token)
-                released += self._take_verdict(now, acceptor, requested_at, entry)
+                self._record_token(entry.role, entry.token)
+                released += self._handle_verdict(now, acceptor, requested_at, entry)
         return self._send_releases(now, released)
 
-    def _take_verdict(self, now: float, acceptor: int, requested_at: float, entry: BallotEntry) -> list[BallotEntry]:
-        """Handle the answer for one role; return votes to be given back."""
+    def _handle_verdict(self, now: float, acceptor: int, requested_at: float, entry: BallotEntry) -> list[BallotEntry]:
+        """Handle the verdict for one role; return votes to be released."""
         claim = self.claims.get(entry.role)
         is_granted = entry.verdict == BallotVerdict.GRANTED
         if claim is None or requested_at < claim.started_at:
             if is_granted and (claim is None or entry.token != claim.proposal.token):
-                return [BallotEntry(entry.role, entry.token)]  # a vote for an ended claim: nobody must wait for it
+                return [BallotEntry(entry.role, entry.token)]  # the claim has ended; others must not wait for its vote
             return []
         claim.responded.add(acceptor)
         if is_granted:
-            self._take_grant(now, acceptor, requested_at, entry, claim)
+            self._handle_grant(now, acceptor, requested_at, entry, claim)
             return []
         if claim.is_holding:
             if entry.verdict == BallotVerdict.REJECTED:
                 claim.record_outbid(entry)
             return []
-        return self._take_rejection(now, acceptor, entry, claim)
+        return self._handle_rejection(now, acceptor, entry, claim)
 
-    def _take_grant(self, now: float, acceptor: int, requested_at: float, entry: BallotEntry, claim: RoleClaim) -> None:
+    def _handle_grant(
+        self, now: float, acceptor: int, requested_at: float, entry: BallotEntry, claim: RoleClaim
+    ) -> None:
         if claim.record_grant(now, acceptor, requested_at, entry.token, self.settings):
             self.events.append(LeaseAcquired(entry.role, claim.proposal.token))
         if claim.try_promote(now, self.settings):
             self.backoff.record_answered()
             self.events.append(LeaseAcquired(entry.role, claim.proposal.token))
 
-    def _take_rejection(self, now: float, acceptor: int, entry: BallotEntry, claim: RoleClaim) -> list[BallotEntry]:
-        """Have a candidate ask again soon above the promised token, or give up where a majority votes for others."""
+    def _handle_rejection(self, now: float, acceptor: int, entry: BallotEntry, claim: RoleClaim) -> list[BallotEntry]:
+        """Schedule a retry above the promised token, or end the claim if it can get no majority."""
         if claim.record_rejection(acceptor, entry, self.settings):
-            return self._drop(now, entry.role, "")
+            return self._end_claim(now, entry.role, "")
         if entry.token >= claim.proposal.token:
-            claim.proposal = Proposal(self._raise_token(entry.role), now)
-        # The role may be free sooner than that acceptor knows, as a release is on its way.
+            claim.proposal = Proposal(self._next_token(entry.role), now)
+        # The role may become free sooner than that acceptor knows, as a release may be on its way.
         lease_s = self.settings.lease_s
         wait_s = min(entry.wait_s + lease_s / RETRY_SLACKS_PER_LEASE, lease_s / MIN_RETRIES_PER_LEASE)
         claim.retry_at = min(claim.retry_at, now + wait_s)
         return []
 
-    # ------------------------------------------------------------ giving back
+    # ------------------------------------------------------------ releases
 
-    def _drop(self, now: float, role: int, reason: str) -> list[BallotEntry]:
-        """End a claim; return its votes, to be given back twice, as one message may be lost."""
+    def _end_claim(self, now: float, role: int, reason: str) -> list[BallotEntry]:
+        """End a claim; return its votes, whose release is sent twice as one message may be lost."""
         claim = self.claims.pop(role)
         self._reached_at = {key: at for key, at in self._reached_at.items() if key[0] != role}
         if claim.is_holding:
@@ -250,9 +252,9 @@
         self._pending_releases += [_PendingRelease(repeat_at, role, token) for token in claim.tokens()]
         return [BallotEntry(role, token, int(claim.is_holding)) for token in claim.tokens()]
 
-    def _drop_all(self, now: float, reason: str) -> list[LeaseAction]:
+    def _end_all_claims(self, now: float, reason: str) -> list[LeaseAction]:
         return self._send_releases(
-            now, [entry for role in list(self.claims) for entry in self._drop(now, role, reason)]
+            now, [entry for role in list(self.claims) for entry in self._end_claim(now, role, reason)]
         )
 
     def _send_releases(self, now: float, entries: list[BallotEntry]) -> list[LeaseAction]:
@@ -263,15 +265,15 @@
         ]
 
     def release(self, now: float, role: int, reason: str) -> list[LeaseAction]:
-        """Give a role back; its event must be handled, and work have ended, before the messages are sent."""
+        """Release a role; its event must be handled, and its work ended, before the messages are sent."""
         if role not in self.claims:
             return []
-        return self._send_releases(now, self._drop(now, role, reason))
+        return self._send_releases(now, self._end_claim(now, role, reason))
 
-    def leave(self, now: float, reason: str = LEAVES) -> list[LeaseAction]:
-        """Give all roles back and take no more."""
+    def leave(self, now: float, reason: str = SHUTDOWN) -> list[LeaseAction]:
+        """Release all roles and accept no more."""
         self.is_leaving = True
-        return self._drop_all(now, reason)
+        return self._end_all_claims(now, reason)
 
     def repeat_releases(self, now: float) -> list[LeaseAction]:
         """Send the latest releases once more, before the process ends."""
@@ -280,12 +282,12 @@
         return self._send_releases(now, repeated)
 
     def release_unusable(self, now: float, role: int, reason: str) -> list[LeaseAction]:
-        """Give back a role whose work can't be done here, and take none for a while."""
+        """Release a role whose work can't be done here, and accept none for a while."""
         self.backoff.record_unusable(now)
         return self.release(now, role, reason)
 
     def record_reachability(self, now: float, role: int, dependency: str, is_reachable: bool) -> list[LeaseAction]:
-        """Note whether something that a role needs was within reach; after a lease without it give the role back."""
+        """Record whether a dependency of a role was reachable; after a lease without it, release the role."""
         if is_reachable:
             self.backoff.record_usable()
             self._reached_at[role, dependency] = now
@@ -299,12 +301,12 @@
         return self.release_unusable(now, role, OUT_OF_REACH)
 
     def record_stale_token(self, now: float, role: int, newest_token: int) -> list[LeaseAction]:
-        """Give back a role of which a place has seen a newer token, whatever the clock says."""
-        self._note_token(role, newest_token)
+        """Release a role for which a service has seen a newer token, even before the end of the lease."""
+        self._record_token(role, newest_token)
         return self.release(now, role, STALE_TOKEN)
 
     def record_lag(self, now: float, lag_s: float) -> list[LeaseAction]:
-        """Note a late wake-up of the event loop; several within a lease mean that no lease can be kept."""
+        """Record a late wake-up of the event loop; release all roles after several within a lease."""
         if lag_s <= self.settings.margin_s:
             return []
         self._lags = [*(at for at in self._lags if now - at < self.settings.lease_s), now]
@@ -312,12 +314,12 @@
             return []
         self._lags = []
         self.backoff.record_lagging(now)
-        return self._drop_all(now, LAGS)
+        return self._end_all_claims(now, EVENT_LOOP_LAG)
 
     # ------------------------------------------------------------ time
 
     def next_deadline(self) -> float:
-        """Return when `tick` must be called."""
+        """Return the time at which `tick` must be called."""
         deadlines = [self._next_heartbeat, *(pending.repeat_at for pending in self._pending_releases)]
         if self.claims:
             deadlines.append(self._next_renewal)
@@ -325,7 +327,7 @@
         return min(deadlines)
 
     def tick(self, now: float) -> list[LeaseAction]:
-        """Do what is due: end leases that are over, retry, renew and send heartbeats."""
+        """Do what is due: end claims that are over, rebalance, retry, renew and send heartbeats."""
         return [
             *self._end_expired(now),
             *self._rebalance(now),
@@ -335,11 +337,11 @@
         ]
 
     def _end_expired(self, now: float) -> list[LeaseAction]:
-        """Drop the claims that are over; with none, repeat the releases that are due."""
+        """End the claims that are over; if this releases nothing, repeat the releases that are due."""
         expired = [role for role, claim in self.claims.items() if claim.is_over(now, self.settings)]
         if any(self._was_unanswered(self.claims[role]) for role in expired) and self.backoff.record_unanswered(now):
-            self._next_heartbeat = now  # it may be heard all the same, so it says that it takes nothing
-        released = [entry for role in expired for entry in self._drop(now, role, NOT_RENEWED)]
+            self._next_heartbeat = now  # acceptors may still receive its messages: report that it accepts no roles
+        released = [entry for role in expired for entry in self._end_claim(now, role, NOT_RENEWED)]
         if released:
             return self._send_releases(now, released)
         repeated = [
@@ -366,7 +368,7 @@
             if not claim.is_holding:
                 continue
             if claim.needs_higher_token(now, self.settings):
-                claim.successor = Proposal(self._raise_token(role), now)
+                claim.successor = Proposal(self._next_token(role), now)
             renewals.append(BallotEntry(role, claim.renewal_token(), 1))
         return self._request_votes(now, renewals)
 
@@ -377,18 +379,18 @@
         return self._send_to_all(now, LeaseMessageType.HEARTBEAT)
 
     def _rebalance(self, now: float) -> list[LeaseAction]:
-        """Give one role back if this gateway holds more than its part by more than one.
+        """Release one role if this gateway holds at least two more than its equal part.
 
-        Its part follows from what a majority of acceptors says of who takes roles. One at a time, so that the effect
-        is seen before the next.
+        The part follows from the numbers of available gateways that a majority of acceptors reported. Roles are
+        released one at a time, so that the effect of one release shows before the next.
         """
         settings = self.settings
-        recent = sorted(count for at, count in self._available_counts.values() if now - at <= settings.lease_s)
-        if len(recent) < settings.quorum or now - self._rebalanced_at < settings.lease_s / REBALANCES_PER_LEASE:
+        recent_counts = sorted(count for at, count in self._available_counts.values() if now - at <= settings.lease_s)
+        if len(recent_counts) < settings.quorum or now - self._rebalanced_at < settings.lease_s / REBALANCES_PER_LEASE:
             return []
-        available = recent[len(recent) // 2]
+        available_count = recent_counts[len(recent_counts) // 2]
         held = [role for role, claim in self.claims.items() if claim.is_holding]
-        if not available or len(held) <= -(-len(settings.role_names) // available) + 1:
+        if not available_count or len(held) <= -(-len(settings.role_names) // available_count) + 1:
             return []
         self._rebalanced_at = now
         return self.release(now, self.random.choice(held), REBALANCED)
--- a/fawnspool/leases/messages.py
+++ b/fawnspool/leases/messages.py
@@ -5,18 +5,18 @@
 
     1 VOTE_REQUEST       candidate to acceptor   votes wanted: role, token, verdict: 1 if it holds the role already.
                                                  count: roles held, availability: of this gateway for roles
-    2 VOTE_RESPONSE      acceptor to candidate   to the request of that serial: verdict, the token promised, for how
-                                                 long others wait. count: gateways that are there and take roles
-    3 RELEASE            holder to acceptor      gives votes back: role, token, verdict: 1 if it held the role.
+    2 VOTE_RESPONSE      acceptor to candidate   to the request of that serial: verdict, the token promised, the wait
+                                                 for others. count: running gateways that accept roles
+    3 RELEASE            holder to acceptor      releases votes: role, token, verdict: 1 if it held the role.
                                                  count, availability as in VOTE_REQUEST
-    4 HEARTBEAT          gateway to acceptor     it is there; count, availability as in VOTE_REQUEST
-    5 NOMINATION         acceptor to gateway     nobody holds these: ask for them. token: the highest promised
-    6 RECOVERY_REQUEST   acceptor to acceptor    how high have tokens risen? (by one that lost its memory)
+    4 HEARTBEAT          gateway to acceptor     the gateway is running; count, availability as in VOTE_REQUEST
+    5 NOMINATION         acceptor to gateway     vacant roles to become a candidate for; token: the highest promised
+    6 RECOVERY_REQUEST   acceptor to acceptor    asks for the highest token; sent after the loss of the memory
     7 RECOVERY_RESPONSE  acceptor to acceptor    to the request of that serial. count: 1 if it has its memory; one
                                                  entry, its token the highest
 
-Responses carry the incarnation of the gateway that asked, so that no other incarnation takes them for its own. The
-leading byte tells these bodies from the scheduler's own (1, 2). What can't be decoded is counted and dropped.
+Responses carry the incarnation of the gateway that asked, so that its other incarnations ignore them. The leading byte
+distinguishes these bodies from those of the scheduler (1, 2). A body that can't be decoded is counted and dropped.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from enum import IntEnum
 
 LEADING_BYTE = 0xD0
-MAX_ENTRIES = 17  # of one body
+MAX_ENTRIES = 17  # in one body
 MAX_WAIT_MS = 65_535
 MAX_TOKEN = (1 << 64) - 1
 _MAX_U16 = 0xFFFF
@@ -59,22 +59,22 @@
 
 
 class LeaseMessageError(Exception):
-    """A datagram body is no lease message."""
+    """The datagram body is not a lease message."""
 
     @classmethod
     def of_length(cls, size: int) -> LeaseMessageError:
         """Return the error for a body of a length that no message has."""
-        return cls(f"{size} bytes")
+        return cls(f"a lease message can't have a body of {size} bytes")
 
     @classmethod
     def of_type(cls, message_type: int, leading_byte: int) -> LeaseMessageError:
         """Return the error for an unknown leading byte or message type."""
-        return cls(f"kind {message_type} behind {leading_byte:#x}")
+        return cls(f"unknown message type {message_type} or leading byte {leading_byte:#x}")
 
 
 @dataclass(frozen=True, slots=True)
 class BallotEntry:
-    """What a message says about one role."""
+    """The part of a message about one role."""
 
     role: int
     token: int
@@ -127,7 +127,7 @@
     Raises
     ------
     LeaseMessageError
-        If the body is no lease message.
+        If the body is not a lease message.
     """
     entries_size = len(body) - _HEADER.size
     if entries_size < 0 or entries_size % _ENTRY.size or entries_size > MAX_ENTRIES * _ENTRY.size:
@@ -143,5 +143,5 @@
 
 
 def split_into_batches(entries: list[BallotEntry]) -> list[tuple[BallotEntry, ...]]:
-    """Divide entries among as few messages as hold them."""
+    """Split entries into as few batches as possible, one per message."""
     return [tuple(entries[start : start + MAX_ENTRIES]) for start in range(0, len(entries), MAX_ENTRIES)]
--- a/fawnspool/leases/nominator.py
+++ b/fawnspool/leases/nominator.py
@@ -1,7 +1,8 @@
 """Nomination: an acceptor that sees a role vacant asks one gateway to become its candidate.
 
-Candidates do not come by themselves. Acceptors take turns by role, so that two rarely nominate two gateways, and a
-fleet that returns after a partition has nothing to storm. Safety does not rest on any of it, only on the promises.
+A gateway becomes a candidate only when it is nominated, so a fleet that reconnects after a partition causes no storm of
+vote requests. Acceptors take turns for each role, so that two of them rarely nominate different gateways. Safety does
+not depend on nominations, only on promises.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from fawnspool.leases.messages import BallotEntry
 from fawnspool.leases.settings import LeaseSettings
 
-TURNS_PER_LEASE = 16  # the next acceptor nominates only where the one before it had no success
+TURNS_PER_LEASE = 16  # the next acceptor nominates only if the one before it had no success
 RECHECK_SPREAD = (0.8, 1.2)  # of the renewal interval
 
 
 class Nominator:
-    """One acceptor's schedule of looks at each role.
+    """One acceptor's schedule of checks of each role.
 
     Parameters
     ----------
@@ -38,8 +39,10 @@
         self.promises = promises
         self.directory = CandidateDirectory(settings, random)
         self.nominated: dict[int, int] = {}  # role to the gateway nominated last
-        self.held_elsewhere: dict[int, tuple[float, int]] = {}  # by others' votes: until when believed, incarnation
-        self.holders: dict[int, int] = {}  # role to the incarnation that said it holds the role
+        self.held_elsewhere: dict[
+            int, tuple[float, int]
+        ] = {}  # by other acceptors' votes: until when assumed, incarnation
+        self.holders: dict[int, int] = {}  # role to the incarnation that reported holding it
         self.vacant_since: dict[int, float] = {}
         self._checks: list[tuple[float, int]] = []  # a heap; rows that differ from `_next_check` are outdated
         self._next_check: dict[int, float] = {}
@@ -47,13 +50,13 @@
             self._schedule(role, self._vacant_at(role, now) + self._turn_delay(role, now))
 
     def next_check_at(self) -> float:
-        """Return when `nominate` must be called."""
+        """Return the time at which `nominate` must be called."""
         return self._checks[0][0] if self._checks else float("inf")
 
-    # ------------------------------------------------------------ what the acceptor sees
+    # ------------------------------------------------------------ observations
 
     def record_request(self, sender: int, entry: BallotEntry, incarnation: int) -> None:
-        """Note that a gateway asks for a vote."""
+        """Record that a gateway requests a vote."""
         if self.nominated.get(entry.role) == sender:
             del self.nominated[entry.role]
             self.directory.record_followed(sender)
@@ -61,15 +64,15 @@
             self.holders[entry.role] = incarnation
 
     def record_grant(self, role: int) -> None:
-        """Note that this acceptor gave its vote."""
+        """Record that this acceptor gave its vote."""
         self.vacant_since.pop(role, None)
 
     def record_held_elsewhere(self, now: float, role: int, incarnation: int) -> None:
-        """Note that a gateway holds the role by other acceptors' votes, so that nobody is nominated."""
+        """Record that a gateway holds the role by other acceptors' votes, so that none is nominated."""
         self.held_elsewhere[role] = (now + self.settings.lease_s, incarnation)
 
     def record_released_elsewhere(self, now: float, role: int, incarnation: int) -> None:
-        """Note that an incarnation gives up what it may have held by other acceptors' votes."""
+        """Record that an incarnation releases a role that it may have held by other acceptors' votes."""
         held = self.held_elsewhere.get(role)
         if held is None:
             return
@@ -79,10 +82,10 @@
             self._schedule(role, now + self._turn_delay(role, now))
 
     def record_release(self, now: float, entry: BallotEntry, ballot: Ballot) -> None:
-        """Note that this acceptor's vote was given back.
+        """Record that this acceptor's vote was released.
 
-        A holder's role is offered at once. A candidate gave up as another holds the role or came too: an early
-        nomination would only bring the next candidate.
+        If a holder released it, the role is nominated for at once. A candidate gives up because another gateway holds
+        the role or is a candidate too: an early nomination would only add one more candidate.
         """
         was_held = entry.is_held or self.holders.get(entry.role) == ballot.incarnation
         pause_s = 0.0 if was_held else self.settings.renewal_interval_s
@@ -91,7 +94,7 @@
     # ------------------------------------------------------------ time
 
     def nominate(self, now: float, floor: int) -> dict[int, list[BallotEntry]]:
-        """Look at the roles whose time has come; return nominations by gateway."""
+        """Check the roles that are due; return nominations by gateway."""
         nominations: dict[int, list[BallotEntry]] = {}
         while self._checks and self._checks[0][0] <= now:
             check_at, role = heappop(self._checks)
@@ -108,7 +111,10 @@
         return now if promise is None or promise.released else max(now, promise.expires_at)
 
     def _turn_delay(self, role: int, now: float) -> float:
-        """Return this acceptor's delay: the first one goes by role, those known to be away are passed over."""
+        """Return how long this acceptor waits for its turn.
+
+        The role determines which acceptor is first; acceptors known to be away are skipped.
+        """
         acceptors = self.settings.acceptors
         first = role % len(acceptors)
         turns_before = 0
@@ -119,19 +125,19 @@
         return turns_before * self.settings.lease_s / TURNS_PER_LEASE
 
     def _check(self, now: float, role: int, floor: int, nominations: dict[int, list[BallotEntry]]) -> float:
-        """Nominate a gateway if nobody holds the role; return when to look again."""
+        """Nominate a gateway if the role is vacant; return the time of the next check."""
         promise = self.promises.get(role, Promise())
         if not promise.is_vacant(now):
             self.vacant_since.pop(role, None)
             return promise.expires_at + self._turn_delay(role, now)
-        believed_until, _ = self.held_elsewhere.get(role, (NEVER, 0))
-        if believed_until > now:
+        held_until, _ = self.held_elsewhere.get(role, (NEVER, 0))
+        if held_until > now:
             self.vacant_since.pop(role, None)
-            return believed_until + self._turn_delay(role, now)
+            return held_until + self._turn_delay(role, now)
         self.vacant_since.setdefault(role, now)
-        missed = self.nominated.pop(role, None)
-        if missed is not None:
-            self.directory.record_missed(now, missed)
+        unfollowed = self.nominated.pop(role, None)
+        if unfollowed is not None:
+            self.directory.record_missed(now, unfollowed)
         candidate = self.directory.choose(now)
         if candidate is not None:
             self.nominated[role] = candidate
--- a/fawnspool/leases/recovery.py
+++ b/fawnspool/leases/recovery.py
@@ -1,6 +1,6 @@
-"""Recovery of an acceptor that lost its memory: a silence of one lease, then questions to the other acceptors.
+"""Recovery of an acceptor that lost its memory: a silence of one lease, then requests to the other acceptors.
 
-Votes of its earlier life may still stand for a lease, and so may a ballot in which they are counted.
+Votes of its earlier incarnation may still stand for a lease, and so may a ballot in which they count.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
     Parameters
     ----------
     serial
-        Drawn number that tells this recovery's responses from those to an earlier one.
+        Random number that distinguishes responses to this recovery from those to an earlier one.
     silent_until
-        When the silence ends.
+        End of the silence.
     """
 
     def __init__(self, settings: LeaseSettings, serial: int, silent_until: float) -> None:
@@ -30,18 +30,18 @@
         self.responses: dict[int, RecoveryResponse] = {}
 
     def next_request_at(self) -> float:
-        """Return when the other acceptors are to be asked (again)."""
+        """Return the time of the next request to the other acceptors."""
         return max(self.silent_until, self.requested_at + self.settings.renewal_interval_s)
 
     def start_request(self, now: float) -> bool:
-        """Return whether the other acceptors are to be asked now, and note that they are."""
+        """Return whether a request to the other acceptors is due; if so, record that it is sent now."""
         if now < self.next_request_at():
             return False
         self.requested_at = now
         return True
 
     def receive(self, sender: int, message: LeaseMessage) -> int | None:
-        """Take a response; return the floor once enough acceptors have answered."""
+        """Handle a response; return the floor once enough acceptors have answered."""
         if message.serial != self.serial or not message.entries:
             return None
         self.responses[sender] = RecoveryResponse(bool(message.count), message.entries[0].token)
--- a/fawnspool/leases/role_claim.py
+++ b/fawnspool/leases/role_claim.py
@@ -18,21 +18,21 @@
     Parameters
     ----------
     proposal
-        The votes under the present token.
+        The votes under the current token.
     started_at
-        When the gateway came for the role.
+        When the gateway became a candidate for the role.
     is_holding
-        Whether a majority has voted.
+        Whether a majority has voted for the claim, so that the gateway holds the role.
     retry_at
-        When a candidate asks again.
+        When the candidate requests votes again.
     rejected_by
         Acceptors that promised their vote to another gateway for longer than a renewal interval.
     successor
-        The same claim under a higher token, until a majority has granted that.
+        The same claim under a higher token, until a majority has granted that token.
     is_outbid
         Whether an acceptor whose vote is free has promised a higher token.
     responded
-        Acceptors that answered at all.
+        Acceptors that have answered.
     """
 
     proposal: Proposal
@@ -45,27 +45,27 @@
     responded: set[int] = field(default_factory=set)
 
     def expires_at(self, settings: LeaseSettings) -> float:
-        """Return until when a majority's votes stand; ``NEVER`` without a majority."""
+        """Return the time until which a majority of votes stands; ``NEVER`` without a majority."""
         return self.proposal.expires_at(settings.quorum, settings.guaranteed_lease_s)
 
     def held_until(self, settings: LeaseSettings) -> float:
-        """Return until when the role is held; ``NEVER`` if it is not."""
+        """Return the time until which the role is held; ``NEVER`` if it is not held."""
         return self.expires_at(settings) if self.is_holding else NEVER
 
     def tokens(self) -> list[int]:
-        """Return the tokens that votes may have been given for."""
+        """Return the tokens for which votes may have been given."""
         if self.successor is None:
             return [self.proposal.token]
         return [self.proposal.token, self.successor.token]
 
     def is_over(self, now: float, settings: LeaseSettings) -> bool:
-        """Return whether the lease has ended, or the candidacy has come to nothing."""
+        """Return whether the lease has ended, or the candidacy has failed."""
         if self.is_holding:
             return now >= self.expires_at(settings)
         return now >= self.started_at + settings.renewal_interval_s
 
     def next_deadline(self, settings: LeaseSettings) -> float:
-        """Return when it is over or asks again."""
+        """Return the time at which the claim is over or requests votes again."""
         if self.is_holding:
             return min(self.expires_at(settings), self.retry_at)
         return min(self.retry_at, self.started_at + settings.renewal_interval_s)
@@ -73,7 +73,7 @@
     # ------------------------------------------------------------ responses
 
     def record_grant(self, now: float, acceptor: int, requested_at: float, token: int, settings: LeaseSettings) -> bool:
-        """Count a vote; return whether the claim goes on under its successor's token now."""
+        """Count a vote; return whether the successor's token has just replaced the current one."""
         if token == self.proposal.token:
             self.proposal = self.proposal.with_vote(acceptor, requested_at)
             return False
@@ -81,7 +81,7 @@
             return False
         self.successor = self.successor.with_vote(acceptor, requested_at)
         successor_end = self.successor.expires_at(settings.quorum, settings.guaranteed_lease_s)
-        # A response may be read only after the process stood still: what it granted may be over by then.
+        # A stopped process may read a response late, when the granted lease is over already.
         if successor_end <= max(self.expires_at(settings), now):
             return False
         self.proposal = self.successor
@@ -90,7 +90,7 @@
         return True
 
     def try_promote(self, now: float, settings: LeaseSettings) -> bool:
-        """Make the candidate the holder once its majority stands long enough for a step; return whether it just did."""
+        """Make the candidate the holder if its votes stand long enough for a step; return whether it became one."""
         if self.is_holding or self.expires_at(settings) - settings.margin_s <= now:
             return False
         self.is_holding = True
@@ -98,11 +98,11 @@
         return True
 
     def record_outbid(self, entry: BallotEntry) -> None:
-        """Note an acceptor that can't vote for the present token any more, though its vote is free."""
+        """Record whether an acceptor with a free vote has promised a higher token than the current one."""
         self.is_outbid |= entry.token > self.proposal.token and not entry.wait_s
 
     def record_rejection(self, acceptor: int, entry: BallotEntry, settings: LeaseSettings) -> bool:
-        """Note a candidate's rejection; return whether too many acceptors have promised their votes for long."""
+        """Record a rejection; return whether long promises to others leave too few acceptors for a majority."""
         if entry.wait_s <= settings.renewal_interval_s:
             return False
         self.rejected_by.add(acceptor)
@@ -111,11 +111,11 @@
     def needs_higher_token(self, now: float, settings: LeaseSettings) -> bool:
         """Return whether a holder should ask for a higher token.
 
-        An acceptor that can't vote for the present one makes the hold end with the loss of another acceptor. It asks
-        once a lease at most, as two that outbid each other must not go on for ever.
+        If one acceptor can't vote for the current token, the loss of another acceptor may end the hold. The holder
+        requests a higher token at most once per lease, so that two gateways do not outbid each other forever.
         """
         return self.is_outbid and self.successor is None and now - self.proposal.started_at >= settings.lease_s
 
     def renewal_token(self) -> int:
-        """Return the token that a renewal asks for."""
+        """Return the token that a renewal requests."""
         return self.proposal.token if self.successor is None else self.successor.token
--- a/fawnspool/leases/settings.py
+++ b/fawnspool/leases/settings.py
@@ -1,7 +1,7 @@
 """Settings that all gateways must share for their lease ballots to count together.
 
 Majorities of two different sets of acceptors need not intersect. Every message therefore carries a fingerprint of
-the settings, and an acceptor answers nobody whose fingerprint differs.
+the settings, and an acceptor ignores messages with a different one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 MARGINS_PER_LEASE = 10
 RENEWALS_PER_LEASE = 4
 MIN_HEARTBEATS_PER_LEASE = 2
-MAX_HEARTBEATS_PER_SECOND = 20  # that one acceptor receives from the whole fleet
+MAX_HEARTBEATS_PER_SECOND = 20  # received by one acceptor from the whole fleet
 
 
 @dataclass(frozen=True)
@@ -29,9 +29,9 @@
     acceptors
         Numbers of the gateways that vote.
     lease_s
-        Seconds for which an acceptor promises its vote to nobody else.
+        Seconds for which an acceptor promises not to give its vote to another gateway.
     clock_drift
-        Bound on the error of each clock's rate, as a fraction.
+        Upper bound on the error of each clock's rate, as a fraction.
     role_kinds
         Name and number of partitions of each kind of role.
     max_held_roles
@@ -57,12 +57,12 @@
 
     @property
     def guaranteed_lease_s(self) -> float:
-        """Seconds on the candidate's clock for which a vote stands whatever the drift."""
+        """Seconds on the candidate's clock for which a vote stands, whatever the drift within its bound."""
         return guaranteed_lease_s(self.lease_s, self.clock_drift)
 
     @property
     def margin_s(self) -> float:
-        """Seconds before a lease's end in which no step is begun, as it must still be written and arrive."""
+        """Seconds before the end of a lease in which no step may begin, as a step takes time to be sent and arrive."""
         return self.lease_s / MARGINS_PER_LEASE
 
     @property
@@ -77,6 +77,6 @@
 
     @cached_property
     def fingerprint(self) -> int:
-        """Checksum of the settings that must agree. It stands in messages and stored votes, so its form is fixed."""
+        """Checksum of the settings that must agree; messages and stored votes contain it, so its form is fixed."""
         agreed = (sorted(self.acceptors), self.gateway_count, self.lease_s, self.clock_drift, self.role_kinds)
         return zlib.crc32(repr(agreed).encode())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,7 +23,14 @@
 from fawnspool.leases.ballot import Ballot, BallotVerdict, Promise
 from fawnspool.leases.candidate import NEVER, Proposal, guaranteed_lease_s
 from fawnspool.leases.fencing import MAX_ROLES, Fence, StaleTokenError
-from fawnspool.leases.lease_holder import LAGS, NOT_RENEWED, OUT_OF_REACH, LeaseAcquired, LeaseHolder, LeaseLost
+from fawnspool.leases.lease_holder import (
+    EVENT_LOOP_LAG,
+    NOT_RENEWED,
+    OUT_OF_REACH,
+    LeaseAcquired,
+    LeaseHolder,
+    LeaseLost,
+)
 from fawnspool.leases.messages import (
     MAX_ENTRIES,
     BallotEntry,
@@ -332,7 +339,7 @@
     assert holder.record_lag(10.2, SETTINGS.margin_s / 2) == []
     assert holder.record_lag(10.3, 2 * SETTINGS.margin_s) == []
     assert holder.record_lag(10.4, 2 * SETTINGS.margin_s)
-    assert holder.events[-1] == LeaseLost(0, 7, LAGS) and LAGS == "its loop lags"
+    assert holder.events[-1] == LeaseLost(0, 7, EVENT_LOOP_LAG) and EVENT_LOOP_LAG == "its loop lags"
 
 
 def test_a_holder_that_reaches_nothing_for_a_lease_gives_up_and_takes_nothing(holder: LeaseHolder) -> None:
