--- a/fawnspool/gateway/acceptor_log.py
+++ b/fawnspool/gateway/acceptor_log.py
@@ -4,8 +4,8 @@
     floor, TOKEN                   the acceptor recovered its memory: tokens up to this one may have been promised
     vote, ROLE, TOKEN, INCARNATION
 
-A file that can't be read as a whole is not used: the acceptor is then one without memory, which stays silent until it
-has recovered (`leases/recovery.py`). A torn last row is that of a vote that was never announced.
+A file that can't be read as a whole is not used: the acceptor then has no memory and stays silent until it has
+recovered (`leases/recovery.py`). A torn last row is ignored, as its vote was never announced.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from fawnspool.records.frames import FrameReader, FrameWriter, RecordingError
 
 FILE_NAME = "votes.rec"
-MAX_OUTDATED_ROWS = 10_000  # beyond two a role; with more the file is rewritten at a start
+MAX_OUTDATED_ROWS = 10_000  # beyond two per role; with more rows the file is rewritten at a start
 FINGERPRINT_ROW = "mark"
 FLOOR_ROW = "floor"
 VOTE_ROW = "vote"
@@ -53,16 +53,16 @@
     Parameters
     ----------
     folder
-        Where the file lies; it is created.
+        Folder of the file; created if it does not exist.
     settings
-        Present lease settings. Votes under others count as a floor.
+        Current lease settings. Votes given under other settings count as a floor.
     sync
         Whether votes are forced to the disk.
 
     Attributes
     ----------
     memory : AcceptorMemory or None
-        What the file held at the start; None if there is no memory.
+        Content of the file at the start; None if there is no memory.
     missing_reason : str
         Why there is no memory.
 
@@ -83,7 +83,7 @@
 
     def _read(self) -> AcceptorMemory | None:
         if not self.path.exists():
-            self.missing_reason = "there is no file"
+            self.missing_reason = "the file does not exist"
             return None
         reader = FrameReader(self.path)
         stored = _StoredVotes()
@@ -94,10 +94,10 @@
             self.missing_reason = str(error)
             return None
         if stored.floor is None or stored.floor < 0 or (reader.torn and "cut short" not in reader.torn):
-            self.missing_reason = reader.torn or "it was never known how high tokens had come"
+            self.missing_reason = reader.torn or "the file has no valid row for the floor"
             return None
         if stored.fingerprint != self.settings.fingerprint:
-            # Roles may have other numbers now: the highest token of all of them counts for each.
+            # Role numbers may have changed: the highest token of all roles counts for each.
             floor = max([stored.floor, *(ballot.token for ballot in stored.votes.values())])
             return self._rewrite(AcceptorMemory({}, floor))
         memory = AcceptorMemory(stored.votes, stored.floor)
@@ -119,12 +119,12 @@
         return memory
 
     def persist(self, votes: PersistVotes) -> None:
-        """Write votes; they are on the disk when it returns.
+        """Write votes to the disk before returning.
 
         Raises
         ------
         OSError
-            If they could not be written; the file can then be read up to its last whole row.
+            If they could not be written; the file can then be read up to its last complete row.
         """
         try:
             self._append(votes)
@@ -152,7 +152,7 @@
         return self._writer
 
     def _discard_writer(self) -> None:
-        """Close without writing: the next row must not stand behind a torn one, which reopening cuts off."""
+        """Close without writing, so that reopening cuts off a torn row before the next row is written."""
         if self._writer is not None:
             os.close(self._writer.fd)
             self._writer.fd = -1
--- a/fawnspool/gateway/acceptor_runner.py
+++ b/fawnspool/gateway/acceptor_runner.py
@@ -1,7 +1,7 @@
-"""Carries out an acceptor's actions: votes go to disk before the messages behind them are sent.
+"""Carries out an acceptor's actions: votes are on disk before the messages after them are sent.
 
-Votes are written in the hub's threads by a greenlet of its own, so that a slow disk delays neither requests nor this
-gateway's own renewals. Where they can't be written, nothing behind them is sent: the vote was not given.
+A separate greenlet writes votes in the hub's thread pool, so that a slow disk delays neither requests nor this
+gateway's own renewals. If votes can't be written, the messages after them are not sent: those votes were not given.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
         self.votes.close()
 
     def receive(self, now: float, sender: int, message: LeaseMessage) -> None:
-        """Hand a message to the acceptor."""
+        """Pass a message to the acceptor."""
         self._enqueue(self.acceptor.receive(now, sender, message))
 
     def tick(self, now: float) -> None:
@@ -68,7 +68,7 @@
                     self._carry_out(action)
             except OSError as error:
                 self._record_disk_failure(error)
-            except Exception:  # the loop must outlive whatever one batch meets; nothing behind the fault is sent
+            except Exception:  # an error must not end the loop; the rest of the batch is not sent
                 self.log.error("acceptor_actions_failed", exc_info=True)
 
     def _carry_out(self, action: LeaseAction) -> None:
@@ -83,7 +83,10 @@
         if not self.acceptor.disk_failed:
             self.acceptor.disk_failed = True
             self.log.error(
-                "votes_not_persisted", error=str(error), effect="no votes are given", remedy="make room in head.data"
+                "votes_not_persisted",
+                error=str(error),
+                effect="no votes are given",
+                remedy="free disk space in head.data",
             )
 
     def _record_disk_success(self) -> None:
--- a/fawnspool/gateway/held_lease.py
+++ b/fawnspool/gateway/held_lease.py
@@ -1,4 +1,4 @@
-"""What the work of a role sees of its lease. Everything here looks at the clock anew."""
+"""A held lease as the work of its role sees it. Every call reads the clock anew."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class LeaseExpiredError(Exception):
-    """The role is not held any more, or its lease ends too soon for a step to be begun."""
+    """The role is no longer held, or its lease ends too soon for a step to begin."""
 
 
 class LeaseKeeper(Protocol):
-    """What a lease needs of the runner that holds it."""
+    """The interface of the runner that keeps a lease."""
 
     def remaining_s(self, role: int, token: int) -> float:
-        """Return the seconds in which a step under this token may still be begun."""
+        """Return the seconds during which a step under this token may still begin."""
 
     def stamp(self, lease: HeldLease) -> dict[str, Any]:
-        """Return what each step bears, for fencing."""
+        """Return the fencing fields that each step carries."""
 
     def record_reachability(self, role: int, dependency: str, is_reachable: bool) -> None:
-        """Note whether something that a role needs was within reach."""
+        """Record whether a dependency of a role was reachable."""
 
 
 @dataclass
 class HeldLease:
-    """One hold of one role, until it is lost.
+    """One role that this gateway holds, until the lease is lost.
 
     Parameters
     ----------
     role, name
         The role's number and name.
     kind
-        Settings of its kind.
+        Settings of the role's kind.
     partition
-        Which part of the kind's work it is.
+        The role's partition of the work of its kind.
     token
         The fencing token; it may rise while the role is held.
     greenlet
-        Runs the role's work.
+        The greenlet that runs the role's work.
     recorded_until
         The latest end of the lease that was written to the record.
     """
@@ -57,21 +57,21 @@
     recorded_until: float = 0.0
 
     def remaining_s(self) -> float:
-        """Return the seconds that a step may still take; 0 or less if none may be begun."""
+        """Return the seconds that a step may still take; 0 or less if none may begin."""
         return self.keeper.remaining_s(self.role, self.token)
 
     def check(self) -> None:
-        """Raise `LeaseExpiredError` if no step may be begun."""
+        """Raise `LeaseExpiredError` if no step may begin."""
         if self.remaining_s() <= 0:
             raise LeaseExpiredError(self.name)
 
     def stamp(self) -> dict[str, Any]:
-        """Return what a step bears; raise `LeaseExpiredError` if none may be begun."""
+        """Return the fencing fields of a step; raise `LeaseExpiredError` if none may begin."""
         self.check()
         return self.keeper.stamp(self)
 
     def record_reachability(self, dependency: str, is_reachable: bool) -> None:
-        """Note whether something that the role needs was within reach just now."""
+        """Record whether a dependency of the role was reachable just now."""
         self.keeper.record_reachability(self.role, dependency, is_reachable)
 
     def sleep(self, seconds: float) -> None:
--- a/fawnspool/gateway/lease_record.py
+++ b/fawnspool/gateway/lease_record.py
@@ -1,4 +1,4 @@
-"""The record of what a gateway held, for the judge of a drill. Times are on the machine's monotonic clock."""
+"""The record of a gateway's lease changes, for the judge of a drill. Times are on the machine's monotonic clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class LeaseChange:
-    """One row of the record; end: of the lease on the gateway's own clock."""
+    """One row of the record; `end` is the end of the lease on the gateway's own clock."""
 
     what: Literal["took", "lost", "until"]
     role: str
@@ -28,9 +28,9 @@
     Parameters
     ----------
     path
-        The file; empty for none.
+        The file; if empty, nothing is recorded.
     clock_rate
-        Of the gateway's own clock against the machine's.
+        Rate of the gateway's own clock relative to the machine's.
     """
 
     def __init__(self, path: str, member: LeaseMember, clock_rate: float) -> None:
@@ -56,7 +56,7 @@
             )
 
     def add_renewal(self, lease: HeldLease, end: float) -> None:
-        """Write a row if the lease ends later than was written."""
+        """Write a row if the lease ends later than the record says."""
         if self._writer is not None and end > lease.recorded_until:
             lease.recorded_until = end
             self.add(LeaseChange("until", lease.name, lease.token, end))
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -1,6 +1,6 @@
-"""Carries leases out: passes messages and time to the acceptor and the lease holder, and runs the work of held roles.
+"""Runs the lease protocol: passes messages and time to acceptor and lease holder, and runs the work of held roles.
 
-It chooses nothing. One greenlet owns both objects; messages come to it through a queue.
+It makes no decisions. One greenlet owns both objects and receives messages through a queue.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 from fawnspool.leases.settings import LeaseSettings
 from fawnspool.telemetry.logs import EventLogger
 
-MAX_INBOX = 4096  # datagrams that wait for their turn
+MAX_INBOX = 4096  # datagrams waiting to be handled; beyond that the oldest is dropped
 STEP_RETRY_S = 0.05  # after a step that raised
 RELEASE_PAUSE_S = 0.02  # after each of the two release messages
 WORK_KILL_TIMEOUT_S = 0.02
@@ -48,13 +48,13 @@
 
 
 def lease_settings(config: DutiesBlock, gateway_count: int) -> LeaseSettings:
-    """Return what all gateways agree on; numbers are passed on as written, as the fingerprint depends on them."""
+    """Return the settings that all gateways share; numbers stay as written, as the fingerprint depends on them."""
     kinds = tuple((block.name, block.shards) for block in config.duty)
     return LeaseSettings(gateway_count, tuple(config.voters), config.lease, config.drift, kinds, config.most)
 
 
 def draw_incarnation() -> int:
-    """Return the number of this life of the gateway: 63 random bits, never 0."""
+    """Return a random incarnation number of 63 bits, never 0."""
     return int.from_bytes(os.urandom(8), "big") >> 1 or 1
 
 
@@ -62,10 +62,10 @@
     """The work that this gateway can do."""
 
     by_kind: Mapping[str, Callable[[HeldLease], None]]
-    """What is done while a role of the kind is held; it may raise LeaseExpiredError or StaleTokenError."""
+    """Functions that work while a role of the kind is held; they may raise LeaseExpiredError or StaleTokenError."""
 
     def poll_operator_requests(self, runner: LeaseRunner) -> None:
-        """Run beside the work as long as the gateway does."""
+        """Poll operators' requests, concurrently with the work, for as long as the gateway runs."""
 
 
 class LeaseRunner:
@@ -76,7 +76,7 @@
     config
         The `duties` block of the settings.
     folder
-        Where the acceptor keeps its votes.
+        Folder in which the acceptor stores its votes.
     """
 
     def __init__(
@@ -107,7 +107,9 @@
         votes = AcceptorLog(folder, self.settings, self.config.sync)
         if votes.memory is None:
             self.log.warning(
-                "acceptor_memory_missing", reason=votes.missing_reason, effect="no votes are given until it recovers"
+                "acceptor_memory_missing",
+                reason=votes.missing_reason,
+                effect="no votes are given until the acceptor has recovered",
             )
         acceptor = Acceptor(self.settings, self.member, self.clock(), votes.memory)
         return AcceptorRunner(acceptor, votes, self._send, self.log)
@@ -117,7 +119,7 @@
         return time.monotonic() * self.config.clock_rate
 
     def start(self, work: RoleWork) -> None:
-        """Take part: vote, and hold roles of the kinds that `work` can do."""
+        """Start to vote, and to hold roles of the kinds that `work` can do."""
         self._work = work.by_kind
         self._channel.subscribe(self._enqueue)
         self._greenlets.append(gevent.spawn(self._run))
@@ -126,7 +128,7 @@
         self._greenlets.append(gevent.spawn(work.poll_operator_requests, self))
 
     def hand_over(self) -> None:
-        """Stop the work of all roles, then release every lease, each message sent twice as datagrams are lost."""
+        """Stop the work of all roles, then release every lease; each message is sent twice, as one may be lost."""
         if self.holder.is_leaving:
             return
         working = [lease.greenlet for lease in self.leases.values() if lease.greenlet is not None]
@@ -137,7 +139,7 @@
         gevent.sleep(RELEASE_PAUSE_S)
 
     def stop(self) -> None:
-        """Release every lease and end."""
+        """Release every lease and stop."""
         self.hand_over()
         gevent.killall(self._greenlets)
         if self.acceptor is not None:
@@ -159,7 +161,7 @@
                 self._channel.send(action.recipient, action.message)
 
     def _carry_out(self, actions: Sequence[LeaseAction]) -> None:
-        """End the work of lost roles, then send: whoever hears of a release may take the role at once."""
+        """End the work of lost roles before sending: another gateway may acquire a released role at once."""
         self._handle_events()
         self._send(actions)
 
@@ -173,7 +175,7 @@
             self._has_messages.clear()
             try:
                 self._step(None if has_messages else deadline)
-            except Exception:  # the loop must outlive whatever one step meets
+            except Exception:  # an error in one step must not end the loop
                 self.log.error("lease_step_failed", exc_info=True)
                 gevent.sleep(STEP_RETRY_S)
 
@@ -183,7 +185,7 @@
         return min(self.holder.next_deadline(), self.acceptor.acceptor.next_deadline())
 
     def _step(self, woken_at: float | None) -> None:
-        """Decide everything in order; it never yields between a look at the clock and what follows from it.
+        """Handle what is due, in order; never yields between reading the clock and acting on it.
 
         Parameters
         ----------
@@ -203,7 +205,7 @@
         self._log_pause(now)
 
     def _log_pause(self, now: float) -> None:
-        """Say once of each pause in which this gateway takes no roles why it began, and how long it lasts."""
+        """Log, once per pause in which this gateway accepts no roles, the reason and the length of the pause."""
         backoff = self.holder.backoff
         if backoff.reason is None or backoff.until <= max(now, self._logged_pause_until):
             return
@@ -211,7 +213,7 @@
         self.log.info("candidacy_paused", reason=backoff.reason.value, pause_s=round(backoff.until - now, 3))
 
     def _receive(self, now: float, sender: int, message: LeaseMessage) -> None:
-        """Handle one message; where that raises, it counts as lost."""
+        """Handle one message; if its handling raises, the message counts as lost."""
         try:
             if message.type in FOR_HOLDER:
                 self._carry_out(self.holder.receive(now, sender, message))
@@ -283,11 +285,11 @@
             self._carry_out(self.holder.release(self.clock(), lease.role, reason))
 
     def remaining_s(self, role: int, token: int) -> float:
-        """Return the machine's seconds in which a step under this token may still be begun."""
+        """Return the seconds, on the machine's clock, during which a step under this token may still begin."""
         return self.holder.remaining_s(self.clock(), role, token) / self.config.clock_rate
 
     def stamp(self, lease: HeldLease) -> dict[str, Any]:
-        """Return what each step bears, in the form of the nodes' and the map service's protocol."""
+        """Return the fencing fields of each step, as in the protocol of the nodes and the map service."""
         return {
             "duty": lease.name,
             "token": lease.token,
@@ -296,18 +298,18 @@
         }
 
     def record_reachability(self, role: int, dependency: str, is_reachable: bool) -> None:
-        """Note whether something that a role needs was within reach."""
+        """Record whether a dependency of a role was reachable."""
         self._carry_out(self.holder.record_reachability(self.clock(), role, dependency, is_reachable))
 
     def release(self, name: str) -> None:
-        """Give a role back as an operator asked for it."""
+        """Release a role at the request of an operator."""
         role = self.settings.role_names.index(name)
         self._carry_out(self.holder.release(self.clock(), role, RELEASED_BY_OPERATOR))
 
     # ------------------------------------------------------------ status
 
     def status(self) -> dict[str, Any]:
-        """Return what this gateway holds and, as an acceptor, what nobody holds as far as it knows."""
+        """Return the roles that this gateway holds and, on an acceptor, the roles that it sees vacant."""
         now = self.clock()
         return {
             "held": {
--- a/fawnspool/gateway/leased_work.py
+++ b/fawnspool/gateway/leased_work.py
@@ -1,4 +1,4 @@
-"""The kinds of work that roles do, by their names in the settings."""
+"""The work of each kind of role, by the name of the kind in the settings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LeasedWork:
-    """The work of one gateway; a `RoleWork` of its `LeaseRunner`."""
+    """The work that one gateway can do: the `RoleWork` of its `LeaseRunner`."""
 
     def __init__(self, context: RoleContext) -> None:
         self.context = context
--- a/fawnspool/gateway/peer_channel.py
+++ b/fawnspool/gateway/peer_channel.py
@@ -1,7 +1,7 @@
 """Typed messages of one subsystem over the gateways' peer socket.
 
-The leading byte of a datagram body tells whose it is. A body that can't be decoded is counted and dropped; one whose
-handler raises is logged and dropped.
+The leading byte of a datagram body identifies its subsystem. A body that can't be decoded is counted and dropped; if
+the handler of a message raises, that is logged and the message dropped.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class PeerCodec(Generic[MessageT]):
-    """How a subsystem's messages stand in datagrams; `decode` raises `malformed` for a body that is none of them."""
+    """The datagram format of a subsystem's messages; `decode` raises `malformed` for a body that is not one."""
 
     subsystem: str
     leading_byte: int
@@ -46,7 +46,7 @@
         self.malformed_count = 0
 
     def subscribe(self, handler: Callable[[int, MessageT], None]) -> None:
-        """Have each message handled as `handler(sender, message)`."""
+        """Call `handler(sender, message)` for each message."""
 
         def receive(sender: int, body: bytes) -> None:
             try:
@@ -59,7 +59,7 @@
                 return
             try:
                 handler(sender, message)
-            except Exception:  # the peer socket must outlive whatever one message meets
+            except Exception:  # an error in one handler must not end the peer socket
                 self.log.error("peer_message_failed", subsystem=self.codec.subsystem, sender=sender, exc_info=True)
 
         self.peers.subscribe(self.codec.leading_byte, receive)
--- a/fawnspool/gateway/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -1,10 +1,10 @@
 """Datagrams between gateways.
 
-A lost datagram stays lost, and one that comes twice is dropped, as what it carries must count once.
+A lost datagram is not sent again. A duplicate is dropped, as its content must count only once.
 
     datagram = b"FP1", u32 sender, u64 incarnation, u64 number, body (256 bytes at most)
 
-A body goes to the decision module, or to whoever has subscribed to its leading byte.
+A body goes to the decision module, or to the subscriber of its leading byte.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 SOCKET_RETRY_S = 0.05  # after an error of the socket itself
 _MAGIC = b"FP1"
 _HEADER = struct.Struct(">3sIQQ")
-_RECEIVE_BYTES = 2048  # more than any datagram of ours has, so that a longer one shows
+_RECEIVE_BYTES = 2048  # more than any valid datagram, so that a longer one is not read as a valid one
 
 MessageHandler = Callable[[int, bytes], None]
-"""Takes the sender's number and the body."""
+"""Called with the sender's number and the body."""
 
 
 class PeerSocket:
-    """This gateway's end of the datagrams, bound to `address` from the start.
+    """This gateway's datagram socket, bound to `address` from the start.
 
     Parameters
     ----------
     addresses
-        Of all gateways, by number.
+        Addresses of all gateways, by number.
     post
-        Takes the messages for the decision module.
+        Called with each message for the decision module.
     """
 
     def __init__(
@@ -63,23 +63,23 @@
         self.greenlet = gevent.spawn(self._receive_all)
 
     def subscribe(self, leading_byte: int, handler: MessageHandler) -> None:
-        """Pass bodies that begin with this byte to `handler`, and not to the module."""
+        """Pass bodies that begin with this byte to `handler`, and not to the decision module."""
         self.subscribers[leading_byte] = handler
 
     def send(self, gateway_id: int | None, body: bytes) -> None:
-        """Send to one gateway, or to every other (None)."""
+        """Send a body to one gateway by number, or to all others (None)."""
         self.last_number += 1
         header = _HEADER.pack(_MAGIC, self.gateway_id, self.incarnation, self.last_number)
         datagram = header + body[:MAX_BODY_BYTES]
-        for receiver, address in self.addresses.items():
-            if receiver != self.gateway_id and gateway_id in (None, receiver):
+        for recipient, address in self.addresses.items():
+            if recipient != self.gateway_id and gateway_id in (None, recipient):
                 try:
                     self.sock.sendto(datagram, address)
                 except OSError:
-                    continue  # a peer that is down: the datagram is lost
+                    continue  # the peer is down, and the datagram is lost
 
     def stop(self) -> None:
-        """End the receiver and close the socket."""
+        """Stop receiving and close the socket."""
         self.greenlet.kill()
         self.sock.close()
 
@@ -88,14 +88,14 @@
             try:
                 datagram, _ = self.sock.recvfrom(_RECEIVE_BYTES)
             except ConnectionError:
-                continue  # an earlier datagram found nobody listening
+                continue  # an earlier datagram was refused: its recipient was not listening
             except OSError:
                 self.log.error("peer_socket_failed", exc_info=True)
                 gevent.sleep(SOCKET_RETRY_S)
                 continue
             try:
                 self._receive(datagram)
-            except Exception:  # the socket must outlive whatever one datagram meets
+            except Exception:  # an error in one datagram must not end the loop
                 self.log.error("peer_datagram_failed", exc_info=True)
 
     def _receive(self, datagram: bytes) -> None:
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -1,7 +1,7 @@
-"""What the work of all roles shares: operators' requests, the map service, and this gateway's list of nodes.
+"""Shared context of the work of all roles: operators' requests, the map service, and this gateway's list of nodes.
 
-All that a successor needs is with the map and the nodes. Before its first step a holder shows its token to the map
-service, and to each node before a step there.
+The map service and the nodes store all that a successor needs. A holder shows its token to the map service before its
+first step, and to each node before a step there.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 POLL_INTERVAL_S = 1.0  # of operators' requests, for all roles of one gateway together
 POLLS_PER_LEASE = 2
 SHOW_TOKEN_RETRY_S = 0.2
-EXTENTS_PER_SLICE = 2000  # looked at before other greenlets get their turn
+EXTENTS_PER_SLICE = 2000  # examined before other greenlets may run
 MAP_SERVICE = "the map service"  # as a dependency of a role
-# Names of operators' requests, as the map service stores them.
+# Prefixes of the names of operators' requests, as the map service stores them.
 DRAIN = "drain/"
 PAUSE = "pause/"
 RELEASE = "release/"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class GatewayView:
-    """What work sees of its gateway: its nodes by number, and the number of requests in flight."""
+    """The part of a gateway that its work uses: its nodes by number, and the number of requests in flight."""
 
     nodes: Callable[[], dict[int, Any]]
     requests_in_flight: Callable[[], int]
@@ -57,7 +57,7 @@
         self.map_client = map_client
         self.view = view
         self.log = log
-        self._requests: OperatorRequests | None = None  # None: the map service does not say
+        self._requests: OperatorRequests | None = None  # None: the map service has not answered
 
     @property
     def call_timeout_s(self) -> float:
@@ -67,10 +67,10 @@
     # ------------------------------------------------------------ operators' requests
 
     def poll_operator_requests(self, runner: LeaseRunner) -> None:
-        """Poll what operators ask for, while this gateway holds any role.
+        """Poll operators' requests while this gateway holds any role.
 
-        It runs beside the work, so that a gateway that is cut off from the map service knows it however long its work
-        waits.
+        The polls run concurrently with the work, so that a gateway detects that it is cut off from the map service
+        even while its work is waiting.
         """
         lease_s = runner.settings.lease_s
         interval_s = min(POLL_INTERVAL_S, lease_s / POLLS_PER_LEASE)
@@ -81,7 +81,7 @@
                 continue
             try:
                 self._poll_once(runner)
-            except Exception:  # the polls must outlive whatever one of them meets
+            except Exception:  # an error in one poll must not end the polling
                 self.log.error("operator_requests_failed", exc_info=True)
             gevent.sleep(interval_s if self._requests is not None else interval_s / 8)
 
@@ -89,7 +89,7 @@
         self._requests = self._fetch_requests(runner.settings.lease_s / 4)
         for lease in list(runner.leases.values()):
             lease.record_reachability(MAP_SERVICE, self._requests is not None)
-            if self._is_to_be_released(lease):
+            if self._is_release_requested(lease):
                 runner.release(lease.name)
 
     def _fetch_requests(self, timeout_s: float) -> OperatorRequests | None:
@@ -98,7 +98,7 @@
         except MapServiceError:
             return None
 
-    def _is_to_be_released(self, lease: HeldLease) -> bool:
+    def _is_release_requested(self, lease: HeldLease) -> bool:
         if self._requests is None:
             return False
         last_token = self._requests.requests.get(RELEASE + lease.name)
@@ -116,12 +116,12 @@
     # ------------------------------------------------------------ map and nodes
 
     def show_token(self, lease: HeldLease, note: str) -> bool:
-        """Show the token, and how the work fares, to the map service; return whether it took it.
+        """Show the token, with a note on the work's progress, to the map service; return whether it was accepted.
 
         Raises
         ------
         StaleTokenError
-            If a newer holder was there.
+            If the map service has seen a newer holder.
         LeaseExpiredError
             If the lease is over.
         """
@@ -136,20 +136,18 @@
         return True
 
     def show_first_token(self, lease: HeldLease) -> None:
-        """Show the token to the map service until it is taken; to be called before the first step."""
+        """Show the token to the map service until it is accepted; must be called before the first step."""
         while not self.show_token(lease, ""):
             lease.sleep(SHOW_TOKEN_RETRY_S)
 
     def shard_addresses(self) -> dict[int, tuple[str, int]]:
         """Return the addresses, by shard, of the nodes that take work."""
         return {
-            known.shard: known.address
-            for known in self.view.nodes().values()
-            if known.phase is not interface.Phase.GONE
+            node.shard: node.address for node in self.view.nodes().values() if node.phase is not interface.Phase.GONE
         }
 
     def extents_of(self, lease: HeldLease) -> list[ExtentRecord]:
-        """Return the extents of a lease's partition as the gateway's map has them; others get their turn meanwhile."""
+        """Return the extents of a lease's partition in the gateway's map, yielding to other greenlets meanwhile."""
         extents = []
         for index, record in enumerate(self.directory.map.records()):
             if index % EXTENTS_PER_SLICE == EXTENTS_PER_SLICE - 1:
