--- a/tests/lease_model.py
+++ b/tests/lease_model.py
@@ -1,11 +1,11 @@
 """All interleavings of three acceptors and two candidates for one role, on the code that gateways run
 (`leases/ballot.py`, `candidate.py`).
 
-What was sent stays sent: a message may arrive at any later moment, as often as it likes, or never, so loss, doubling
-and delay need no steps of their own. A stopped process is a candidate or acceptor that does nothing for a while. Steps
-are: time, campaign, renewal, an arriving message, a release, an acceptor's restart with and without its disk, a
-candidate's restart, an effect that is sent and one that arrives. `python -m tests.lease_model` prints the states
-walked; `MISTAKES` are those that a walk must find.
+A sent message is kept: it may arrive at any later time, any number of times, or never, so loss, duplication and delay
+need no steps of their own. A stopped process is a candidate or acceptor that takes no step for a while. Steps are:
+time, campaign, renewal, an arriving message, a release, an acceptor's restart with and without its disk, a candidate's
+restart, an effect that is sent and one that arrives. `python -m tests.lease_model` prints the number of states walked;
+a walk must find each of the `MISTAKES`.
 
 Messages are tuples, as a walk holds millions of them:
 
@@ -34,7 +34,7 @@
 ACCEPTORS = range(3)
 ORDERS = tuple((order, {old: new for new, old in enumerate(order)}) for order in permutations(ACCEPTORS))
 TOO_MANY_STATES = "too many states"
-OLDER_AFTER_NEWER = -1  # as the newest effect
+OLDER_AFTER_NEWER = -1  # value of `newest_effect` after an effect under an older token
 
 Message = tuple[Any, ...]
 Votes = tuple[tuple[int, float], ...]  # acceptor, when its vote was requested
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules as they are; a mistake replaces one of them."""
+    """The rules of the lease protocol; a mistake replaces one of them."""
 
     vote: Callable[..., Any] = ballots.vote
     release: Callable[..., Any] = ballots.release
@@ -52,14 +52,14 @@
     persists_votes: bool = True  # before they are announced
     silence_s: float = LEASE_S  # of an acceptor without its memory
     counts_from_response: bool = False
-    heeds_end: bool = True  # a holder heeds its lease's end
-    fences: bool = True  # a place remembers the newest token
-    drops_released: bool = True  # a claim that is given up is not taken up again
+    stops_at_lease_end: bool = True  # a holder stops at the end of its lease
+    fences: bool = True  # the service where effects arrive remembers the newest token
+    drops_released_claim: bool = True  # a released claim is not continued
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How far a walk goes: the time, the tokens, and how often each step is taken at most."""
+    """Limits of a walk: the time, the tokens, and how often each step is taken at most."""
 
     time: int = 4
     tokens: int = 3
@@ -72,7 +72,7 @@
     effects: bool = True
 
 
-class Taken(NamedTuple):
+class StepCounts(NamedTuple):
     """How often each bounded step was taken."""
 
     campaigns: int = 0
@@ -84,8 +84,8 @@
 
 
 class AcceptorState(NamedTuple):
-    """responses: of the other acceptors to one without its memory, (sender, has its memory, highest token); None: it
-    has its memory and votes."""
+    """`responses` are those of the other acceptors to one without memory: (sender, has its memory, highest token). None
+    means that this acceptor has its memory and votes."""
 
     promise: Promise = Promise()
     floor: float = 0
@@ -94,7 +94,7 @@
 
 
 class Claim(NamedTuple):
-    """A candidate's or holder's claim; successor: a higher token that is asked for, 0: none."""
+    """A candidate's or holder's claim; `successor` is a higher token that is requested, 0 for none."""
 
     token: int
     votes: Votes = ()
@@ -108,13 +108,13 @@
 
 
 class State(NamedTuple):
-    """last_holder: token and incarnation; fence: the newest token of the place where effects arrive."""
+    """`last_holder` is token and incarnation; `fence` is the newest token at the service where effects arrive."""
 
     now: int = 0
     acceptors: tuple[AcceptorState, ...] = (AcceptorState(),) * 3
     candidates: tuple[Candidate, ...] = (Candidate(1), Candidate(2))
     messages: Any = frozenset()  # in the canonical form a sorted tuple
-    taken: Taken = Taken()
+    step_counts: StepCounts = StepCounts()
     last_holder: tuple[int, int] = (0, 0)
     fence: int = 0
     newest_effect: int = 0
@@ -130,7 +130,7 @@
         return self._replace(candidates=_replaced(self.candidates, index, candidate))
 
     def counted(self, step: str) -> State:
-        return self._replace(taken=self.taken._replace(**{step: getattr(self.taken, step) + 1}))
+        return self._replace(step_counts=self.step_counts._replace(**{step: getattr(self.step_counts, step) + 1}))
 
 
 def _replaced(rows: tuple[Any, ...], index: int, row: Any) -> tuple[Any, ...]:
@@ -145,14 +145,14 @@
     if claim is None:
         return False
     expires_at = _expires_at(rules, claim.votes)
-    return expires_at > now or (not rules.heeds_end and expires_at > NEVER)
+    return expires_at > now or (not rules.stops_at_lease_end and expires_at > NEVER)
 
 
 # ---------------------------------------------------------------- steps
 
 
 def steps(rules: Rules, bounds: Bounds, canonical: State) -> Iterator[State]:
-    """All states that follow a state."""
+    """Yield all states that follow a state."""
     state = canonical._replace(messages=frozenset(canonical.messages))
     if state.now < bounds.time:
         yield state._replace(now=state.now + 1)
@@ -173,15 +173,15 @@
 
 def _campaigns(rules: Rules, bounds: Bounds, state: State, index: int, candidate: Candidate) -> Iterator[State]:
     incarnation, claim = candidate
-    if state.taken.campaigns >= bounds.campaigns:
+    if state.step_counts.campaigns >= bounds.campaigns:
         return
     for token in range(1 if claim is None else claim.token + 1, bounds.tokens + 1):
         is_used = any(m[0] == "request" and m[2:4] == (token, incarnation) for m in state.messages)
         if is_used or (claim is not None and claim.successor):
-            continue  # a token is used once by an incarnation
+            continue  # an incarnation uses a token only once
         campaign = Claim(token)
         if claim is not None and holds(rules, state.now, claim):
-            # A holder goes on under its old token until the higher one has a majority.
+            # A holder keeps its old token until the higher one has a majority.
             campaign = Claim(claim.token, claim.votes, token)
         yield state.with_claim(index, campaign).send(*_requests(state, token, incarnation)).counted("campaigns")
 
@@ -192,32 +192,32 @@
     is_holding = holds(rules, state.now, claim)
     token = claim.successor or claim.token
     requests = _requests(state, token, incarnation)
-    if state.taken.renewals < bounds.renewals and is_holding and not requests <= state.messages:
+    if state.step_counts.renewals < bounds.renewals and is_holding and not requests <= state.messages:
         yield state.send(*requests).counted("renewals")
-    if state.taken.releases < bounds.releases:
+    if state.step_counts.releases < bounds.releases:
         releases = {
             ("release", acceptor, released, incarnation) for acceptor in ACCEPTORS for released in {claim.token, token}
         }
-        kept = None if rules.drops_released else claim
+        kept = None if rules.drops_released_claim else claim
         yield state.with_claim(index, kept).send(*releases).counted("releases")
-    if state.taken.lives < bounds.lives:
-        reborn = Candidate(incarnation + 10)
-        yield state._replace(candidates=_replaced(state.candidates, index, reborn)).counted("lives")
+    if state.step_counts.lives < bounds.lives:
+        restarted_candidate = Candidate(incarnation + 10)
+        yield state._replace(candidates=_replaced(state.candidates, index, restarted_candidate)).counted("lives")
     effect = ("effect", claim.token, incarnation)
     if bounds.effects and effect not in state.messages and is_holding:
         yield state.send(effect)
 
 
 def _restarts(rules: Rules, bounds: Bounds, state: State, index: int, acceptor: AcceptorState) -> Iterator[State]:
-    forgetful = AcceptorState(Promise(), 0, state.now + rules.silence_s, ())
-    if state.taken.restarts < bounds.restarts:
+    without_memory = AcceptorState(Promise(), 0, state.now + rules.silence_s, ())
+    if state.step_counts.restarts < bounds.restarts:
         stored = acceptor.promise if rules.persists_votes else Promise()
         restarted = acceptor._replace(promise=rules.restore(stored, state.now, LEASE_S))
         if acceptor.responses is not None:
-            restarted = forgetful
+            restarted = without_memory
         yield state.with_acceptor(index, restarted).counted("restarts")
-    if state.taken.losses < bounds.losses:
-        yield state.with_acceptor(index, forgetful).counted("losses")
+    if state.step_counts.losses < bounds.losses:
+        yield state.with_acceptor(index, without_memory).counted("losses")
 
 
 def _recovery_messages(state: State, index: int, acceptor: AcceptorState) -> Iterator[State]:
@@ -315,8 +315,8 @@
 
 
 def _live_messages(bounds: Bounds, state: State) -> set[Message]:
-    """Messages that can still do anything."""
-    no_more_losses = state.taken.losses >= bounds.losses
+    """Return the messages that can still have an effect."""
+    no_more_losses = state.step_counts.losses >= bounds.losses
     votes: dict[tuple[int, int], dict[int, float]] = {}
     for incarnation, claim in state.candidates:
         if claim is not None:
@@ -330,8 +330,8 @@
 ) -> bool:
     match message:
         case ("grant", acceptor, token, incarnation, requested_at):
-            had = votes.get((incarnation, token))
-            return had is not None and requested_at > had.get(acceptor, -1.0)
+            known_votes = votes.get((incarnation, token))
+            return known_votes is not None and requested_at > known_votes.get(acceptor, -1.0)
         case ("request" | "release", index, token, *_):
             acceptor = state.acceptors[index]
             if no_more_losses and acceptor.responses is None:
@@ -342,30 +342,34 @@
     return True
 
 
-def _renumbered_message(message: Message, number: dict[int, int]) -> Message:
+def _renumbered_message(message: Message, new_numbers: dict[int, int]) -> Message:
     match message:
         case ("recovered", index, sender, *rest):
-            return ("recovered", number[index], number[sender], *rest)
+            return ("recovered", new_numbers[index], new_numbers[sender], *rest)
         case ("effect", *_):
             return message
         case (kind, index, *rest):
-            return (kind, number[index], *rest)
+            return (kind, new_numbers[index], *rest)
     raise AssertionError(message)
 
 
-def _renumbered_acceptor(acceptor: AcceptorState, number: dict[int, int]) -> AcceptorState:
+def _renumbered_acceptor(acceptor: AcceptorState, new_numbers: dict[int, int]) -> AcceptorState:
     if acceptor.responses is None:
         return acceptor
-    responses = tuple(sorted((number[sender], has_memory, top) for sender, has_memory, top in acceptor.responses))
+    responses = tuple(
+        sorted((new_numbers[sender], has_memory, highest) for sender, has_memory, highest in acceptor.responses)
+    )
     return acceptor._replace(responses=responses)
 
 
-def _renumbered_candidate(candidate: Candidate, number: dict[int, int]) -> Candidate:
+def _renumbered_candidate(candidate: Candidate, new_numbers: dict[int, int]) -> Candidate:
     claim = candidate.claim
     if claim is None:
         return candidate
-    votes = tuple(sorted((number[acceptor], at) for acceptor, at in claim.votes))
-    successor_votes = tuple(sorted((number[acceptor], at) for acceptor, at in claim.successor_votes))
+    votes = tuple(sorted((new_numbers[acceptor], requested_at) for acceptor, requested_at in claim.votes))
+    successor_votes = tuple(
+        sorted((new_numbers[acceptor], requested_at) for acceptor, requested_at in claim.successor_votes)
+    )
     return candidate._replace(claim=Claim(claim.token, votes, claim.successor, successor_votes))
 
 
@@ -383,20 +387,21 @@
 
 
 def canonical(bounds: Bounds, state: State) -> State:
-    """Of all states that differ by the acceptors' numbers alone, one; and without messages that can do nothing any
+    """Return one state for all that differ only by the acceptors' numbers, without messages that have no effect any
     more."""
     by_order = [
-        (tuple(_renumbered_acceptor(state.acceptors[old], number) for old in order), number) for order, number in ORDERS
+        (tuple(_renumbered_acceptor(state.acceptors[old], new_numbers) for old in order), new_numbers)
+        for order, new_numbers in ORDERS
     ]
     keys = [tuple(_acceptor_key(acceptor) for acceptor in acceptors) for acceptors, _ in by_order]
     least = min(keys)
     live = _live_messages(bounds, state)
     best: Any = None
-    for (acceptors, number), key in zip(by_order, keys, strict=True):
+    for (acceptors, new_numbers), key in zip(by_order, keys, strict=True):
         if key != least:
-            continue  # the renumbered messages need not be looked at
-        messages = tuple(sorted(_renumbered_message(message, number) for message in live))
-        candidates = tuple(_renumbered_candidate(candidate, number) for candidate in state.candidates)
+            continue  # not the least: its messages need not be renumbered
+        messages = tuple(sorted(_renumbered_message(message, new_numbers) for message in live))
+        candidates = tuple(_renumbered_candidate(candidate, new_numbers) for candidate in state.candidates)
         rest = (messages, tuple(candidate.claim or () for candidate in candidates))
         if best is None or rest < best[0]:
             best = (rest, acceptors, candidates, messages)
@@ -407,8 +412,8 @@
 # ---------------------------------------------------------------- the walk
 
 
-def wrong(rules: Rules, state: State) -> str:
-    """What must not be in a state; empty if all is well."""
+def find_violation(rules: Rules, state: State) -> str:
+    """Return the violation in a state; empty if there is none."""
     if sum(holds(rules, state.now, candidate.claim) for candidate in state.candidates) > 1:
         return "two hold at once"
     if state.newest_effect == OLDER_AFTER_NEWER:
@@ -417,7 +422,7 @@
 
 
 def _nearness(rules: Rules, state: State) -> float:
-    """How near a state looks to two holders."""
+    """Estimate how close a state is to one with two holders."""
     claims = [candidate.claim for candidate in state.candidates if candidate.claim is not None]
     votes = sum(
         len(claim.votes) + len(claim.successor_votes) + 3.0 * holds(rules, state.now, claim) for claim in claims
@@ -432,28 +437,31 @@
     return None
 
 
-def walk(rules: Rules, bounds: Bounds, most: int = 10**9, deep: bool = False) -> tuple[int, str]:
-    """(states walked, what went wrong in one of them or ""). deep: states with most votes first, which finds a mistake
-    sooner; all of them are walked either way."""
+def walk(rules: Rules, bounds: Bounds, max_states: int = 10**9, most_votes_first: bool = False) -> tuple[int, str]:
+    """Return the number of states walked and the first violation found, "" if there is none.
+
+    `most_votes_first` visits states with the most votes first, which finds a mistake sooner; without a mistake all
+    states are walked either way.
+    """
     first = State()
     seen = {first}
     queue = [(0.0, 0, first)]
     while queue:
         _, _, state = heappop(queue)
-        for following in steps(rules, bounds, state):
-            if problem := wrong(rules, following):
+        for next_state in steps(rules, bounds, state):
+            if problem := find_violation(rules, next_state):
                 return len(seen), problem
-            holder = _present_holder(rules, following)
-            if holder is not None and holder != following.last_holder:
-                if holder[0] <= following.last_holder[0]:
-                    return len(seen), f"token {holder[0]} holds after {following.last_holder[0]}"
-                following = following._replace(last_holder=holder)
-            following = canonical(bounds, following)
-            if following not in seen:
-                if len(seen) >= most:
+            holder = _present_holder(rules, next_state)
+            if holder is not None and holder != next_state.last_holder:
+                if holder[0] <= next_state.last_holder[0]:
+                    return len(seen), f"token {holder[0]} holds after {next_state.last_holder[0]}"
+                next_state = next_state._replace(last_holder=holder)
+            next_state = canonical(bounds, next_state)
+            if next_state not in seen:
+                if len(seen) >= max_states:
                     return len(seen), TOO_MANY_STATES
-                seen.add(following)
-                heappush(queue, (-_nearness(rules, following) if deep else 0.0, len(seen), following))
+                seen.add(next_state)
+                heappush(queue, (-_nearness(rules, next_state) if most_votes_first else 0.0, len(seen), next_state))
     return len(seen), ""
 
 
@@ -479,37 +487,37 @@
 
 
 BASE = Bounds(time=3, tokens=2, renewals=0, restarts=0, losses=0, releases=0, effects=False)
-SMALL = {"as it is": replace(BASE, time=2)}
+SMALL = {"no faults": replace(BASE, time=2)}
 LARGE = {
     "acceptors restart": replace(BASE, time=2, restarts=1),
     "an acceptor loses its disk": replace(BASE, losses=1),
-    "given back": replace(BASE, time=2, releases=1),
+    "a release": replace(BASE, time=2, releases=1),
     "effects": replace(BASE, time=2, effects=True),
-    "renewed": replace(BASE, time=2, renewals=1),
+    "a renewal": replace(BASE, time=2, renewals=1),
     "three campaigns": replace(BASE, time=2, campaigns=3, tokens=3),
-    "a candidate's life more": replace(BASE, time=2, lives=1),
-    "longer": BASE,
+    "a candidate restarts": replace(BASE, time=2, lives=1),
+    "more time": BASE,
 }
 NOW = replace(BASE, time=0)
 MISTAKES: dict[str, tuple[Rules, Bounds]] = {
     "a vote is given while another stands": (Rules(vote=_vote_at_any_time), NOW),
-    "an acceptor gives one token to two": (Rules(vote=_vote_for_same_token), NOW),
+    "an acceptor votes for two incarnations under one token": (Rules(vote=_vote_for_same_token), NOW),
     "votes are not persisted": (Rules(persists_votes=False), replace(NOW, restarts=1)),
-    "a restarted acceptor takes its votes for over": (Rules(restore=_restore_as_expired), replace(NOW, restarts=1)),
+    "a restarted acceptor treats its votes as expired": (Rules(restore=_restore_as_expired), replace(NOW, restarts=1)),
     "an acceptor without its memory votes at once": (
         Rules(recovered_floor=lambda responses, count: 0, silence_s=0.0),
         replace(NOW, losses=1),
     ),
-    "it does not wait before it recovers": (Rules(silence_s=0.0), replace(NOW, losses=1)),
+    "an acceptor without its memory recovers without waiting": (Rules(silence_s=0.0), replace(NOW, losses=1)),
     "the lease counts from the response": (Rules(counts_from_response=True), replace(BASE, time=2)),
     "one vote is enough": (Rules(quorum=1), NOW),
-    "the holder does not heed the end": (Rules(heeds_end=False), replace(BASE, time=2)),
+    "the holder continues after the end of its lease": (Rules(stops_at_lease_end=False), replace(BASE, time=2)),
     "a late message releases a newer vote": (
         Rules(release=_release_any),
         replace(NOW, releases=1, campaigns=3, tokens=3),
     ),
-    "the holder goes on after it gave back": (Rules(drops_released=False), replace(NOW, releases=1)),
-    "the fence forgets": (Rules(fences=False), replace(NOW, effects=True, releases=1)),
+    "the holder continues after its release": (Rules(drops_released_claim=False), replace(NOW, releases=1)),
+    "the fence forgets its token": (Rules(fences=False), replace(NOW, effects=True, releases=1)),
 }
 
 
@@ -523,7 +531,7 @@
         for name, (count, problem) in zip(cases, pool.map(_case, cases.values()), strict=True):
             print(f"{name}: {count:,} states, {problem or 'nothing wrong'}", flush=True)
     for name, (rules, bounds) in MISTAKES.items():
-        count, problem = walk(rules, bounds, deep=True)
+        count, problem = walk(rules, bounds, most_votes_first=True)
         print(f"{name}: {problem or 'NOT FOUND'} after {count:,} states", flush=True)
 
 
--- a/tests/test_acceptor_log.py
+++ b/tests/test_acceptor_log.py
@@ -1,4 +1,4 @@
-"""An acceptor's votes on disk: what outlives its process, and what is not used."""
+"""An acceptor's votes on disk: what a restarted process reads, and which files it does not use."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return PersistVotes((VoteRecord(role, token, incarnation),))
 
 
-def test_votes_outlive_their_process_and_a_torn_row_is_one_that_was_never_announced(tmp_path: Path) -> None:
+def test_a_restart_reads_all_stored_votes_except_a_torn_last_row(tmp_path: Path) -> None:
     log = AcceptorLog(tmp_path, SETTINGS, sync=True)
     assert log.memory is None
     log.persist(PersistVotes((), 0))
@@ -36,15 +36,15 @@
 
     path = tmp_path / FILE_NAME
     path.write_bytes(path.read_bytes()[:-3])
-    torn = AcceptorLog(tmp_path, SETTINGS, sync=True)
-    assert torn.memory == AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8)}, 0)
-    torn.persist(vote(3, 4, 4))
-    torn.close()
-    complete = AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8), 3: Ballot(4, 4)}, 0)
-    assert AcceptorLog(tmp_path, SETTINGS, sync=True).memory == complete
+    log_with_torn_row = AcceptorLog(tmp_path, SETTINGS, sync=True)
+    assert log_with_torn_row.memory == AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8)}, 0)
+    log_with_torn_row.persist(vote(3, 4, 4))
+    log_with_torn_row.close()
+    complete_memory = AcceptorMemory({1: Ballot(5, 7), 2: Ballot(6, 8), 3: Ballot(4, 4)}, 0)
+    assert AcceptorLog(tmp_path, SETTINGS, sync=True).memory == complete_memory
 
 
-def test_a_damaged_file_is_no_memory_rather_than_half_of_one(tmp_path: Path) -> None:
+def test_a_damaged_file_is_not_used_as_memory(tmp_path: Path) -> None:
     log = AcceptorLog(tmp_path, SETTINGS, sync=True)
     log.persist(PersistVotes((VoteRecord(1, 5, 7), VoteRecord(2, 6, 8)), 0))
     log.close()
@@ -59,21 +59,19 @@
     log = AcceptorLog(tmp_path, SETTINGS, sync=False)
     log.persist(PersistVotes((VoteRecord(1, 5, 7),), 0))
     log.close()
-    other = replace(SETTINGS, acceptors=(0, 1, 3))
-    assert AcceptorLog(tmp_path, other, sync=False).memory == AcceptorMemory({}, 5)
+    other_settings = replace(SETTINGS, acceptors=(0, 1, 3))
+    assert AcceptorLog(tmp_path, other_settings, sync=False).memory == AcceptorMemory({}, 5)
 
 
-def test_a_vote_that_could_not_be_written_is_not_there_afterwards(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_vote_whose_write_failed_is_not_stored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = AcceptorLog(tmp_path, SETTINGS, sync=False)
     log.persist(PersistVotes((VoteRecord(1, 5, 7),), 0))
 
-    def fail_as_full(fd: int, data: Any) -> int:
+    def fail_with_full_disk(fd: int, data: Any) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr("os.write", fail_as_full)
+        patch.setattr("os.write", fail_with_full_disk)
         with pytest.raises(OSError):
             log.persist(vote(1, 6, 8))
     log.persist(vote(2, 7, 9))
@@ -83,7 +81,7 @@
 
 
 def test_the_file_keeps_its_stored_form(tmp_path: Path) -> None:
-    """Gateways before and after an upgrade read each other's files."""
+    """Guards against a change of the format: gateways before and after an upgrade read each other's files."""
     log = AcceptorLog(tmp_path, SETTINGS, sync=False)
     log.persist(PersistVotes((VoteRecord(1, 5, 7),), 3))
     log.close()
@@ -92,21 +90,21 @@
     assert list(FrameReader(tmp_path / FILE_NAME)) == [["mark", SETTINGS.fingerprint], ["vote", 1, 5, 7], ["floor", 3]]
 
 
-class EventNames:
-    """A logger that keeps the names of the events."""
+class RecordingLogger:
+    """A logger that records the names of its events."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
 
-    def _note(self, event: str, **fields: Any) -> None:
+    def _record(self, event: str, **fields: Any) -> None:
         self.names.append(event)
 
-    debug = info = warning = error = _note
+    debug = info = warning = error = _record
 
 
-def test_a_full_disk_is_told_once_however_many_answers_need_no_vote_in_between(tmp_path: Path) -> None:
-    """Guards against `votes_persisted_again`, and a voter shown as well, while its disk is still full."""
-    log, sent = EventNames(), list[SendLeaseMessage]()
+def test_a_full_disk_is_logged_once_despite_rejections_that_need_no_write(tmp_path: Path) -> None:
+    """Guards against logging `votes_persisted_again`, and showing a working acceptor, while its disk is still full."""
+    log, sent = RecordingLogger(), list[SendLeaseMessage]()
     votes = AcceptorLog(tmp_path, SETTINGS, sync=False)
     votes.persist(PersistVotes((), 0))
     persist, is_full = votes.persist, True
@@ -121,19 +119,19 @@
     runner = AcceptorRunner(acceptor, votes, sent.extend, log)
     runner.start()
 
-    def ask(incarnation: int, token: int) -> None:
+    def request_vote(incarnation: int, token: int) -> None:
         request = LeaseMessage(
             LeaseMessageType.VOTE_REQUEST, SETTINGS.fingerprint, incarnation, token, entries=(BallotEntry(0, token),)
         )
         runner.receive(10.0, 3, request)
 
     for token in (1, 2, 3):
-        ask(6, token)
-        ask(7, token)  # rejected: nothing to write
+        request_vote(6, token)
+        request_vote(7, token)  # rejected: nothing to write
     wait_for(lambda: len(sent) == 3)
     assert log.names == ["votes_not_persisted"] and acceptor.disk_failed
     is_full = False
-    ask(6, 4)
+    request_vote(6, 4)
     wait_for(lambda: len(sent) == 4)
     assert log.names == ["votes_not_persisted", "votes_persisted_again"] and not acceptor.disk_failed
     runner.stop()
--- a/tests/test_lease_fleet.py
+++ b/tests/test_lease_fleet.py
@@ -1,4 +1,4 @@
-"""Leases of many gateways in simulated time: safety under faults, hand-overs, and what they cost."""
+"""Leases of many gateways in simulated time: safety under faults, handovers, and their cost in datagrams."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 @pytest.mark.parametrize("acceptors", [3, 5])
-def test_walks_through_all_faults_find_no_two_holders_and_no_token_twice(acceptors: int) -> None:
+def test_random_faults_never_give_two_holders_or_a_token_twice(acceptors: int) -> None:
     for seed in range(12):
-        wrong, took, held = walk(seed, voters=acceptors)
-        assert not wrong and took > 8 and held == 8, seed
+        violations, acquired_count, held_count = walk(seed, voters=acceptors)
+        assert not violations and acquired_count > 8 and held_count == 8, seed
 
 
-def test_roles_spread_and_a_gateway_that_came_late_is_given_its_part() -> None:
+def test_roles_are_rebalanced_to_a_gateway_that_starts_late() -> None:
     fleet = SimulatedLeases(terms(5, 3, 20), 1, NetworkConditions())
     fleet.kill(fleet.hosts[4])
     fleet.run(10)
     assert len(fleet.held()) == 20 and 4 not in fleet.held().values()
     fleet.start(fleet.hosts[4])
     fleet.run(20)
-    count = Counter(fleet.held().values())
-    assert len(fleet.held()) == 20 and count[4] >= 2 and max(count.values()) <= 5 and not fleet.violations
+    held_counts = Counter(fleet.held().values())
+    assert len(fleet.held()) == 20 and held_counts[4] >= 2 and max(held_counts.values()) <= 5 and not fleet.violations
 
 
-def test_without_a_majority_anywhere_roles_rest_until_there_is_one() -> None:
+def test_roles_stay_vacant_until_a_majority_of_acceptors_is_connected() -> None:
     fleet = SimulatedLeases(terms(6, 3, 8), 2, NetworkConditions())
     fleet.run(8)
     fleet.partition({0})
@@ -48,7 +48,7 @@
     assert len(fleet.held()) == 8 and not fleet.violations
 
 
-def test_all_acceptors_restart_at_once_and_one_with_an_empty_disk() -> None:
+def test_roles_are_held_after_all_acceptors_restart_and_one_has_lost_its_disk() -> None:
     fleet = SimulatedLeases(terms(6, 3, 8), 3, NetworkConditions())
     fleet.run(8)
     for host in fleet.hosts[:3]:
@@ -61,65 +61,72 @@
     assert len(fleet.held()) == 8 and not fleet.violations and (fleet.hosts[1].disk.floor or 0) > 0
 
 
-def test_64_roles_whose_holder_vanishes_are_taken_by_others_within_a_lease_and_a_half() -> None:
+def test_64_roles_of_a_killed_holder_are_acquired_within_one_and_a_half_leases() -> None:
     fleet = SimulatedLeases(terms(5, 3, 64), 4, NetworkConditions())
-    for k in (1, 2, 3):
-        fleet.hosts[k].holder.accepts_roles = False  # all of them go to two gateways, 0 and 4
+    for gateway_id in (1, 2, 3):
+        fleet.hosts[gateway_id].holder.accepts_roles = False  # all roles go to the gateways 0 and 4
     fleet.run(10)
     assert set(fleet.held().values()) == {0, 4}
-    for k in (1, 2, 3):
-        fleet.hosts[k].holder.accepts_roles = True
-    mine = [duty for duty, head in fleet.held().items() if head == 4]
+    for gateway_id in (1, 2, 3):
+        fleet.hosts[gateway_id].holder.accepts_roles = True
+    roles_of_killed = [role for role, holder in fleet.held().items() if holder == 4]
     fleet.vacancies.clear()
     fleet.kill(fleet.hosts[4])
     fleet.run(6)
-    gaps = sorted(g for duty, why, g in fleet.vacancies if duty in mine and why == "killed")
-    assert len(gaps) == len(mine) > 20 and gaps[-1] <= 1.5 * 2.0
-    fleet.run(20)  # gateway 0 gives back one role at a time
+    gaps_s = sorted(gap_s for role, cause, gap_s in fleet.vacancies if role in roles_of_killed and cause == "killed")
+    assert len(gaps_s) == len(roles_of_killed) > 20 and gaps_s[-1] <= 1.5 * 2.0
+    fleet.run(20)  # gateway 0 releases one role at a time
     assert len(fleet.held()) == 64 and max(Counter(fleet.held().values()).values()) <= 17 and not fleet.violations
 
 
-def test_two_gateways_with_one_number_hold_nothing_together() -> None:
-    """The second one's messages come under the first one's number: a vote belongs to an incarnation."""
+def test_two_gateways_with_the_same_number_never_hold_a_role_at_once() -> None:
+    """A vote belongs to an incarnation, so messages under the same gateway number must not share votes."""
     fleet = SimulatedLeases(terms(5, 3, 4), 5, NetworkConditions())
-    twin = LeaseHolder(fleet.settings, LeaseMember(4, 12345, seed=9), fleet.clock(fleet.hosts[4]))
-    real = fleet.hosts[4].holder
-    receive = real.receive
-    tick = real.tick
+    twin_holder = LeaseHolder(fleet.settings, LeaseMember(4, 12345, seed=9), fleet.clock(fleet.hosts[4]))
+    original_holder = fleet.hosts[4].holder
+    receive = original_holder.receive
+    tick = original_holder.tick
 
     def both_receive(now: float, sender: int, message: LeaseMessage) -> list[Any]:
-        return [*receive(now, sender, message), *twin.receive(now, sender, message)]
+        return [*receive(now, sender, message), *twin_holder.receive(now, sender, message)]
 
-    real.receive = both_receive
-    real.tick = lambda now: [*tick(now), *twin.tick(now)]
+    original_holder.receive = both_receive
+    original_holder.tick = lambda now: [*tick(now), *twin_holder.tick(now)]
     for _ in range(200):
         fleet.run(0.1)
         now = fleet.clock(fleet.hosts[4])
-        both = [role for role in range(4) if real.expires_at(role) > now and twin.expires_at(role) > now]
-        assert not both and not fleet.violations
+        held_by_both = [
+            role for role in range(4) if original_holder.expires_at(role) > now and twin_holder.expires_at(role) > now
+        ]
+        assert not held_by_both and not fleet.violations
 
 
-def test_a_clock_beyond_the_bound_breaks_leases_and_not_the_rise_of_tokens() -> None:
-    """Leases rest on the bound; that tokens rise, and so the fences, does not."""
-    rates = [4.0, 4.0, 4.0, 0.3, 0.3]  # acceptors whose leases are over long before the holders know
+def test_a_clock_beyond_the_bound_breaks_leases_but_tokens_still_rise() -> None:
+    """Leases depend on the bound of the clock drift; rising tokens, and so the fences, do not."""
+    rates = [4.0, 4.0, 4.0, 0.3, 0.3]  # the acceptors' leases end long before the holders' do
     fleet = SimulatedLeases(terms(5, 3, 4), 6, NetworkConditions(), rates)
     random = Random(6)
     for _ in range(60):
         fleet.run(random.uniform(0.2, 1.0))
         fleet.cut_links.clear()
         fleet.partition({3 + random.randrange(2)})
-    assert any("hold it" in w for w in fleet.violations) and not any("after" in w for w in fleet.violations)
+    assert any("hold it" in violation for violation in fleet.violations) and not any(
+        "after" in violation for violation in fleet.violations
+    )
 
 
-def test_a_fleet_of_200_that_comes_back_after_a_cut_does_not_storm() -> None:
+def test_a_fleet_of_200_sends_few_datagrams_after_a_partition_ends() -> None:
     fleet = SimulatedLeases(terms(200, 5, 64), 7, NetworkConditions())
     fleet.run(15)
     fleet.partition(set(range(100, 167)))
     fleet.run(10)
     fleet.cut_links.clear()
-    before = [(h.datagrams_sent, h.bytes_sent) for h in fleet.hosts]
+    before = [(host.datagrams_sent, host.bytes_sent) for host in fleet.hosts]
     fleet.run(5)
-    rows = [(h.datagrams_sent - s) / 5 for h, (s, _) in zip(fleet.hosts, before, strict=True)]
-    assert max(rows) < 250 and max(rows[5:]) < 100
+    datagrams_per_s = [
+        (host.datagrams_sent - datagrams_before) / 5
+        for host, (datagrams_before, _) in zip(fleet.hosts, before, strict=True)
+    ]
+    assert max(datagrams_per_s) < 250 and max(datagrams_per_s[5:]) < 100
     fleet.run(10)
     assert len(fleet.held()) == 64 and not fleet.violations
--- a/tests/test_lease_release_order.py
+++ b/tests/test_lease_release_order.py
@@ -1,4 +1,4 @@
-"""A role is released only once its work has ended: whoever hears of a release may take the role at once."""
+"""A role is released only after its work has ended: another gateway may acquire a released role at once."""
 
 from __future__ import annotations
 
@@ -26,78 +26,80 @@
 @pytest.fixture
 def holder(tmp_path: Path) -> Iterator[LeaseRunner]:
     """A gateway that holds both roles by its own vote."""
-    remembers = AcceptorLog(tmp_path, lease_settings(CONFIG, 1), sync=False)
-    remembers.persist(PersistVotes((), 0))
-    remembers.close()
+    acceptor_log = AcceptorLog(tmp_path, lease_settings(CONFIG, 1), sync=False)
+    acceptor_log.persist(PersistVotes((), 0))
+    acceptor_log.close()
     peers = PeerSocket(("127.0.0.1", 0), 0, {}, lambda event: None)
-    made = LeaseRunner(CONFIG, FleetPlace(0, 1, 1), tmp_path, peers, logs.get())
-    made.start(IdleWork())
-    wait_for(lambda: len(made.leases) == len(ROLES))
-    yield made
-    made.stop()
+    runner = LeaseRunner(CONFIG, FleetPlace(0, 1, 1), tmp_path, peers, logs.get())
+    runner.start(IdleWork())
+    wait_for(lambda: len(runner.leases) == len(ROLES))
+    yield runner
+    runner.stop()
     peers.stop()
 
 
-def lag(runner: LeaseRunner) -> None:
+def make_event_loop_lag(runner: LeaseRunner) -> None:
     for _ in range(2):
         runner._step(runner.clock() - 10.0)
 
 
-def expire(runner: LeaseRunner) -> None:
-    real = runner.clock
-    runner.clock = lambda: real() + 10.0  # type: ignore[method-assign]
+def expire_leases(runner: LeaseRunner) -> None:
+    clock = runner.clock
+    runner.clock = lambda: clock() + 10.0  # type: ignore[method-assign]
     runner._step(None)
-    runner.clock = real  # type: ignore[method-assign]
+    runner.clock = clock  # type: ignore[method-assign]
 
 
-def meet_a_newer_token(runner: LeaseRunner) -> None:
+def record_newer_token(runner: LeaseRunner) -> None:
     lease = next(iter(runner.leases.values()))
     runner._carry_out(runner.holder.record_stale_token(runner.clock(), lease.role, lease.token + 5))
 
 
-ENDINGS: dict[str, Callable[[LeaseRunner], None]] = {
-    "its loop lags": lag,
-    "not renewed": expire,
-    "by hand": lambda runner: runner.release(ROLES[0]),
-    "fenced": meet_a_newer_token,
-    "it leaves": lambda runner: runner.hand_over(),
+RELEASE_CAUSES: dict[str, Callable[[LeaseRunner], None]] = {
+    "event loop lags": make_event_loop_lag,
+    "lease expires": expire_leases,
+    "released by an operator": lambda runner: runner.release(ROLES[0]),
+    "newer token seen": record_newer_token,
+    "shutdown": lambda runner: runner.hand_over(),
 }
 
 
-@pytest.mark.parametrize("ending", ENDINGS)
-def test_no_role_is_released_before_its_work_has_ended(holder: LeaseRunner, ending: str) -> None:
-    """Guards against two holders at once: a loop that ran late told of its releases before it ended the work."""
+@pytest.mark.parametrize("cause", RELEASE_CAUSES)
+def test_no_role_is_released_before_its_work_has_ended(holder: LeaseRunner, cause: str) -> None:
+    """Guards against two holders at once: a gateway whose event loop ran late sent releases before its work ended."""
     released, working = list[int](), list[int]()
     send = holder._send
 
-    def look_and_send(actions: Sequence[LeaseAction]) -> None:
+    def record_and_send(actions: Sequence[LeaseAction]) -> None:
         messages = [action.message for action in actions if isinstance(action, SendLeaseMessage)]
-        roles = [entry.role for m in messages if m.type is LeaseMessageType.RELEASE for entry in m.entries]
+        roles = [
+            entry.role for message in messages if message.type is LeaseMessageType.RELEASE for entry in message.entries
+        ]
         released.extend(roles)
         working.extend(role for role in roles if role in holder.leases)
         send(actions)
 
-    holder._send = look_and_send  # type: ignore[method-assign]
-    ENDINGS[ending](holder)
+    holder._send = record_and_send  # type: ignore[method-assign]
+    RELEASE_CAUSES[cause](holder)
     assert released and not working
 
 
-class KeptEvents:
-    """A logger that keeps what it is told."""
+class RecordingLogger:
+    """A logger that records its events and their fields."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, object]]] = []
 
-    def _note(self, event: str, **fields: object) -> None:
+    def _record(self, event: str, **fields: object) -> None:
         self.events.append((event, fields))
 
-    debug = info = warning = error = _note
+    debug = info = warning = error = _record
 
 
-def test_a_gateway_says_once_why_it_takes_no_roles_for_a_while(holder: LeaseRunner) -> None:
-    """Guards against elections that take long without a word of which gateways stand aside."""
-    log = holder.log = KeptEvents()
-    lag(holder)
+def test_the_reason_why_a_gateway_accepts_no_roles_is_logged_once(holder: LeaseRunner) -> None:
+    """Guards against slow elections whose logs don't show which gateways accept no roles."""
+    log = holder.log = RecordingLogger()
+    make_event_loop_lag(holder)
     holder._step(None)
     pauses = [fields for event, fields in log.events if event == "candidacy_paused"]
     assert len(pauses) == 1 and pauses[0]["reason"] == "its event loop runs late"
--- a/tests/test_lease_work.py
+++ b/tests/test_lease_work.py
@@ -1,4 +1,4 @@
-"""Decisions of the work that leased roles do: draining shards, comparing inventories."""
+"""Decisions of the work of leased roles: draining shards and comparing inventories."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from fawnspool.leases.inventory import compare_inventories
 
 
-def test_targets_are_the_same_everywhere_and_a_lost_shard_moves_only_its_own() -> None:
+def test_target_shards_do_not_depend_on_order_and_losing_a_shard_moves_only_its_extents() -> None:
     extents = [("v", f"k{n}") for n in range(600)]
-    before = {extent: target_shard(*extent, (1, 2, 3, 4)) for extent in extents}
-    after = {extent: target_shard(*extent, (4, 2, 1)) for extent in extents}
-    assert all(after[extent] == before[extent] for extent in extents if before[extent] != 3)
-    assert min(Counter(before.values()).values()) > 100
+    targets = {extent: target_shard(*extent, (1, 2, 3, 4)) for extent in extents}
+    targets_without_shard_3 = {extent: target_shard(*extent, (4, 2, 1)) for extent in extents}
+    assert all(targets_without_shard_3[extent] == targets[extent] for extent in extents if targets[extent] != 3)
+    assert min(Counter(targets.values()).values()) > 100
     assert target_shard("v", "k", ()) is None
     assert len({partition_of("v", f"k{n}", 8) for n in range(100)}) == 8
 
@@ -28,25 +28,25 @@
 def test_the_limiter_keeps_both_rates(moves_per_s: float, size: int, expected_per_s: float) -> None:
     limiter = MoveRateLimiter(moves_per_s, float(4 << 20), 5)
     now = 0.0
-    moved = 0
+    move_count = 0
     while now < 20.0:
         wait_s = limiter.wait_s(now, size, in_flight=0)
-        moved += not wait_s
+        move_count += not wait_s
         now += wait_s or 0.0
-    assert expected_per_s * 20 - 1 <= moved <= expected_per_s * 21 + 1
+    assert expected_per_s * 20 - 1 <= move_count <= expected_per_s * 21 + 1
 
 
-def test_the_limiter_rests_while_the_gateway_is_busy() -> None:
+def test_the_limiter_waits_while_the_gateway_is_busy() -> None:
     assert MoveRateLimiter(10.0, 1.0, 5).wait_s(0.0, 1, in_flight=5) > 0
 
 
-def test_a_move_larger_than_a_burst_is_paid_off_afterwards() -> None:
+def test_a_move_larger_than_a_burst_delays_the_next_move() -> None:
     limiter = MoveRateLimiter(10.0, 100.0, 5)
     assert limiter.wait_s(0.0, 1000, in_flight=0) == 0.0
     assert limiter.wait_s(0.1, 1, in_flight=0) > 8.0
 
 
-def test_a_failed_extent_is_retried_later_each_time_and_the_table_is_bounded() -> None:
+def test_retry_delay_grows_with_each_failure_and_the_schedule_is_bounded() -> None:
     retries = RetrySchedule()
     extent = ("v", "a")
     retries.record_failure(0.0, extent)
@@ -55,8 +55,8 @@
     assert retries.is_due(0.0, ("v", "b"))
     retries.record_failure(1.0, extent)
     assert not retries.is_due(1.3, extent)
-    for n in range(retries.MAX_EXTENTS + 5):
-        retries.record_failure(0.0, ("v", str(n)))
+    for number in range(retries.MAX_EXTENTS + 5):
+        retries.record_failure(0.0, ("v", str(number)))
     assert len(retries.failures) == retries.MAX_EXTENTS
 
 
@@ -64,7 +64,7 @@
 STORED = {0: [("v", "a"), ("v", "c")], 1: [("v", "c"), ("v", "x")], 2: None}
 
 
-def test_a_comparison_tells_what_is_missing_and_stray_and_says_nothing_of_silent_nodes() -> None:
+def test_a_comparison_reports_missing_and_stray_extents_except_on_unreachable_nodes() -> None:
     report = compare_inventories(MAPPED, STORED, 0, 1)
     assert report.missing == (("v", "b"),)
     assert report.stray == (("v", "c"), ("v", "x"))
