--- a/tests/e2e/test_leases.py
+++ b/tests/e2e/test_leases.py
@@ -166,7 +166,7 @@
         ], found
         if [text for text in found if "hold it for" in text]:
             return
-    raise AssertionError("no two heads held one duty in three plays")
+    raise AssertionError("no two gateways held the same role in three plays")
 
 
 class _LeaseChangePlay(Play):
--- a/tests/lease_model.py
+++ b/tests/lease_model.py
@@ -67,7 +67,7 @@
     renewals: int = 1
     restarts: int = 1  # of acceptors, with their disk
     losses: int = 1  # of an acceptor's disk
-    lives: int = 0  # restarts of candidates
+    candidate_restarts: int = 0
     releases: int = 1
     effects: bool = True
 
@@ -79,13 +79,16 @@
     renewals: int = 0
     restarts: int = 0
     losses: int = 0
-    lives: int = 0
+    candidate_restarts: int = 0
     releases: int = 0
 
 
 class AcceptorState(NamedTuple):
-    """`responses` are those of the other acceptors to one without memory: (sender, has its memory, highest token). None
-    means that this acceptor has its memory and votes."""
+    """The state of one acceptor.
+
+    `responses` are those of the other acceptors to one without memory: (sender, has its memory, highest token). None
+    means that this acceptor has its memory and votes.
+    """
 
     promise: Promise = Promise()
     floor: float = 0
@@ -108,7 +111,10 @@
 
 
 class State(NamedTuple):
-    """`last_holder` is token and incarnation; `fence` is the newest token at the service where effects arrive."""
+    """One state of a walk.
+
+    `last_holder` is token and incarnation; `fence` is the newest token at the service where effects arrive.
+    """
 
     now: int = 0
     acceptors: tuple[AcceptorState, ...] = (AcceptorState(),) * 3
@@ -200,9 +206,11 @@
         }
         kept = None if rules.drops_released_claim else claim
         yield state.with_claim(index, kept).send(*releases).counted("releases")
-    if state.step_counts.lives < bounds.lives:
+    if state.step_counts.candidate_restarts < bounds.candidate_restarts:
         restarted_candidate = Candidate(incarnation + 10)
-        yield state._replace(candidates=_replaced(state.candidates, index, restarted_candidate)).counted("lives")
+        yield state._replace(candidates=_replaced(state.candidates, index, restarted_candidate)).counted(
+            "candidate_restarts"
+        )
     effect = ("effect", claim.token, incarnation)
     if bounds.effects and effect not in state.messages and is_holding:
         yield state.send(effect)
@@ -239,13 +247,13 @@
     acceptor = state.acceptors[index]
     if acceptor.responses is not None:
         return
-    requested = Ballot(token, incarnation)
-    promise, verdict = rules.vote(acceptor.promise, requested, state.now, acceptor.floor, LEASE_S)
-    after = state.with_acceptor(index, acceptor._replace(promise=promise))
+    requested_ballot = Ballot(token, incarnation)
+    promise, verdict = rules.vote(acceptor.promise, requested_ballot, state.now, acceptor.floor, LEASE_S)
+    next_state = state.with_acceptor(index, acceptor._replace(promise=promise))
     if verdict is BallotVerdict.GRANTED:
-        yield after.send(("grant", index, token, incarnation, requested_at))
+        yield next_state.send(("grant", index, token, incarnation, requested_at))
     elif promise != acceptor.promise:
-        yield after
+        yield next_state
 
 
 def _grant_arrives(
@@ -262,10 +270,10 @@
 
 
 def _with_vote(rules: Rules, claim: Claim, token: int, acceptor: int, counts_from: float) -> Claim:
-    is_present = token == claim.token
-    before = claim.votes if is_present else claim.successor_votes
-    votes = tuple(sorted(Proposal(token, 0.0, dict(before)).with_vote(acceptor, counts_from).votes.items()))
-    claim = claim._replace(votes=votes) if is_present else claim._replace(successor_votes=votes)
+    is_current_token = token == claim.token
+    previous_votes = claim.votes if is_current_token else claim.successor_votes
+    votes = tuple(sorted(Proposal(token, 0.0, dict(previous_votes)).with_vote(acceptor, counts_from).votes.items()))
+    claim = claim._replace(votes=votes) if is_current_token else claim._replace(successor_votes=votes)
     if claim.successor and _expires_at(rules, claim.successor_votes) > _expires_at(rules, claim.votes):
         return Claim(claim.successor, claim.successor_votes)
     return claim
@@ -495,7 +503,7 @@
     "effects": replace(BASE, time=2, effects=True),
     "a renewal": replace(BASE, time=2, renewals=1),
     "three campaigns": replace(BASE, time=2, campaigns=3, tokens=3),
-    "a candidate restarts": replace(BASE, time=2, lives=1),
+    "a candidate restarts": replace(BASE, time=2, candidate_restarts=1),
     "more time": BASE,
 }
 NOW = replace(BASE, time=0)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -183,8 +183,8 @@
 
 
 def test_an_unconfirmed_vote_is_persisted_again_with_each_grant(acceptor: Acceptor) -> None:
-    """On a full disk, the second request of a ballot was granted without a stored vote, and a restarted acceptor gave the
-    vote to another gateway under a token that had counted (18 of 200 walks)."""
+    """On a full disk, the second request of a ballot was granted without a stored vote, and a restarted acceptor gave
+    the vote to another gateway under a token that had counted (18 of 200 walks)."""
     persist, _ = acceptor.receive(100.0, 3, vote_request(2, 5))
     assert isinstance(persist, PersistVotes)
     for now in (100.2, 100.4):  # the vote is not confirmed yet
--- a/tests/test_leases_judge.py
+++ b/tests/test_leases_judge.py
@@ -98,7 +98,7 @@
 )
 def test_finds_each_violation(name: str, rows: Rows, text: str) -> None:
     found = [breach.text for breach in judge_rows([*CLEAN_RUN, *rows]).finding.breaches]
-    assert any(text in breach for breach in found), (name, found)
+    assert any(text in breach_text for breach_text in found), (name, found)
 
 
 def test_a_late_step_is_allowed_only_if_its_own_gateway_was_stopped() -> None:
