--- a/fawnspool/leases/actions.py
+++ b/fawnspool/leases/actions.py
@@ -1,7 +1,7 @@
 """Actions that acceptors and lease holders request from their gateway, and the identity of a gateway.
 
 Actions are ordered: a `PersistVotes` must be on disk before the messages after it are sent. If it can't be written,
-no message after it is sent; the promise in memory remains, which is safe.
+no message after it is sent; the promise in memory remains, which only makes the acceptor stricter.
 """
 
 from __future__ import annotations
--- a/fawnspool/leases/drain.py
+++ b/fawnspool/leases/drain.py
@@ -15,13 +15,13 @@
 FIRST_BACKOFF_S = 0.2  # after the first failure of an extent; doubled with each further one
 MAX_BACKOFF_S = 10.0
 MAX_BACKOFF_DOUBLINGS = 10
-BURST_S = 1.0  # of the rates may be used at once; short, so that a start causes no surge
+BURST_S = 1.0  # of the rates that may be used at once; short, so that a start causes no surge
 BUSY_WAIT_S = 0.05
 MIN_WAIT_S = 0.001  # a wait rounded to zero would be requested over and over
 
 
 def partition_of(volume: str, extent: str, partitions: int) -> int:
-    """Return the partition of an extent; the extents of one large volume are spread over all partitions."""
+    """Return the partition of an extent; a large volume's extents are in many, so that many gateways drain it."""
     return xxhash.xxh3_64_intdigest(f"{volume}\0{extent}".encode()) % partitions
 
 
--- a/fawnspool/leases/fencing.py
+++ b/fawnspool/leases/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing at nodes and the map service: each accepts a step of a role only under the newest token that it has seen.
+"""Fencing at nodes and the map service: each rejects a step of a role under an older token than it has seen.
 
 A lease alone is not safe, as a holder may be stopped between its check of the clock and its step. A service that has
 seen no newer token still accepts an older one. A new holder therefore shows its token to every service that it will
--- a/fawnspool/leases/nominator.py
+++ b/fawnspool/leases/nominator.py
@@ -39,9 +39,7 @@
         self.promises = promises
         self.directory = CandidateDirectory(settings, random)
         self.nominated: dict[int, int] = {}  # role to the gateway nominated last
-        self.held_elsewhere: dict[
-            int, tuple[float, int]
-        ] = {}  # by other acceptors' votes: until when assumed, incarnation
+        self.held_elsewhere: dict[int, tuple[float, int]] = {}  # by others' votes: assumed until when, incarnation
         self.holders: dict[int, int] = {}  # role to the incarnation that reported holding it
         self.vacant_since: dict[int, float] = {}
         self._checks: list[tuple[float, int]] = []  # a heap; rows that differ from `_next_check` are outdated
@@ -84,8 +82,8 @@
     def record_release(self, now: float, entry: BallotEntry, ballot: Ballot) -> None:
         """Record that this acceptor's vote was released.
 
-        If a holder released it, the role is nominated for at once. A candidate gives up because another gateway holds
-        the role or is a candidate too: an early nomination would only add one more candidate.
+        If a holder released it, this acceptor nominates again at once. A candidate releases its votes because another
+        gateway holds the role or is a candidate too: an early nomination would only add one more candidate.
         """
         was_held = entry.is_held or self.holders.get(entry.role) == ballot.incarnation
         pause_s = 0.0 if was_held else self.settings.renewal_interval_s
@@ -135,9 +133,9 @@
             self.vacant_since.pop(role, None)
             return held_until + self._turn_delay(role, now)
         self.vacant_since.setdefault(role, now)
-        unfollowed = self.nominated.pop(role, None)
-        if unfollowed is not None:
-            self.directory.record_missed(now, unfollowed)
+        unresponsive_gateway = self.nominated.pop(role, None)
+        if unresponsive_gateway is not None:
+            self.directory.record_missed(now, unresponsive_gateway)
         candidate = self.directory.choose(now)
         if candidate is not None:
             self.nominated[role] = candidate
