--- a/fawnspool/gossip/actions.py
+++ b/fawnspool/gossip/actions.py
@@ -1,4 +1,4 @@
-"""What a gossip agent has its gateway carry out: messages to other gateways, and events for the scheduler."""
+"""Actions that a gossip agent returns to its gateway: messages to other gateways, and events for the scheduler."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a message to a gateway, by its number."""
+    """Send a message to the gateway with the number `recipient`."""
 
     recipient: int
     message: GossipMessage
--- a/fawnspool/gossip/agent.py
+++ b/fawnspool/gossip/agent.py
@@ -1,4 +1,4 @@
-"""One gateway's side of the gossip: who serves which volume, and what is found of nodes."""
+"""One gateway's side of the gossip: which gateways serve a volume, and health evidence about nodes."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from fawnspool.gossip.volume_participants import VolumeTable
 from fawnspool.scheduling.interface import Outcome
 
-ISOLATION_ROUNDS = 20  # without a word from any other gateway, after it sent something, that make one isolated
-ROUND_SPREAD = (0.8, 1.2)  # of the interval
+ISOLATION_ROUNDS = 20  # rounds without a message from any other gateway after which a gateway that sends is isolated
+ROUND_JITTER = (0.8, 1.2)  # range of the pause between rounds, as a factor of the interval
 NEVER = float("-inf")
 
 
 class GossipAgent:
-    """Gossip of one gateway; its actions are to be carried out in order.
+    """Gossip of one gateway; the caller carries out the returned actions in order.
 
     Parameters
     ----------
     incarnation
-        It rises with each start of the gateway.
+        Number that rises with each start of the gateway.
     now
-        Time in seconds; only differences count.
+        Time in seconds on any clock; only differences matter.
     """
 
     def __init__(self, settings: GossipSettings, gateway_id: int, incarnation: int, seed: int, now: float) -> None:
@@ -35,7 +35,7 @@
         self.volumes = VolumeTable(settings, gateway_id, incarnation, seed)
         self.health = HealthEvidence(settings, gateway_id, seed)
         self.heard_at = NEVER
-        self.foreign_messages = 0  # from gateways whose settings differ, or that can't be
+        self.foreign_messages = 0  # from gateways with other settings, or from impossible gateway numbers
         self._next_round = now + settings.interval_s * self.random.random()
         self._started_at = now
         self._sent_at = NEVER
@@ -53,7 +53,7 @@
         return self.volumes.receive(now, sender, message)
 
     def record_outcome(self, now: float, event: Outcome) -> list[GossipAction]:
-        """Note what an attempt at a node showed this gateway itself."""
+        """Record what an attempt at a node shows about the node's health."""
         verdict = outcome_verdict(event)
         if verdict is None:
             return []
@@ -62,7 +62,7 @@
         return self.health.record_failure(now, event.node, verdict)
 
     def next_round_at(self) -> float:
-        """Return when `run_round` must be called."""
+        """Return the time at which `run_round` must be called."""
         return self._next_round
 
     def run_round(self, now: float, listed_count: int, suspects: Iterable[tuple[int, int]]) -> list[GossipAction]:
@@ -73,15 +73,15 @@
         now
             Time in seconds.
         listed_count
-            Nodes that there are.
+            Number of listed nodes.
         suspects
-            Nodes, and the failures in a row that the scheduler has counted.
+            Nodes with the consecutive failures that the scheduler has counted.
         """
         if now < self._next_round:
             return []
         for node, failures in suspects:
             self.health.record_suspicion(now, node, failures)
-        self._next_round = now + self.settings.interval_s * self.random.uniform(*ROUND_SPREAD)
+        self._next_round = now + self.settings.interval_s * self.random.uniform(*ROUND_JITTER)
         self.health.listed_count = listed_count
         actions = [*self.volumes.run_round(now), *self.health.run_round(now)]
         if any(isinstance(action, SendGossip) for action in actions):
@@ -89,6 +89,6 @@
         return actions
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether it has sent something of late, and heard nothing of any other gateway for a while."""
+        """Return whether it heard no other gateway for `ISOLATION_ROUNDS`, and has sent since it last heard one."""
         silent_s = now - max(self.heard_at, self._started_at)
         return silent_s > ISOLATION_ROUNDS * self.settings.interval_s and self._sent_at > self.heard_at
--- a/fawnspool/gossip/findings.py
+++ b/fawnspool/gossip/findings.py
@@ -1,4 +1,4 @@
-"""What gateways found of one node, and the queue in which findings are passed on."""
+"""Findings of gateways about a node's health, and the queue of findings to pass on."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from fawnspool.gossip.messages import HealthVerdict
 
 MAX_NODES = 1024
-MAX_ORIGINS = 256  # gateways whose findings are kept of one node: well over any quorum, or none is reached
-TIMES_PASSED_ON = 2  # rounds in which one finding is passed on: with one, a fifth of a fleet would not hear of it
+MAX_ORIGINS = 256  # gateways whose findings are kept for one node; a bound below a quorum would prevent any ejection
+SENDS_PER_FINDING = 2  # rounds in which a gateway sends a finding on: with one, a fifth of a fleet would not receive it
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What one gateway found of a node; at: on the clock of whoever keeps it."""
+    """What one gateway found about a node's health, at a time on the clock of the gateway that keeps the finding."""
 
     verdict: HealthVerdict
     failures: int
@@ -23,24 +23,24 @@
 
     @property
     def is_bad(self) -> bool:
-        """Whether it speaks against the node."""
+        """Whether the verdict is other than healthy."""
         return self.verdict is not HealthVerdict.HEALTHY
 
 
 @dataclass(slots=True)
 class NodeFindings:
-    """What is known of one node.
+    """Findings about one node, and whether it is ejected.
 
     Parameters
     ----------
     failures
-        This gateway's own, since the last good answer.
+        Failures that this gateway itself had since its last good answer from the node.
     healthy_at
         When this gateway got the last good answer.
     by_origin
-        Findings by the gateway whose they are.
+        The latest finding of each gateway, by gateway number.
     ejected_at
-        When it was ejected on others' evidence; None if it is not.
+        When the node was ejected on others' evidence; None if it is not ejected.
     """
 
     failures: int = 0
@@ -54,36 +54,36 @@
         return self.ejected_at is not None
 
     def add(self, origin: int, finding: Finding) -> None:
-        """Keep a finding in place of the origin's former one; the oldest goes where there are too many."""
+        """Replace the origin's former finding; drop the oldest findings beyond `MAX_ORIGINS`."""
         self.by_origin[origin] = finding
         while len(self.by_origin) > MAX_ORIGINS:
             del self.by_origin[min(self.by_origin, key=lambda origin: self.by_origin[origin].at)]
 
-    def bad_since(self, ttl_s: float, now: float) -> list[Finding]:
-        """Return the findings against the node that have not faded."""
+    def unexpired_bad(self, ttl_s: float, now: float) -> list[Finding]:
+        """Return the bad findings that have not expired."""
         return [finding for finding in self.by_origin.values() if finding.is_bad and now - finding.at < ttl_s]
 
     def healthy_count(self, after: float, ttl_s: float, now: float) -> int:
-        """Return how many found the node healthy since `after`, of findings that have not faded."""
+        """Return how many gateways found the node healthy since `after`, by findings that have not expired."""
         return sum(
             not finding.is_bad and finding.at >= after and now - finding.at < ttl_s
             for finding in self.by_origin.values()
         )
 
-    def forget_bad(self) -> None:
-        """Drop what was found against the node."""
+    def drop_bad(self) -> None:
+        """Drop the bad findings."""
         self.by_origin = {origin: finding for origin, finding in self.by_origin.items() if not finding.is_bad}
 
 
 class FindingQueue:
-    """Findings to be passed on, by node and origin, the latest first."""
+    """Queue of findings to pass on, each known by its node and origin; the latest comes first."""
 
     def __init__(self) -> None:
-        self._remaining: OrderedDict[tuple[int, int], int] = OrderedDict()  # times to be passed on yet; latest last
+        self._remaining: OrderedDict[tuple[int, int], int] = OrderedDict()  # sends left; latest last
 
     def add(self, node: int, origin: int) -> None:
-        """Have a finding passed on; beyond the bound the oldest are not."""
-        self._remaining[node, origin] = TIMES_PASSED_ON
+        """Queue a finding; drop the oldest ones beyond `MAX_NODES`."""
+        self._remaining[node, origin] = SENDS_PER_FINDING
         self._remaining.move_to_end((node, origin))
         while len(self._remaining) > MAX_NODES:
             self._remaining.popitem(last=False)
@@ -92,10 +92,10 @@
         return len(self._remaining)
 
     def pop(self) -> tuple[tuple[int, int], int]:
-        """Remove the latest; return node and origin, and how often it is to be passed on after this time."""
+        """Remove the latest finding; return its node and origin, and the sends left after this one."""
         key, remaining = self._remaining.popitem()
         return key, remaining - 1
 
     def restore(self, remaining: dict[tuple[int, int], int]) -> None:
-        """Put back findings that are to be passed on again."""
+        """Put back findings that have sends left."""
         self._remaining |= remaining
--- a/fawnspool/gossip/grow_only_counter.py
+++ b/fawnspool/gossip/grow_only_counter.py
@@ -1,9 +1,9 @@
-"""A count that only grows (a state-based CRDT), by gateway and incarnation: how much of something the fleet did.
+"""A grow-only counter (a state-based CRDT) with an entry for each gateway and incarnation, summed over the fleet.
 
-Two states merge to the larger of each entry, and of each gateway the last incarnations stay. Any order of merges,
-doubled or partly lost, therefore gives the same; a gateway that restarts without memory begins a new entry and takes
-nothing away; and the table does not grow with restarts. What a gateway did since it was last heard is not known, so a
-count is read as an interval.
+Merging two states keeps the larger of each entry, and only the latest incarnations of each gateway. The result
+therefore doesn't depend on the order of merges or on repeated merges; a gateway that restarts without memory begins a
+new entry and subtracts nothing; and the table doesn't grow with restarts. What a gateway did since it was last heard is
+unknown, so a count is read as an interval.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-INCARNATIONS_PER_GATEWAY = 2  # the present one and the one before, whose last messages may come after it
-MAX_GATEWAYS = 64  # of one count; beyond it those heard longest ago go, and `at_least` says less
+INCARNATIONS_PER_GATEWAY = 2  # the current one and the previous one, whose last messages may arrive late
+MAX_GATEWAYS = 64  # of one counter; beyond it the gateways heard longest ago are dropped, which lowers `at_least`
 
 
 @dataclass(frozen=True, slots=True)
 class CounterEntry:
-    """What one gateway said of itself.
+    """The count that one incarnation of a gateway reported about itself.
 
     Parameters
     ----------
     value
-        How much the incarnation did so far.
+        The incarnation's count so far.
     at
-        When that was true, on the clock of whoever keeps the count.
+        Time of that count, on the clock of the gateway that keeps the entry.
     """
 
     gateway_id: int
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CountInterval:
-    """Bounds of a count, over each gateway's last incarnations.
+    """Bounds of the fleet's count, over the latest incarnations of each gateway.
 
     Parameters
     ----------
     at_least
-        The sum of what was heard.
+        Sum of the entries.
     at_most
-        If each gateway went on as fast as it may since; infinite where one that takes part was not heard.
+        Sum if each gateway has counted at its highest rate since its entry; infinite if a participant is unheard.
     age_s
-        Age of the oldest entry, short by the delay of its datagrams.
+        Age of the oldest entry, not counting the delay of the datagrams that carried it.
     heard, unheard
-        Gateways that take part and were, and were not, heard.
+        Number of participants with an entry, and without one.
     """
 
     at_least: float
@@ -58,25 +58,25 @@
 
 @dataclass(slots=True)
 class GrowOnlyCounter:
-    """A count; entries: by gateway, those of its incarnations from the latest on."""
+    """The counter; `entries` holds each gateway's entries by gateway number, the latest incarnation first."""
 
     entries: dict[int, tuple[CounterEntry, ...]] = field(default_factory=dict)
 
-    def merge(self, news: Iterable[CounterEntry]) -> bool:
-        """Merge entries; return whether any said more than was known."""
-        said_more = False
-        for entry in news:
-            said_more |= self._merge_entry(entry)
+    def merge(self, received: Iterable[CounterEntry]) -> bool:
+        """Merge entries; return whether any of them changed the counter."""
+        has_changed_any = False
+        for entry in received:
+            has_changed_any |= self._merge_entry(entry)
         while len(self.entries) > MAX_GATEWAYS:
             del self.entries[min(self.entries, key=lambda gateway_id: (self.entries[gateway_id][0].at, gateway_id))]
-        return said_more
+        return has_changed_any
 
     def _merge_entry(self, entry: CounterEntry) -> bool:
         by_incarnation = {known.incarnation: known for known in self.entries.get(entry.gateway_id, ())}
         known = by_incarnation.get(entry.incarnation)
         if known is not None and (known.value, known.at) >= (entry.value, entry.at):
             return False
-        by_incarnation[entry.incarnation] = entry  # the larger value; of equal ones the later time
+        by_incarnation[entry.incarnation] = entry  # the larger value, or the later time for equal values
         latest_first = sorted(by_incarnation.values(), key=lambda known: -known.incarnation)
         kept = tuple(latest_first[:INCARNATIONS_PER_GATEWAY])
         has_changed = kept != self.entries.get(entry.gateway_id)
@@ -91,9 +91,9 @@
         now
             Time in seconds on the clock of the entries.
         participants
-            Gateways that take part.
+            Number of participating gateways.
         rate, burst
-            What one of them may do at most, a second and at once.
+            The most that one of them may count, per second and at once.
         """
         at_least = sum(entry.value for entries in self.entries.values() for entry in entries)
         ages_s = [max(0.0, now - entries[0].at) for entries in self.entries.values()]
--- a/fawnspool/gossip/messages.py
+++ b/fawnspool/gossip/messages.py
@@ -2,15 +2,15 @@
 
     body = u8 0xB5, u8 type, u32 settings fingerprint, then rows
 
-    1 PARTICIPATION       to a registrar: this gateway serves these volumes. Usage rows: u64 volume, u16 gateway,
-                          u32 incarnation, f32 units that it has sent so far, u16 age (10 ms); the gateway is the sender
-    2 PARTICIPANTS_QUERY  the same, and it wants to know who else does
+    1 PARTICIPATION       to a registrar: the sender serves these volumes. Usage rows: u64 volume, u16 gateway (the
+                          sender), u32 incarnation, f32 units that it has sent so far, u16 age (10 ms)
+    2 PARTICIPANTS_QUERY  the same, and a request for the volumes' other participants
     3 PARTICIPANTS        a registrar's answer: usage rows of other gateways
-    4 EVIDENCE            about nodes. Evidence rows: u32 node, u16 gateway whose evidence it is, u8 verdict,
+    4 EVIDENCE            health evidence about nodes. Evidence rows: u32 node, u16 gateway that found it, u8 verdict,
                           u8 failures, u16 age (10 ms)
 
-The leading byte tells these bodies from those about leases (0xD0) and the scheduler's own (1, 2). What can't be decoded
-is counted and dropped.
+The leading byte distinguishes these bodies from lease messages (0xD0) and the scheduler's own (1, 2). Bodies that can't
+be decoded are counted and dropped.
 """
 
 from __future__ import annotations
@@ -41,45 +41,45 @@
 
 
 class HealthVerdict(IntEnum):
-    """What a gateway found of a node, as on the wire."""
+    """A gateway's verdict about a node's health, as on the wire."""
 
     HEALTHY = 0
-    UNRESPONSIVE = 1  # it gives no answer
-    UNREACHABLE = 2  # it takes no connection, and may have restarted by the time it does
+    UNRESPONSIVE = 1  # it does not answer
+    UNREACHABLE = 2  # it accepts no connection; once it does again, it may have restarted
 
 
 class GossipMessageError(Exception):
-    """A datagram body is no gossip message."""
+    """A datagram body is not a valid gossip message."""
 
     @classmethod
     def of_length(cls, size: int) -> GossipMessageError:
-        """Return the error for a body of a length that no message has."""
-        return cls(f"{size} bytes")
+        """Return the error for a body that is shorter than a header or longer than the maximum."""
+        return cls(f"body of {size} bytes is too short or too long")
 
     @classmethod
     def of_type(cls, message_type: int, leading_byte: int) -> GossipMessageError:
         """Return the error for an unknown leading byte or message type."""
-        return cls(f"kind {message_type} behind {leading_byte:#x}")
+        return cls(f"unknown message type {message_type} with leading byte {leading_byte:#x}")
 
     @classmethod
     def of_rows(cls, size: int, message_type: int) -> GossipMessageError:
-        """Return the error for rows that are cut short."""
-        return cls(f"{size} bytes of kind {message_type}")
+        """Return the error for a body whose last row is incomplete."""
+        return cls(f"body of {size} bytes does not hold whole rows of message type {message_type}")
 
     @classmethod
     def of_verdict(cls) -> GossipMessageError:
         """Return the error for a verdict that does not exist."""
-        return cls("an unknown verdict")
+        return cls("unknown health verdict")
 
     @classmethod
     def of_units(cls) -> GossipMessageError:
-        """Return the error for units that are negative, infinite or no number."""
-        return cls("a count that is no number")
+        """Return the error for units that are negative, too large or not a number."""
+        return cls("units are negative, too large or not a number")
 
 
 @dataclass(frozen=True, slots=True)
 class UsageRow:
-    """Units that one incarnation of a gateway has sent of a volume."""
+    """Units of a volume that one incarnation of a gateway has sent."""
 
     volume: int
     gateway_id: int
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvidenceRow:
-    """What one gateway found of a node."""
+    """One gateway's finding about a node."""
 
     node: int
     gateway_id: int
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """One datagram; its rows are of the kind that the type has."""
+    """One datagram; the message type determines the type of its rows."""
 
     type: GossipMessageType
     fingerprint: int
@@ -112,7 +112,7 @@
 
 
 def max_rows(message_type: GossipMessageType) -> int:
-    """Return the rows that fit into one body."""
+    """Return how many rows of a message type fit into one body."""
     row = _EVIDENCE if message_type is GossipMessageType.EVIDENCE else _USAGE
     return (MAX_BODY_BYTES - _HEADER.size) // row.size
 
@@ -137,19 +137,19 @@
     Raises
     ------
     GossipMessageError
-        If the body is no gossip message.
+        If the body is not a valid gossip message.
     """
     if len(body) < _HEADER.size or len(body) > MAX_BODY_BYTES:
         raise GossipMessageError.of_length(len(body))
-    leading, message_type, fingerprint = _HEADER.unpack_from(body)
-    if leading != LEADING_BYTE or message_type not in GossipMessageType._value2member_map_:
-        raise GossipMessageError.of_type(message_type, leading)
+    leading_byte, message_type, fingerprint = _HEADER.unpack_from(body)
+    if leading_byte != LEADING_BYTE or message_type not in GossipMessageType._value2member_map_:
+        raise GossipMessageError.of_type(message_type, leading_byte)
     is_evidence = message_type == GossipMessageType.EVIDENCE
-    form = _EVIDENCE if is_evidence else _USAGE
+    row_struct = _EVIDENCE if is_evidence else _USAGE
     rows_size = len(body) - _HEADER.size
-    if rows_size % form.size:
+    if rows_size % row_struct.size:
         raise GossipMessageError.of_rows(len(body), message_type)
-    raw_rows = form.iter_unpack(body[_HEADER.size :])
+    raw_rows = row_struct.iter_unpack(body[_HEADER.size :])
     read_row = _read_evidence if is_evidence else _read_usage
     rows = tuple(read_row(*raw_row) for raw_row in raw_rows)
     return GossipMessage(GossipMessageType(message_type), fingerprint, rows)
--- a/fawnspool/gossip/settings.py
+++ b/fawnspool/gossip/settings.py
@@ -1,6 +1,6 @@
 """Settings that gossiping gateways must share.
 
-Every message carries a fingerprint of them: what a gateway with other settings says has another meaning, so it is
+Every message carries a fingerprint of them. A message from a gateway with other settings would be misread, so it is
 dropped as foreign.
 """
 
@@ -12,8 +12,8 @@
 
 import xxhash
 
-REGISTRARS_PER_VOLUME = 2  # one may be down, or cut off
-MAX_VOLUMES_PER_ROUND = 4  # that a gateway speaks of, or answers about as a registrar: bounds its bytes
+REGISTRARS_PER_VOLUME = 2  # two, as one may be down or cut off
+MAX_VOLUMES_PER_ROUND = 4  # volumes that a gateway sends, or answers as a registrar: bounds its traffic
 
 
 @dataclass(frozen=True)
@@ -27,11 +27,11 @@
     interval_s
         Seconds between two rounds.
     evidence_ttl_s
-        Seconds after which what was heard of a node is no evidence any more.
+        Seconds after which a finding about a node expires.
     max_ejected_fraction
         Fraction of the nodes that may be ejected on others' evidence.
     quorum_fraction
-        Fraction of the gateways that must find a node bad; more than may be wrong at once, or lie.
+        Fraction of the gateways that must find a node bad; set it above the fraction that may be wrong or lie at once.
     """
 
     gateway_count: int
@@ -42,12 +42,12 @@
 
     @cached_property
     def fingerprint(self) -> int:
-        """Checksum of the settings that must agree. It stands in messages, so its form is fixed."""
+        """Checksum of the settings that must agree; messages carry it, so its computation must not change."""
         return zlib.crc32(repr((self.gateway_count, self.interval_s, self.evidence_ttl_s)).encode())
 
     def registrars(self, volume: int) -> tuple[int, ...]:
-        """Return the gateways that register who serves a volume; all gateways draw the same ones by its number."""
-        drawn = xxhash.xxh3_64_intdigest(volume.to_bytes(8, "big"))
-        first = drawn % self.gateway_count
-        step = 1 + (drawn >> 32) % max(1, self.gateway_count - 1)
+        """Return the registrars of a volume's participants; all gateways derive the same ones from its number."""
+        volume_hash = xxhash.xxh3_64_intdigest(volume.to_bytes(8, "big"))
+        first = volume_hash % self.gateway_count
+        step = 1 + (volume_hash >> 32) % max(1, self.gateway_count - 1)
         return tuple(dict.fromkeys((first + n * step) % self.gateway_count for n in range(REGISTRARS_PER_VOLUME)))
--- a/fawnspool/gossip/volume_participants.py
+++ b/fawnspool/gossip/volume_participants.py
@@ -1,7 +1,8 @@
-"""Who serves a volume, and how much of it: each gateway says it of itself to the volume's registrars.
+"""Volume participants: each gateway reports the volumes that it serves, and its use of them, to their registrars.
 
-It asks them who else does when it lacks units of a limit that others may have. Nothing is granted here: a message that
-is lost, late, doubled or wrong makes a gateway ask the wrong ones for a while.
+When a gateway lacks units of a limit that other gateways may have, it queries the registrars for the other
+participants. Nothing is granted here: after a lost, late, duplicate or wrong message, a gateway only asks the wrong
+gateways for units for a while.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 from fawnspool.gossip.settings import MAX_VOLUMES_PER_ROUND, GossipSettings
 from fawnspool.scheduling.interface import VolumeParticipants
 
-ANNOUNCE_INTERVAL_S = 8.0  # between two announcements of a volume, where they all find room
-DEMAND_SMOOTHING_S = 0.5  # a surge is seen within, one request is none
+ANNOUNCE_INTERVAL_S = 8.0  # between two announcements of a volume, if all volumes fit into the rounds
+DEMAND_SMOOTHING_S = 0.5  # time constant: a surge shows within it, while a single request is no surge
 QUERY_INTERVAL_S = 2.0  # between two queries about a volume that lacks units
-FIRST_QUERY_INTERVAL_S = QUERY_INTERVAL_S / 8  # while no other participant is known
-LACKING_S = 1.0  # for which a volume counts as lacking since its demand was last over its part
+FIRST_QUERY_INTERVAL_S = QUERY_INTERVAL_S / 8  # between two such queries while no other participant is known
+LACKING_S = 1.0  # how long a volume counts as lacking units after its demand last exceeded its part
 INCARNATION_MASK = 0xFFFFFFFF
 NEVER = float("-inf")
 
 _Rows = dict[tuple[int, GossipMessageType], list[UsageRow]]  # by registrar and type
-_Named = dict[int, set[int]]  # by volume, the other gateways that serve it
+_Participants = dict[int, set[int]]  # other gateways that serve a volume, by volume
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,9 +38,9 @@
     Parameters
     ----------
     participants
-        Gateways that share it.
+        Number of gateways that share the limit.
     rate, burst
-        Units a second, and at once.
+        Units per second, and at once.
     """
 
     participants: int
@@ -51,7 +52,7 @@
 class _Volume:
     """A volume that this gateway serves.
 
-    used: units served in this incarnation; demand: units a second asked for here, smoothed, as of demand_at.
+    `used`: units served in this incarnation; `demand`: smoothed requested units per second, as of `demand_at`.
     """
 
     limit: VolumeLimit
@@ -64,7 +65,7 @@
     others: GrowOnlyCounter = field(default_factory=GrowOnlyCounter)
 
     def record_demand(self, now: float, units: float) -> bool:
-        """Note units that are asked for; return whether the demand is over this gateway's even part."""
+        """Record requested units; return whether the demand exceeds this gateway's even part of the limit."""
         decay = math.exp((self.demand_at - now) / DEMAND_SMOOTHING_S)
         self.demand = self.demand * decay + units / DEMAND_SMOOTHING_S
         self.demand_at = now
@@ -84,7 +85,7 @@
     Parameters
     ----------
     incarnation
-        It rises with each start of the gateway.
+        Number that rises with each start of the gateway.
     """
 
     def __init__(self, settings: GossipSettings, gateway_id: int, incarnation: int, seed: int) -> None:
@@ -92,18 +93,18 @@
         self.gateway_id = gateway_id
         self.incarnation = incarnation & INCARNATION_MASK
         self.random = Random(f"{seed}-{incarnation}-takers")
-        self.volumes: OrderedDict[int, _Volume] = OrderedDict()  # the one announced longest ago first
+        self.volumes: OrderedDict[int, _Volume] = OrderedDict()  # least recently announced first
         self.registry = ParticipantRegistry(self.random)
-        self._lacking: OrderedDict[int, None] = OrderedDict()
+        self._lacking_volumes: OrderedDict[int, None] = OrderedDict()
 
     def record_demand(self, now: float, volume: int, limit: VolumeLimit, units: float) -> None:
-        """Note that units of a volume are asked for at this gateway."""
+        """Record requested units of a volume at this gateway."""
         state = self._volume(volume, limit)
         if state.record_demand(now, units):
-            self._lacking[volume] = None
+            self._lacking_volumes[volume] = None
 
     def record_used(self, volume: int, units: float) -> None:
-        """Note that units were served."""
+        """Record served units of a volume."""
         state = self.volumes.get(volume)
         if state is not None:
             state.used += units
@@ -113,7 +114,7 @@
         if state is None:
             while len(self.volumes) >= MAX_VOLUMES:
                 dropped, _ = self.volumes.popitem(last=False)
-                self._lacking.pop(dropped, None)
+                self._lacking_volumes.pop(dropped, None)
             state = self.volumes[volume] = _Volume(limit)
             self.volumes.move_to_end(volume, last=False)  # to be announced in the next round
         if limit.participants > state.limit.participants:
@@ -132,96 +133,107 @@
                 continue
             if self.gateway_id not in self.settings.registrars(row.volume):
                 continue
-            count = self.registry.register(now, row)
+            counter = self.registry.register(now, row)
             if message.type is GossipMessageType.PARTICIPANTS_QUERY:
-                answers += self.registry.answer(now, row.volume, sender, count)
+                answers += self.registry.answer(now, row.volume, sender, counter)
         return self._send(sender, GossipMessageType.PARTICIPANTS, answers)
 
     def _learn_participants(self, now: float, message: GossipMessage) -> list[GossipAction]:
-        named: _Named = {}
+        participants_by_volume: _Participants = {}
         for row in message.rows:
             if not isinstance(row, UsageRow) or not self._is_other(row.gateway_id) or row.volume not in self.volumes:
                 continue
             others = self.volumes[row.volume].others
             others.merge([counter_entry(now, row)])
-            named[row.volume] = set(others.entries)
-        return _participants(named)
+            participants_by_volume[row.volume] = set(others.entries)
+        return _participant_events(participants_by_volume)
 
     def _is_other(self, gateway_id: int) -> bool:
         return gateway_id != self.gateway_id and gateway_id < self.settings.gateway_count
 
-    def _send(self, recipient: int, kind: GossipMessageType, rows: list[UsageRow]) -> list[GossipAction]:
-        size = max_rows(kind)
+    def _send(self, recipient: int, message_type: GossipMessageType, rows: list[UsageRow]) -> list[GossipAction]:
+        size = max_rows(message_type)
         return [
-            SendGossip(recipient, GossipMessage(kind, self.settings.fingerprint, tuple(rows[start : start + size])))
+            SendGossip(
+                recipient, GossipMessage(message_type, self.settings.fingerprint, tuple(rows[start : start + size]))
+            )
             for start in range(0, len(rows), size)
         ]
 
     # ------------------------------------------------------------ time
 
     def run_round(self, now: float) -> list[GossipAction]:
-        """Speak of volumes that lack units, then of those not announced for the longest, as many as a round holds."""
+        """Query for volumes that lack units, then announce the least recently announced ones, up to a round's limit."""
         rows: _Rows = {}
-        named: _Named = {}
+        participants_by_volume: _Participants = {}
         self.registry.start_round()
-        queries = self._query_lacking(now, rows, named)
-        self._announce(now, MAX_VOLUMES_PER_ROUND - queries, rows, named)
-        actions = _participants(named)
-        for (registrar, kind), some in rows.items():
-            actions += self._send(registrar, kind, some)
+        queries = self._add_queries(now, rows, participants_by_volume)
+        self._add_announcements(now, MAX_VOLUMES_PER_ROUND - queries, rows, participants_by_volume)
+        actions = _participant_events(participants_by_volume)
+        for (registrar, message_type), volume_rows in rows.items():
+            actions += self._send(registrar, message_type, volume_rows)
         return actions
 
-    def _query_lacking(self, now: float, rows: _Rows, named: _Named) -> int:
-        """Query about volumes that lack units, in half of the round; return how many."""
-        self._lacking = OrderedDict(
-            (volume, None) for volume in self._lacking if now - self.volumes[volume].lacked_at < LACKING_S
+    def _add_queries(self, now: float, rows: _Rows, participants_by_volume: _Participants) -> int:
+        """Add queries about volumes that lack units, up to half of the round's limit; return how many."""
+        self._lacking_volumes = OrderedDict(
+            (volume, None) for volume in self._lacking_volumes if now - self.volumes[volume].lacked_at < LACKING_S
         )
         queries = 0
-        for volume in list(self._lacking):
+        for volume in list(self._lacking_volumes):
             state = self.volumes[volume]
             if state.others.entries:
-                # Named again, as the scheduler forgets participants that had nothing to lend.
-                named[volume] = set(state.others.entries)
+                # Reported again, as the scheduler forgets participants that had nothing to lend.
+                participants_by_volume[volume] = set(state.others.entries)
             if queries < MAX_VOLUMES_PER_ROUND // 2 and state.is_query_due(now):
-                self._lacking.move_to_end(volume)
+                self._lacking_volumes.move_to_end(volume)
                 state.queried_at = now
-                self._speak_of(now, volume, GossipMessageType.PARTICIPANTS_QUERY, rows, named)
+                self._add_rows(now, volume, GossipMessageType.PARTICIPANTS_QUERY, rows, participants_by_volume)
                 queries += 1
         return queries
 
-    def _announce(self, now: float, room: int, rows: _Rows, named: _Named) -> None:
-        for _ in range(room):
+    def _add_announcements(
+        self, now: float, max_announcements: int, rows: _Rows, participants_by_volume: _Participants
+    ) -> None:
+        for _ in range(max_announcements):
             if not self.volumes:
                 return
             volume, state = next(iter(self.volumes.items()))
             if now - state.announced_at < ANNOUNCE_INTERVAL_S:
                 return
-            self._speak_of(now, volume, GossipMessageType.PARTICIPATION, rows, named)
-
-    def _speak_of(self, now: float, volume: int, kind: GossipMessageType, rows: _Rows, named: _Named) -> None:
-        """Add a volume to the rows for its registrars; where this gateway is one, register it here."""
+            self._add_rows(now, volume, GossipMessageType.PARTICIPATION, rows, participants_by_volume)
+
+    def _add_rows(
+        self,
+        now: float,
+        volume: int,
+        message_type: GossipMessageType,
+        rows: _Rows,
+        participants_by_volume: _Participants,
+    ) -> None:
+        """Add a volume to the rows for its registrars; if this gateway is one of them, register the volume here."""
         state = self.volumes[volume]
         state.announced_at = now
         self.volumes.move_to_end(volume)
         row = UsageRow(volume, self.gateway_id, self.incarnation, state.used, 0.0)
         for registrar in self.settings.registrars(volume):
             if registrar != self.gateway_id:
-                rows.setdefault((registrar, kind), []).append(row)
+                rows.setdefault((registrar, message_type), []).append(row)
                 continue
-            count = self.registry.register(now, row)
-            if kind is GossipMessageType.PARTICIPANTS_QUERY and len(count.entries) > 1:
+            counter = self.registry.register(now, row)
+            if message_type is GossipMessageType.PARTICIPANTS_QUERY and len(counter.entries) > 1:
                 state.others.merge(
                     entry
-                    for entries in count.entries.values()
+                    for entries in counter.entries.values()
                     for entry in entries
                     if entry.gateway_id != self.gateway_id
                 )
-                named[volume] = set(state.others.entries)
+                participants_by_volume[volume] = set(state.others.entries)
 
     # ------------------------------------------------------------ status
 
     def interval(self, now: float, volume: int) -> CountInterval | None:
-        """Return how many units the fleet has sent of a volume, as far as this gateway knows."""
+        """Return bounds of the units of a volume that the fleet has sent, or None for an unknown volume."""
         state = self.volumes.get(volume)
         if state is None:
             return None
@@ -230,5 +242,5 @@
         return fleet.interval(now, state.limit.participants, state.limit.rate, state.limit.burst)
 
 
-def _participants(named: _Named) -> list[GossipAction]:
-    return [VolumeParticipants(volume, tuple(sorted(gateways))) for volume, gateways in named.items()]
+def _participant_events(participants_by_volume: _Participants) -> list[GossipAction]:
+    return [VolumeParticipants(volume, tuple(sorted(gateways))) for volume, gateways in participants_by_volume.items()]
