--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -1,4 +1,4 @@
-"""The work of a `drain` role: moves extents off the shards that operators drain. `leases/drain.py` decides."""
+"""Work of a `drain` role: moves extents off the shards that operators drain, as `leases/drain.py` decides."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 from fawnspool.leases.drain import MoveRateLimiter, RetrySchedule, target_shard
 from fawnspool.scheduling import interface
 
-ANY_NODE = "any node"  # as a dependency of a role: one that is away is its own affair, all of them is this gateway's
+# Name of the nodes as a dependency of a role: one unreachable node has a fault of its own; if all are unreachable, the
+# fault is this gateway's.
+ANY_NODE = "any node"
 NEVER = float("-inf")
-MOVE_TIMEOUTS = 2  # calls' timeouts that one move may take
+MOVE_TIMEOUTS = 2  # longest duration of one move, in timeouts of a call
 
 
 class DrainWorker:
-    """Work of one lease."""
+    """Does the drain work of one lease."""
 
     def __init__(self, context: RoleContext, lease: HeldLease) -> None:
         kind = lease.kind
@@ -30,7 +32,7 @@
         self.limiter = MoveRateLimiter(kind.moves / kind.shards, kind.bytes / kind.shards, kind.busy)
         self.retries = RetrySchedule()
         self.moved_count = 0
-        self._fenced_nodes: set[tuple[str, int]] = set()  # that have seen this holder's token
+        self._fenced_nodes: set[tuple[str, int]] = set()  # addresses of nodes that have seen this holder's token
         self._reported_at = NEVER
         self._migrator = Migrator(
             lambda shard: context.shard_addresses().get(shard),
@@ -52,7 +54,7 @@
             self._drain_once(drained)
 
     def _drain_once(self, drained: set[int]) -> None:
-        """Try to move each extent that lies on a drained shard."""
+        """Try to move each extent on a drained shard."""
         remaining = [record for record in self.context.extents_of(self.lease) if record.shard in drained]
         self._report(len(remaining))
         moved_before = self.moved_count
@@ -80,7 +82,7 @@
         extent = ExtentKey(record.volume, record.extent)
         if not self.retries.is_due(time.monotonic(), extent):
             return
-        present = self.context.directory.map.find(*extent)  # a move, or a delete, may have come meanwhile
+        present = self.context.directory.map.find(*extent)  # the extent may have been moved or deleted meanwhile
         if present is None or present.shard != record.shard:
             return
         self._wait_for_rate(present.size)
@@ -120,12 +122,12 @@
         self.retries.record_failure(time.monotonic(), extent)
 
     def _show_token(self, shard: int) -> bool:
-        """Show the token to a shard's node, once; return whether the node has taken it.
+        """Show the token to a shard's node, once; return whether the node has accepted it.
 
         Raises
         ------
         StaleTokenError
-            If a newer holder was there.
+            If the node has seen a newer holder's token.
         """
         address = self.context.shard_addresses().get(shard)
         if address is None:
@@ -136,16 +138,16 @@
         return address in self._fenced_nodes
 
     def _target(self, record: ExtentRecord, drained: set[int]) -> int | None:
-        """Return the shard that an extent moves to: a predecessor's if it has fenced the extent for it."""
-        seen = self._migrator.replicas.look(record.shard, ExtentKey(record.volume, record.extent))
+        """Return the shard to move an extent to: an earlier holder's target if that holder has fenced the extent."""
+        source_report = self._migrator.replicas.look(record.shard, ExtentKey(record.volume, record.extent))
         next_generation = record.stamp.generation + 1
         if (
-            seen is not None
-            and seen.role is ReplicaRole.FENCED
-            and seen.successor != NO_SUCCESSOR
-            and seen.generation == next_generation
+            source_report is not None
+            and source_report.role is ReplicaRole.FENCED
+            and source_report.successor != NO_SUCCESSOR
+            and source_report.generation == next_generation
         ):
-            return seen.successor
+            return source_report.successor
         return target_shard(record.volume, record.extent, _ready_shards(self.context.view.nodes()) - drained)
 
 
@@ -154,4 +156,4 @@
 
 
 def _ready_shards(nodes: dict[int, Any]) -> set[int]:
-    return {known.shard for known in nodes.values() if known.phase is interface.Phase.READY}
+    return {node.shard for node in nodes.values() if node.phase is interface.Phase.READY}
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -1,7 +1,7 @@
-"""Where extents are, as this gateway knows it: its extent map, kept current by a watch of the map service.
+"""This gateway's directory of extents: an extent map, kept current by a watch of the map service.
 
-Carries out what `extents/staleness.py` chooses for records that may be stale, and applies to `extents/map.py` what the
-watch, calls and nodes report.
+The directory handles records that may be stale as `extents/staleness.py` decides, and applies the reports of the watch,
+of calls of the map service and of nodes to the map (`extents/map.py`).
 """
 
 from __future__ import annotations
@@ -32,38 +32,39 @@
 from fawnspool.telemetry.logs import EventLogger
 
 MAX_PARTITIONS = 4096
-STALE_HEARTBEATS = 2  # the map counts as stale after so many heartbeat intervals without one
+STALE_HEARTBEATS = 2  # heartbeat intervals without a heartbeat after which the map counts as stale
 
 
 class PartitionCountError(ValueError):
-    """The service named an impossible number of partitions."""
+    """The map service reported an invalid number of partitions."""
 
     def __init__(self, count: int) -> None:
-        super().__init__(f"a map of {count} shards")
+        super().__init__(f"invalid number of partitions: {count}")
 
 
 class ExtentLocation(NamedTuple):
-    """Where an extent is, and its size in bytes."""
+    """Shard of an extent, and the extent's size in bytes."""
 
     shard: int
     size: int
 
 
 class ExtentDirectory:
-    """Finds extents, from the map or by asking the map service. Call `start` before the first `find`.
+    """Finds extents in the map or by calls of the map service. Call `start` before the first `find`.
 
     Parameters
     ----------
     source
-        The map service: a `MapClient`, whose service is also watched, or one in this process, which is asked each time.
+        The map service: a `MapClient`, whose service is also watched, or a service in this process, which is called for
+        each request.
     staleness
-        Chooses when a record counts as stale; made for one partition.
+        Decides when a record counts as stale; created for one partition.
     log
         Logger.
     watching
-        False: no watch is held, and a known record is used until a node reports otherwise.
+        If False, no watch is opened, and a known record is used until a node reports otherwise.
     checkpoint
-        Files of the map, if it is to be saved.
+        Saves the map to files; None to keep it in memory only.
     """
 
     def __init__(
@@ -80,15 +81,15 @@
         self.log = log
         self.watching = watching
         self.checkpoint = checkpoint
-        self.watch = self._watch_of(source) if isinstance(source, MapClient) else None
+        self.watch = self._create_watch(source) if isinstance(source, MapClient) else None
         self.map = ExtentMap.empty(1)
         self.cached_answers = 0
         self.lookups = 0
         self.misdirected_sends = 0
         self._stopped = False
-        self._notified_at: list[float] = [time.monotonic()]  # by partition, monotonic
+        self._notified_at: list[float] = [time.monotonic()]  # monotonic time of the last notification, by partition
 
-    def _watch_of(self, client: MapClient) -> MapWatch:
+    def _create_watch(self, client: MapClient) -> MapWatch:
         heartbeat_interval_s = self.staleness.settings.heartbeat_interval_s
         return MapWatch(client.address, client.timeout_s, heartbeat_interval_s, self, self.log)
 
@@ -122,18 +123,18 @@
     # ------------------------------------------------------------ state
 
     def age_s(self) -> float:
-        """Return the seconds since the map was last known to be complete; infinite if it never was."""
+        """Return the seconds since the map was last known to be complete; infinite if it was never complete."""
         if self.watch is None:
             return 0.0
         return self.staleness.age_s(time.monotonic())
 
     def stale_for_s(self) -> float:
-        """Return the map's age if its watch has missed heartbeats, and 0 if the map is current."""
+        """Return the map's age if the watch has missed heartbeats, and 0 if the map is current."""
         age_s = self.age_s()
         return age_s if age_s > STALE_HEARTBEATS * self.staleness.settings.heartbeat_interval_s else 0.0
 
     def reachable(self) -> bool:
-        """Does the map service answer, as far as is known?"""
+        """Return whether the map service answers, as far as is known."""
         return self.watch is None or self.watch.reachable
 
     def status(self) -> dict[str, Any]:
@@ -158,16 +159,16 @@
             self.watch.watch(True)
 
     def positions(self) -> Sequence[LogPosition]:
-        """Return up to where each partition is complete."""
+        """Return the log position up to which each partition is complete."""
         return [partition.complete_to for partition in self.map.partitions]
 
     def watch_began(self, partition_count: int) -> None:
-        """Note the number of partitions; if it is another one, nothing of the present map can be used.
+        """Accept the number of partitions; if it changed, start again with an empty map.
 
         Raises
         ------
         PartitionCountError
-            If it is impossible.
+            If the number is out of range.
         """
         if not 1 <= partition_count <= MAX_PARTITIONS:
             raise PartitionCountError(partition_count)
@@ -188,7 +189,7 @@
         Raises
         ------
         DeltaError
-            If it contradicts itself or the map.
+            If the delta contradicts itself or the map.
         """
         now = time.monotonic()
         previous = self.map
@@ -201,7 +202,7 @@
         self._save(delta, previous)
 
     def heartbeat_received(self) -> None:
-        """Note that the watch stands: all that was received still holds."""
+        """Record a heartbeat of the watch, which confirms that all received records still hold."""
         now = time.monotonic()
         for number, partition in enumerate(self.map.partitions):
             self.staleness.notified(now, number, partition.gap is None)
@@ -209,13 +210,13 @@
             self.checkpoint.mark_complete(self.map)
 
     def watch_lost(self) -> float:
-        """Note that the watch ended; return the seconds until the next."""
+        """Record that the watch ended; return the seconds until the next watch."""
         return self.staleness.watch_lost(time.monotonic())
 
     # ------------------------------------------------------------ requests
 
     def find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
-        """Return where an extent is, or None if there is none.
+        """Return the location of an extent, or None if the extent does not exist.
 
         Parameters
         ----------
@@ -224,43 +225,43 @@
         deadline
             Monotonic time by which the request ends.
         fresh
-            Ask the service, whatever the map says.
+            Call the map service even if the map has the record.
 
         Raises
         ------
         MapServiceError
-            If the service has to be asked and can't be.
+            If a call of the map service is needed and fails.
         """
         record = None if fresh or self.watch is None else self.map.find(volume, key)
-        if record is None:  # unknown to the map: it may have been created a moment ago
+        if record is None:  # not in the map, but it may have been created a moment ago
             return _location(self._look_up(volume, key, deadline))
         now = time.monotonic()
-        choice = self._choose(now, volume, key, deadline)
+        choice = self._choose_lookup(now, volume, key, deadline)
         if choice is LookupChoice.LOOK_UP_CONCURRENTLY:
             min_backoff_s = self.staleness.settings.min_backoff_s
             gevent.spawn(self._look_up_quietly, volume, key, now + min_backoff_s)
         elif choice is LookupChoice.LOOK_UP_FIRST:
             timeout_s = self.staleness.lookup_timeout_s(deadline - now)
-            with contextlib.suppress(MapServiceError):  # without an answer the last good map holds
+            with contextlib.suppress(MapServiceError):  # without an answer the map's record is used
                 return _location(self._look_up(volume, key, now + timeout_s))
         self.cached_answers += 1
         return _location(record)
 
-    def _choose(self, now: float, volume: str, key: str, deadline: float) -> LookupChoice:
+    def _choose_lookup(self, now: float, volume: str, key: str, deadline: float) -> LookupChoice:
         if not self.watching:
             return LookupChoice.USE_RECORD
         return self.staleness.choose(now, self.map, volume, key, deadline - now)
 
     def _look_up(self, volume: str, key: str, deadline: float) -> ExtentRecord | None:
         self.lookups += 1
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         partition = partition_of(volume, len(self.map.partitions))
         try:
             record = self._source_until(deadline).find_record(volume, key)
         except MapServiceError:
             self.staleness.lookup_failed(time.monotonic(), partition, volume, key)
             raise
-        self.staleness.lookup_answered(volume, key, time.monotonic() - began_at)
+        self.staleness.lookup_answered(volume, key, time.monotonic() - started_at)
         if record is not None:
             self._merge(record)
         return record
@@ -275,7 +276,7 @@
         return self.source
 
     def _merge(self, record: ExtentRecord) -> None:
-        """Merge a record that a call or a node reported; the watch will report it too."""
+        """Merge a record from a call or a node; the watch will report it later too."""
         if self.watch is None:
             return
         previous = self.map
@@ -287,7 +288,7 @@
             self.checkpoint.save_change(change, self.map)
 
     def record_send(self, found: bool, lost_s: float) -> None:
-        """Note that a send found its extent, or did not and lost so many seconds."""
+        """Record whether a send found its extent, and the seconds lost if it did not."""
         if not found:
             self.misdirected_sends += 1
         self.staleness.record_send(found, lost_s)
@@ -298,9 +299,9 @@
         return NO_GENERATION if record is None else record.stamp.generation
 
     def redirected(self, volume: str, key: str, shard: int, generation: int) -> ExtentLocation:
-        """Note that a node redirected a request; return where the extent went.
+        """Record a node's redirect of a request; return the extent's new location.
 
-        The service's own record of that generation will be later than this one.
+        The map service's own record of that generation counts as later and will replace the record made here.
         """
         record = self.map.find(volume, key)
         size = 0 if record is None else record.size
@@ -309,17 +310,17 @@
         return ExtentLocation(shard, size)
 
     def record_write(self, write: ExtentWrite, deadline: float) -> bool:
-        """Note a write; `deadline` is the monotonic time by which the call ends.
+        """Record a write in the map; `deadline` is the monotonic time by which the call ends.
 
         Returns
         -------
         bool
-            False if the extent must be new, and another write came first.
+            False if the extent must be new but another write created it first.
 
         Raises
         ------
         MapServiceError
-            If the service can't be asked.
+            If the call of the map service fails.
         """
         current = self.map.find(write.volume, write.extent)
         is_known = current is not None and (current.shard, current.size) == (write.shard, write.size)
@@ -347,9 +348,9 @@
 def _migrations_in(
     delta: MapDelta, previous: ExtentMap, partition: Partition, span_s: float
 ) -> MigrationObservation | None:
-    """Return how many extents a delta moved to another shard; a snapshot does not show that.
+    """Return the number of extents that a delta moved to another shard, or None for a snapshot, which does not show it.
 
-    A delete moves nothing: it leaves no record that could be stale.
+    A delete does not count as a move, as it leaves no record that could be stale.
     """
     if delta.is_snapshot:
         return None
--- a/fawnspool/gateway/fencing_reply.py
+++ b/fawnspool/gateway/fencing_reply.py
@@ -1,4 +1,4 @@
-"""The answer of a place that refuses a step because it has seen a newer fencing token."""
+"""Response of a node or the map service that rejects a step because it has seen a newer fencing token."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FencingReply(msgspec.Struct):
-    """Body of an answer with `FENCED_STATUS`: a leased role, and the newest token that was seen for it."""
+    """Body of a response with `FENCED_STATUS`: a leased role, and the newest token seen for it."""
 
     role: str = msgspec.field(name="fenced")
     newest_token: int = msgspec.field(name="newest")
--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -1,6 +1,6 @@
-"""Carries gossip out: passes requests, outcomes, messages and time to the gossip agent, its events to the scheduler.
+"""Runs the gossip agent: passes it requests, outcomes, messages and the time, and its events to the scheduler.
 
-It chooses nothing. All calls run in one thread and none yields, so the agent needs no owner.
+The agent makes all decisions. All calls run in one thread and none yields, so the agent needs no lock.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 
 MAX_STATUS_VOLUMES = 100
 MIN_SLEEP_S = 0.001
-ROUND_RETRY_S = 0.05  # after a round that raised
+ROUND_RETRY_S = 0.05  # pause after a round that raised an exception
 CODEC = PeerCodec("gossip", LEADING_BYTE, encode, decode, GossipMessageError)
 
 
 def gossip_settings(config: SharedBlock, gateway_count: int) -> GossipSettings:
-    """Return what all gateways agree on; numbers are passed on as written, as the fingerprint depends on them."""
+    """Return the settings that all gateways share; numbers stay unconverted, as the fingerprint covers their text."""
     return GossipSettings(gateway_count, config.every, config.fades, config.shun, config.quorum)
 
 
 def draw_incarnation() -> int:
-    """Return the seconds of the wall clock: a later start has a larger number, unless the clock was set back."""
+    """Return the wall clock in seconds, so that a later start has a larger number unless the clock was set back."""
     return int(time.time())
 
 
 @dataclass(frozen=True)
 class SchedulerView:
-    """What gossip sees of its gateway.
+    """Access of gossip to its gateway.
 
     Parameters
     ----------
     volume_names
-        By volume's number.
+        Names of the volumes, by their numbers.
     listed_count
-        Returns how many nodes there are.
+        Returns the number of listed nodes.
     suspects
-        Returns nodes, and the failures in a row that the scheduler has counted.
+        Returns nodes with the consecutive failures that the scheduler has counted.
     notify
         Puts an event into the scheduler's queue.
     """
@@ -64,7 +64,7 @@
 
 
 class GossipRunner:
-    """This gateway's gossip.
+    """Runs this gateway's gossip.
 
     Parameters
     ----------
@@ -88,25 +88,25 @@
         self._greenlet: Any = None
 
     def start(self) -> None:
-        """Take part."""
+        """Start to receive and send gossip."""
         self._channel.subscribe(self._receive)
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending gossip."""
         if self._greenlet is not None:
             self._greenlet.kill()
 
     # ------------------------------------------------------------ events
 
     def record_request(self, volume: int, participants: int, plan: PlanBlock, units: float) -> None:
-        """Note a request of a volume that so many gateways share."""
+        """Record a request for a volume that `participants` gateways share."""
         if plan.limit and participants > 1:
             limit = VolumeLimit(participants, plan.limit, plan.limit_depth)
             self.agent.volumes.record_demand(time.monotonic(), volume, limit, units)
 
     def record_outcome(self, event: interface.Outcome, volume: int, units: float) -> None:
-        """Note how an attempt ended."""
+        """Record the outcome of an attempt."""
         if event.result is interface.Result.SERVED:
             self.agent.volumes.record_used(volume, units)
         self._carry_out(self.agent.record_outcome(time.monotonic(), event))
@@ -119,17 +119,17 @@
             gevent.sleep(max(MIN_SLEEP_S, self.agent.next_round_at() - time.monotonic()))
             try:
                 self._run_round(time.monotonic())
-            except Exception:  # the loop must outlive whatever one round meets
+            except Exception:  # no error of a single round may end the loop
                 self.log.error("gossip_round_failed", exc_info=True)
                 gevent.sleep(ROUND_RETRY_S)
 
     def _run_round(self, now: float) -> None:
         self._carry_out(self.agent.run_round(now, self.view.listed_count(), self.view.suspects()))
-        self._note_isolation(self.agent.is_isolated(now))
+        self._record_isolation(self.agent.is_isolated(now))
 
-    def _note_isolation(self, is_isolated: bool) -> None:
+    def _record_isolation(self, is_isolated: bool) -> None:
         if is_isolated and not self.is_isolated:
-            self.log.warning("gossip_isolated", effect="own parts of limits and own evidence alone")
+            self.log.warning("gossip_isolated", effect="only own parts of limits and own health evidence are used")
         if self.is_isolated and not is_isolated:
             self.log.info("gossip_rejoined")
         self.is_isolated = is_isolated
@@ -143,15 +143,15 @@
                 self._channel.send(action.recipient, action.message)
                 continue
             if isinstance(action, interface.GossipedHealth):
-                self._note_health(action)
+                self._record_health(action)
             self.view.notify(action)
 
-    def _note_health(self, event: interface.GossipedHealth) -> None:
+    def _record_health(self, event: interface.GossipedHealth) -> None:
         if event.healthy:
             self.readmitted_count += 1
             self.log.info("node_readmitted_by_gossip", node=event.node)
             self.ejected.discard(event.node)
-        elif event.node not in self.ejected:  # else only its turn to try the node has changed
+        elif event.node not in self.ejected:  # otherwise only the time of its next attempt at the node has changed
             self.ejected_count += 1
             self.log.info("node_ejected_by_gossip", node=event.node)
             self.ejected.add(event.node)
@@ -159,7 +159,7 @@
     # ------------------------------------------------------------ status
 
     def status(self) -> dict[str, Any]:
-        """Return what is known of volumes and nodes."""
+        """Return the gossip section of the status page: volumes, nodes and counters."""
         now = time.monotonic()
         agent = self.agent
         return {
--- a/fawnspool/gateway/inventory_worker.py
+++ b/fawnspool/gateway/inventory_worker.py
@@ -1,4 +1,4 @@
-"""The work of a `compare` role: what nodes hold against the map. `leases/inventory.py` decides what differs."""
+"""Work of a `compare` role: compares the inventories of nodes with the map, using `leases/inventory.py`."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from fawnspool.net.connection_pool import ConnectionPool, PoolOptions, call
 from fawnspool.net.exceptions import ConnectError, ConnectionLostError, HttpError
 
-_StoredRow = tuple[str, str, int, str]  # a node's inventory: volume, key, and what is not needed here
+_StoredRow = tuple[str, str, int, str]  # row of a node's inventory: volume, key, and two values not needed here
 
 
 class InventoryWorker:
-    """Work of one lease."""
+    """Does the comparisons of one lease."""
 
     def __init__(self, context: RoleContext, lease: HeldLease) -> None:
         self.context = context
         self.lease = lease
 
     def run(self) -> None:
-        """Compare at the role's interval until the lease ends."""
+        """Compare the inventories at the role's interval until the lease ends."""
         self.context.show_first_token(self.lease)
         while True:
             requests = self.context.operator_requests(self.lease)
@@ -33,7 +33,7 @@
 
     def _compare(self) -> None:
         lease = self.lease
-        stored = {shard: self._stored(address) for shard, address in self.context.shard_addresses().items()}
+        stored = {shard: self._fetch_inventory(address) for shard, address in self.context.shard_addresses().items()}
         mapped = {(record.volume, record.extent): record.shard for record in self.context.extents_of(lease)}
         report = compare_inventories(mapped, stored, lease.partition, lease.kind.shards)
         self.context.log.info("inventories_compared", role=lease.name, report=str(report))
@@ -45,8 +45,8 @@
             self.lease.sleep(POLL_INTERVAL_S)
             self.lease.check()
 
-    def _stored(self, address: tuple[str, int]) -> list[tuple[str, str]] | None:
-        """Return what a node holds; None if it does not answer."""
+    def _fetch_inventory(self, address: tuple[str, int]) -> list[tuple[str, str]] | None:
+        """Return the extents that a node holds, or None if the call fails."""
         timeout_s = self.context.call_timeout_s
         try:
             status, body = call(
--- a/fawnspool/gateway/map_client.py
+++ b/fawnspool/gateway/map_client.py
@@ -1,4 +1,4 @@
-"""Calls of the map service over HTTP; docs/map-wire.md describes them."""
+"""Client of the map service over HTTP; docs/map-wire.md describes the protocol."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class MapServiceError(Exception):
-    """The map service can't be asked now."""
+    """A call of the map service failed."""
 
 
 class MapSource(Protocol):
-    """The authority on where extents are: the service over HTTP, or one in this process."""
+    """Authoritative source of extent records: the map service over HTTP, or one in this process."""
 
     def find_record(self, volume: str, key: str) -> ExtentRecord | None:
         """Return the record of an extent, or None if there is none."""
 
     def record_write(self, write: ExtentWrite) -> tuple[ExtentRecord, bool]:
-        """Note a write; return the record that holds, and whether it was accepted."""
+        """Record a write; return the record that now holds, and whether the write was accepted."""
 
     def delete(self, volume: str, key: str) -> ExtentRecord | None:
         """Delete an extent; return its tombstone, or None if there was none."""
@@ -43,7 +43,7 @@
 
 
 class LeaseHolder(msgspec.Struct):
-    """Who showed a leased role's token at the map service last.
+    """The gateway that last showed a leased role's fencing token to the map service.
 
     Attributes
     ----------
@@ -52,9 +52,9 @@
     gateway_id
         Number of the gateway.
     shown_at
-        When, by the service's wall clock: seconds since 1970.
+        Time at which it showed the token, in seconds since 1970 by the service's wall clock.
     note
-        What the holder says about its work.
+        The holder's report about its work.
     """
 
     role: str = msgspec.field(name="duty")
@@ -65,7 +65,7 @@
 
 
 class OperatorRequests(msgspec.Struct):
-    """What operators request, by name, and who holds the leased roles."""
+    """Operators' requests by name, and the holders of the leased roles."""
 
     requests: dict[str, str] = msgspec.field(name="wishes")
     holders: list[LeaseHolder]
@@ -78,7 +78,7 @@
 
 class _Reply(NamedTuple):
     status: int
-    value: Any  # None if there is no such extent
+    value: Any  # None if the extent does not exist
 
 
 class MapClient:
@@ -91,7 +91,7 @@
     timeout_s
         Longest duration of a call.
     pool
-        Connections to use; by default the client has its own.
+        Connections to use; by default the client creates its own pool.
     deadline
         Monotonic time by which all calls end.
     """
@@ -118,18 +118,18 @@
         Raises
         ------
         MapServiceError
-            If the service can't be asked; so does every call of this class.
+            If the call fails. Every other call of this class raises it too.
         """
         record: ExtentRecord | None = self._call(b"/find", ExtentRecord, volume=volume, key=key).value
         return record
 
     def record_write(self, write: ExtentWrite) -> tuple[ExtentRecord, bool]:
-        """Note a write.
+        """Record a write.
 
         Returns
         -------
         tuple[ExtentRecord, bool]
-            The record that holds now, and whether the write was accepted.
+            The record that now holds, and whether the write was accepted.
         """
         reply = self._call(
             b"/put",
@@ -149,14 +149,14 @@
         return tombstone
 
     def record_migration(self, volume: str, key: str, shard: int, generation: int, **token: Any) -> ExtentRecord | None:
-        """Note that a migration took an extent to a shard, at a generation; return the record that holds now.
+        """Record that a migration moved an extent to a shard at a generation; return the record that now holds.
 
         Parameters
         ----------
         volume, key, shard, generation
             The extent, its new shard and generation.
         **token
-            Fencing token of a leased role, by the wire's names.
+            Fencing token of a leased role, by its names on the wire.
 
         Raises
         ------
@@ -183,12 +183,12 @@
         self._call(b"/wish", dict, name=name, value=value)
 
     def operator_requests(self) -> OperatorRequests:
-        """Return what operators request, and who showed a token last."""
+        """Return the operators' requests, and the last holder of each leased role."""
         requests: OperatorRequests = self._call(b"/wishes", OperatorRequests).value
         return requests
 
     def usage(self, shard: int) -> tuple[int, int]:
-        """Return the number of extents at a shard, and their bytes."""
+        """Return the number of extents on a shard, and their size in bytes."""
         usage: tuple[int, int] = self._call(b"/count", tuple[int, int], cell=shard).value
         return usage
 
@@ -209,12 +209,12 @@
                 return _Reply(status.code, None)
             return _Reply(status.code, msgspec.msgpack.decode(body, type=result_type))
         except (ConnectError, ConnectionLostError, HttpError, TimeoutError, msgspec.MsgspecError) as error:
-            raise _unreachable(error) from None
+            raise _call_failed(error) from None
 
 
 def _unexpected_status(status: int) -> MapServiceError:
-    return MapServiceError(f"the map service answered {status}")
+    return MapServiceError(f"the map service answered with the unexpected status {status}")
 
 
-def _unreachable(error: Exception) -> MapServiceError:
-    return MapServiceError(f"the catalogue can't be reached: {error}")
+def _call_failed(error: Exception) -> MapServiceError:
+    return MapServiceError(f"the call of the map service failed: {error}")
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -1,14 +1,14 @@
-"""The gateway's last good extent map on disk: a full map, and a log of what was received after it.
+"""The gateway's extent map on disk: a full map, and a log of the changes received after it.
 
     map.rec        a HEADER row, then for each partition a PARTITION row and RECORDS rows, and an END row; written
-                   beside and renamed
-    map.log.rec    DELTA rows, RECORD rows (from a call or a node's redirect), and COMPLETE rows: until when the map
-                   was complete
-
-Both are files of frames with checksums (`records/frames.py`); the codes of their rows are `RowKind`. A kill leaves the
-old full map or the new one. A log that is older than its map changes nothing, as records are joined whatever order they
-come in. All writing is done by a background thread. A disk that takes nothing costs the checkpoint and never a request:
-the next start then asks the map service for more.
+                   to a second file that is then renamed
+    map.log.rec    DELTA rows, RECORD rows (from a call or a node's redirect), and COMPLETE rows with the time until
+                   which the map was complete
+
+Both are files of frames with checksums (`records/frames.py`); `RowKind` lists the codes of their rows. If the process
+is killed while it writes, either the old full map or the new one remains. A log that is older than its map changes
+nothing, as the result of merging records does not depend on their order. A background thread does all writing. A disk
+error loses the checkpoint but fails no request: the next start then fetches more from the map service.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 LOG_FILE = "map.log.rec"
 FORMAT_VERSION = 1
 RECORDS_PER_ROW = 1000
-RECORD_MEMORY_BYTES = 120  # of a record that waits to be written, roughly
+RECORD_MEMORY_BYTES = 120  # approximate memory of a record that waits to be written
 _STATES = {state.value: state for state in ExtentState}  # faster than the enum's own lookup
 
 
 class RowKind(IntEnum):
-    """First element of each row, and what follows it."""
+    """Code in the first element of a row; the comments name the elements that follow it."""
 
     HEADER = 0  # format version, number of partitions, time until which the map was complete
     PARTITION = 1  # number, position, pending ranges, snapshot floors
@@ -55,16 +55,16 @@
 
 @dataclass(frozen=True)
 class SavedMap:
-    """What a start found on disk.
+    """Map that was loaded from disk at a start.
 
     Attributes
     ----------
     map
-        The map, or None if there is none that can be used.
+        The map, or None if there is no usable one.
     complete_at
-        Time until which the map was complete, seconds since 1970; 0 if unknown.
+        Time until which the map was complete, in seconds since 1970; 0 if unknown.
     problem
-        What could not be read; "" if all could.
+        Description of what could not be read; "" if everything was read.
     """
 
     map: ExtentMap | None = None
@@ -73,20 +73,20 @@
 
 
 class MapFormatError(ValueError):
-    """A file holds no map, or one in another format."""
+    """A file holds no map, or a map in an unsupported format."""
 
     def __init__(self, path: Path, fault: str) -> None:
         super().__init__(f"{path.name}: {fault}")
 
 
 def load_map(folder: Path) -> SavedMap:
-    """Return the last good map in a folder; never raises for what is in it."""
+    """Return the map in a folder; unreadable files are reported in the result and raise nothing."""
     try:
         with _garbage_collection_paused():
             saved = _load_full_map(folder / MAP_FILE)
     except FileNotFoundError:
         return SavedMap()
-    except Exception as error:  # a file of another make: nothing of it is used
+    except Exception as error:  # any other content: nothing of the file is used
         return SavedMap(problem=f"{MAP_FILE}: {error}")
     if saved.map is None:
         return saved
@@ -110,9 +110,11 @@
     rows = iter(reader)
     header = next(rows, None)
     if header is None or header[0] != RowKind.HEADER:
-        raise MapFormatError(path, reader.torn or "holds no map")
+        raise MapFormatError(path, reader.torn or "the file holds no map")
     if header[1] != FORMAT_VERSION:
-        raise MapFormatError(path, f"of form {header[1]}, this program reads {FORMAT_VERSION}")
+        raise MapFormatError(
+            path, f"unsupported format version {header[1]}; this program reads version {FORMAT_VERSION}"
+        )
     partitions = _PartitionBuilder(int(header[2]))
     complete_at = float(header[3])
     for row in rows:
@@ -122,11 +124,11 @@
             return SavedMap(partitions.finish(), complete_at)
         else:
             partitions.begin(row)
-    return SavedMap(problem=f"{path.name}: {reader.torn or 'its end is missing'}")
+    return SavedMap(problem=f"{path.name}: {reader.torn or 'the END row is missing'}")
 
 
 class _PartitionRow(msgspec.Struct):
-    """The part of a PARTITION row that follows the number, by the attributes' former names."""
+    """Elements of a PARTITION row after the number; the field names are the attributes' former names."""
 
     told: tuple[int, int]
     ahead: tuple[tuple[int, int], ...]
@@ -142,7 +144,7 @@
 
 
 class _PartitionBuilder:
-    """Builds a map from the rows of its file."""
+    """Builds a map from the rows of a full map file."""
 
     def __init__(self, partition_count: int) -> None:
         self._partitions = [Partition()] * partition_count
@@ -172,7 +174,7 @@
 
 
 def _replay_log(path: Path, extent_map: ExtentMap, complete_at: float) -> SavedMap:
-    """Return the map after the log; of a damaged log, after what was read of it."""
+    """Return the map with the log applied; of a damaged log, the readable rows are applied."""
     saved = SavedMap(extent_map, complete_at)
     try:
         reader = FrameReader(path)
@@ -180,7 +182,7 @@
             saved = _replay_row(saved, kind, value)
     except FileNotFoundError:
         return saved
-    except Exception as error:  # whatever a damaged log holds
+    except Exception as error:  # a damaged log may hold anything
         return replace(saved, problem=f"{LOG_FILE}: {error}")
     return replace(saved, problem=reader.torn)
 
@@ -198,12 +200,12 @@
 
 
 def save_map(path: Path, extent_map: ExtentMap, complete_at: float) -> None:
-    """Write a full map beside `path`, and rename it.
+    """Write a full map to a draft file, and rename it to `path`.
 
     Raises
     ------
     OSError
-        If the disk does not take it.
+        If the file can't be written.
     """
     draft = path.with_suffix(".draft")
     writer = FrameWriter(draft)
@@ -237,16 +239,16 @@
 
 
 class MapCheckpoint:
-    """Keeps the files up to the map that the gateway has.
+    """Keeps the files up to date with the gateway's map.
 
     Parameters
     ----------
     folder
-        Where the files are.
+        Folder of the files.
     background
-        Thread that writes.
+        Thread that writes the files.
     report_problem
-        Is given the text of a failure.
+        Called with the text of a failure.
     """
 
     def __init__(self, folder: Path, background: BackgroundWriter, report_problem: Callable[[str], None]) -> None:
@@ -254,11 +256,11 @@
         self.background = background
         self.report_problem = report_problem
         self.policy = CheckpointPolicy()
-        self.problem: str | None = None  # set by the thread
-        self._log_writer: FrameWriter | None = None  # used by the thread alone
+        self.problem: str | None = None  # set by the background thread
+        self._log_writer: FrameWriter | None = None  # used only by the background thread
 
     def load(self) -> SavedMap:
-        """Return the last good map."""
+        """Return the saved map."""
         return load_map(self.folder)
 
     def save_change(self, change: MapDelta | ExtentRecord, extent_map: ExtentMap) -> None:
@@ -269,12 +271,12 @@
             self._append([RowKind.RECORD, change], 1, extent_map)
 
     def mark_complete(self, extent_map: ExtentMap) -> None:
-        """Save that the map is complete now; done only now and then."""
+        """Save that the map is complete now, at most at the checkpoint policy's interval."""
         if self.policy.complete_mark_due(time.monotonic()):
             self._append([RowKind.COMPLETE, time.time()], 1, extent_map)
 
     def close(self) -> None:
-        """Close the files after what is still to be written."""
+        """Close the files once the pending rows are written."""
         self.background.put(self._close_log)
 
     def _append(self, row: list[Any], record_count: int, extent_map: ExtentMap) -> None:
@@ -285,7 +287,7 @@
         if action is CheckpointAction.SKIP:
             return
         if action is CheckpointAction.FULL_MAP:
-            # The immutable map shares its memory with the gateway's, so that no size is counted.
+            # The immutable map shares its memory with the gateway's map, so no size is counted.
             accepted = self.background.put(functools.partial(self._write_full_map, extent_map, time.time()))
         else:
             size = record_count * RECORD_MEMORY_BYTES
@@ -310,7 +312,7 @@
 
     def _write_row(self, row: list[Any]) -> None:
         if self._log_writer is None:
-            return  # the full map that goes before could not be written
+            return  # the full map that the log continues could not be written
         try:
             self._log_writer.put(row)
         except OSError as error:
--- a/fawnspool/gateway/map_watch.py
+++ b/fawnspool/gateway/map_watch.py
@@ -1,4 +1,4 @@
-"""The gateway's watch of the map service: a line for each delta, an empty line for a heartbeat."""
+"""The gateway's watch of the map service, which sends a line for each delta and an empty line as a heartbeat."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 SILENT_HEARTBEATS = 2.5  # heartbeat intervals without a line after which the watch counts as broken
 MAX_LINE_BYTES = 64 << 20  # a snapshot of one partition is one line
-LARGE_DELTA_RECORDS = 1000  # after a delta of so many, other greenlets get their turn
+LARGE_DELTA_RECORDS = 1000  # after a delta with so many records, other greenlets may run
 
 
 class MapWatchListener(Protocol):
-    """What a watch notifies."""
+    """Receiver of a watch's notifications."""
 
     def positions(self) -> Sequence[LogPosition]:
-        """Return up to where each partition is complete."""
+        """Return the log position up to which each partition is complete."""
 
     def watch_began(self, partition_count: int) -> None:
-        """Note the number of the service's partitions; raises ValueError for an impossible one."""
+        """Accept the service's number of partitions; raises ValueError if the number is out of range."""
 
     def delta_received(self, delta: MapDelta) -> None:
-        """Apply a delta; raises DeltaError if it can't be."""
+        """Apply a delta; raises DeltaError if it contradicts itself or the map."""
 
     def heartbeat_received(self) -> None:
-        """Note that all that was received still holds."""
+        """Record a heartbeat, which confirms that all received records still hold."""
 
     def watch_lost(self) -> float:
-        """Note that the watch ended; return the seconds until the next."""
+        """Record that the watch ended; return the seconds until the next watch."""
 
     def open_watch(self) -> None:
         """Open the next watch."""
@@ -54,11 +54,11 @@
     address
         Host and port.
     timeout_s
-        In which a watch must begin.
+        Seconds within which a watch must begin.
     heartbeat_interval_s
         Seconds between the service's heartbeats.
     listener
-        Is notified of what comes.
+        Receiver of the watch's notifications.
     log
         Logger.
     """
@@ -79,22 +79,22 @@
         self._greeted = False
 
     def watch_target(self) -> bytes:
-        """Return the target of a watch that continues where the last one ended."""
+        """Return the request target of a watch that continues where the last one ended."""
         self._greeted = False
         positions = ",".join(f"{epoch}.{version}" for epoch, version in self.listener.positions())
         return b"/watch?told=" + positions.encode()
 
     def on_heartbeat(self) -> None:
-        """Note a heartbeat."""
+        """Pass a heartbeat to the listener."""
         self.listener.heartbeat_received()
 
     def apply(self, data: bytes) -> None:
-        """Take one line.
+        """Handle one line of the watch.
 
         Raises
         ------
         MalformedUpdateError
-            If it can't be read, or contradicts the map: the watch then ends.
+            If the line can't be decoded, or contradicts the map. The watch then ends.
         """
         try:
             self._apply(data)
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -1,7 +1,7 @@
-"""Carries out migrations: looks at both nodes and the map, takes the step that `extents/migration.py` finds, repeats.
+"""Carries out migrations: reads both nodes' reports and the map, takes the next step, and repeats.
 
-A migrator keeps no state that it needs: the migration of one that was killed is resumed by calling `migrate` again,
-here or elsewhere.
+`extents/migration.py` determines the next step. A migrator needs no state of its own: if a process is killed during a
+migration, calling `migrate` again in any process resumes it.
 """
 
 from __future__ import annotations
@@ -44,10 +44,10 @@
     timeout_s
         Longest duration of a call to a node.
     guard
-        The lease that each step is subject to; by default none.
+        Supplies the lease that each step requires; by default, steps require none.
     before_step
-        Called before each step that `next_step` returns, not before an ownership notice, to observe it or to raise and
-        so prevent it.
+        Called before each step that `next_step` returns, but not before an ownership notice. It may observe the step,
+        or raise to prevent it.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
     def migrate(
         self, key: ExtentKey, target: int, deadline: float, undo: bool = False, begun: Migration | None = None
     ) -> MigrationStep:
-        """Migrate an extent to a shard, or give that up where it is still safe.
+        """Migrate an extent to a shard, or undo the migration if that is still safe.
 
         Parameters
         ----------
@@ -75,14 +75,14 @@
         deadline
             Monotonic time by which this call returns.
         undo
-            Give the migration up.
+            Undo the migration.
         begun
-            A migration that was begun earlier; by default it is found from the map.
+            A migration that was begun earlier; by default, the map determines the migration.
 
         Returns
         -------
         MigrationStep
-            DONE, SUPERSEDED (another migration has won, or there is nothing to migrate), or WAIT if the deadline came
+            DONE, SUPERSEDED (another migration has won, or there is nothing to migrate), or WAIT if the deadline passed
             first.
 
         Raises
@@ -94,7 +94,7 @@
         polls_without_step = 0
         while time.monotonic() < deadline:
             step = MigrationStep.WAIT
-            with contextlib.suppress(*_RETRYABLE_ERRORS):  # a node or the service is away: look again
+            with contextlib.suppress(*_RETRYABLE_ERRORS):  # a node or the service is unreachable: try again
                 if migration is None:
                     record = self.map_client.find_record(*key)
                     if record is None:
@@ -115,20 +115,20 @@
         return MigrationStep.WAIT
 
     def _confirm_owner(self, key: ExtentKey, record: ExtentRecord) -> None:
-        """Check that the node serves what the map says is there; one that is unconfirmed is told.
+        """Check that the node serves the extent that the map places there; confirm a replica that is unconfirmed.
 
         Raises
         ------
         ConnectError
-            If it does not serve it.
+            If the node does not serve the extent.
         """
         report = self.replicas.look(record.shard, key)
         if report is not None and report.role is ReplicaRole.UNCONFIRMED:
             generation = record.stamp.generation
-            serves = self.replicas.send_command(record.shard, key, ReplicaCommand.CONFIRM, generation, mine=True)
+            is_serving = self.replicas.send_command(record.shard, key, ReplicaCommand.CONFIRM, generation, mine=True)
         else:
-            serves = report is not None and report.role is ReplicaRole.OWNER
-        if not serves:
+            is_serving = report is not None and report.role is ReplicaRole.OWNER
+        if not is_serving:
             raise _not_serving()
 
     def _take_next_step(self, migration: Migration, key: ExtentKey, undo: bool) -> MigrationStep:
@@ -141,15 +141,17 @@
             notice = required_notice(migration, source, target, map_generation, record.shard)
             if notice is not None:
                 self.replicas.send_command(notice.shard, key, notice.command, notice.generation, mine=notice.is_owner)
-                return MigrationStep.COPY  # nothing was copied: any step but WAIT makes migrate() look again at once
+                return MigrationStep.COPY  # nothing was copied: any step but WAIT makes migrate() continue at once
         step = next_step(migration, source, target, map_generation, undo)
         if record is None and step is MigrationStep.SUPERSEDED:
             return step
         self.before_step(step)
-        self._take(step, migration, key, source)
+        self._execute_step(step, migration, key, source)
         return step
 
-    def _take(self, step: MigrationStep, migration: Migration, key: ExtentKey, source: ReplicaReport | None) -> None:
+    def _execute_step(
+        self, step: MigrationStep, migration: Migration, key: ExtentKey, source: ReplicaReport | None
+    ) -> None:
         if step in (MigrationStep.COPY, MigrationStep.CATCH_UP):
             self.replicas.copy_object(migration, key)
         elif step is MigrationStep.UPDATE_MAP:
@@ -189,4 +191,4 @@
 
 
 def _not_serving() -> ConnectError:
-    return ConnectError("its node is away or unsure")
+    return ConnectError("the extent's node does not answer or does not confirm that it serves the extent")
--- a/fawnspool/gateway/replica_client.py
+++ b/fawnspool/gateway/replica_client.py
@@ -1,4 +1,4 @@
-"""Calls of the nodes about their replicas; docs/node-wire.md describes them."""
+"""Client of the nodes' replica calls; docs/node-wire.md describes the protocol."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class StepGuard:
-    """What each step of a migration is subject to: a lease, or nothing for an operator's own migration.
+    """Condition of each step of a migration: a valid lease, or none for a migration by an operator.
 
     Attributes
     ----------
     fencing_token
-        Returns the token that each step bears, by the wire's names; raises if the lease is over.
+        Returns the token to send with each step, by its names on the wire; raises if the lease has ended.
     remaining_s
-        Returns the seconds that a call may take at most.
+        Returns the maximum duration of a call in seconds.
     """
 
     fencing_token: Callable[[], dict[str, Any]] = dict
@@ -47,7 +47,7 @@
 
 
 class _ReplicaReply(msgspec.Struct):
-    """A node's report, by the wire's names."""
+    """A node's report about a replica, by its names on the wire."""
 
     role: str
     generation: int
@@ -67,7 +67,7 @@
     key: ExtentKey
     body: bytes = b""
     arguments: Mapping[str, int] = field(default_factory=dict)
-    has_effect: bool = False  # then it bears the fencing token
+    has_effect: bool = False  # if True, the call carries the fencing token
 
 
 @dataclass(frozen=True)
@@ -77,7 +77,7 @@
 
 
 class ReplicaClient:
-    """Calls the nodes about their replicas.
+    """Client for the replicas on nodes.
 
     Parameters
     ----------
@@ -86,7 +86,7 @@
     timeout_s
         Longest duration of a call.
     guard
-        What each step is subject to.
+        Condition of each step.
     """
 
     def __init__(self, node_address: NodeAddress, timeout_s: float, guard: StepGuard) -> None:
@@ -96,7 +96,7 @@
         self._pools: dict[tuple[str, int], ConnectionPool] = {}
 
     def look(self, shard: int, key: ExtentKey) -> ReplicaReport | None:
-        """Return what a node reports of its replica, or None if it does not answer."""
+        """Return a node's report about its replica, or None if the call fails."""
         try:
             reply = self._call(shard, _NodeCall(b"GET", _REPLICA_PATH, key))
             if reply.status != _OK:
@@ -108,26 +108,26 @@
     def send_command(
         self, shard: int, key: ExtentKey, command: ReplicaCommand, generation: int, **arguments: int
     ) -> bool:
-        """Send a command; return whether the node carried it out.
+        """Send a command for a replica; return whether the node carried it out.
 
         Parameters
         ----------
         shard, key, command, generation
             The node's shard, the extent, the command and its generation.
         **arguments
-            Further fields of the command, by the wire's names.
+            Further fields of the command, by their names on the wire.
 
         Raises
         ------
         StaleTokenError
-            If the node has seen a newer token; other errors are in `CALL_ERRORS`.
+            If the node has seen a newer token. Other errors that can occur are in `CALL_ERRORS`.
         """
         body = msgspec.json.encode({"step": command.value, "generation": generation, **arguments})
         reply = self._call(shard, _NodeCall(b"POST", _REPLICA_PATH, key, body, has_effect=True))
         return reply.status == _OK
 
     def copy_object(self, migration: Migration, key: ExtentKey) -> None:
-        """Copy the object from a migration's source to its target; raises as `send_command`."""
+        """Copy the object from a migration's source to its target; raises the same errors as `send_command`."""
         source = self._call(migration.source, _NodeCall(b"GET", _DATA_PATH, key))
         if source.status != _OK:
             return
@@ -135,7 +135,7 @@
         self._call(migration.target, _NodeCall(b"PUT", _DATA_PATH, key, source.body, arguments, has_effect=True))
 
     def show_token(self, shard: int) -> bool:
-        """Show the fencing token to a node; return whether it took it. Raises StaleTokenError."""
+        """Show the fencing token to a node; return whether the node accepted it. Raises StaleTokenError."""
         try:
             reply = self._call(shard, _NodeCall(b"POST", _FENCE_PATH, _NO_EXTENT, has_effect=True))
         except CALL_ERRORS:
@@ -148,7 +148,7 @@
             raise _no_node(shard)
         options = PoolOptions(MAX_CONNECTIONS_PER_NODE, self.timeout_s, IDLE_TIMEOUT_S)
         pool = self._pools.setdefault(address, ConnectionPool(address, options))
-        # The token is read after every wait, just before the step leaves.
+        # The token is read after any wait, just before the call is sent.
         token = self.guard.fencing_token() if node_call.has_effect else {}
         key = node_call.key
         query = {"volume": key.volume, "key": key.extent, **node_call.arguments, **token}
