--- a/fawnspool/gateway/map_client.py
+++ b/fawnspool/gateway/map_client.py
@@ -217,4 +217,4 @@
 
 
 def _call_failed(error: Exception) -> MapServiceError:
-    return MapServiceError(f"the call of the map service failed: {error}")
+    return MapServiceError(f"the map service can't be reached: {error}")
--- a/tests/e2e/test_gossip.py
+++ b/tests/e2e/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between real processes: faults between them, and doctored gateways that the judge must find."""
+"""Tests of gossip between real processes: faults between gateways, and doctored gateways that the judge must find."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 FILE = Path(__file__).parent / "shared.hcl"
 
 
-def play(tmp: Path, *troubles: TroubleBlock, **more: Any) -> Result:
+def play(folder: Path, *troubles: TroubleBlock, **options: Any) -> Result:
     day = load(FILE, Day, check_day)
-    return Play(replace(day, trouble=(*day.trouble, *troubles)), FILE, tmp, 1, **more).run()
+    return Play(replace(day, trouble=(*day.trouble, *troubles)), FILE, folder, 1, **options).run()
 
 
-def fault(kind: str, at: float = 2.0, length: float = 5.0, **more: Any) -> TroubleBlock:
-    return TroubleBlock(name=kind, kind=kind, at=at, length=length, **more)
+def fault(kind: str, at: float = 2.0, length: float = 5.0, **fields: Any) -> TroubleBlock:
+    return TroubleBlock(name=kind, kind=kind, at=at, length=length, **fields)
 
 
 def broken_rules(result: Result) -> set[str]:
     return {f.rule for f in result.verdict.findings if f.breaches}
 
 
-def test_limits_hold_while_gateways_are_cut_stopped_killed_and_datagrams_go_astray(tmp_path: Path) -> None:
+def test_limits_hold_while_gateways_are_cut_off_stalled_and_killed_and_datagrams_are_lost(tmp_path: Path) -> None:
     result = play(
         tmp_path,
         fault("heads_cut", part=0.5, every=2.0),
@@ -56,19 +56,19 @@
     assert next(f for f in result.verdict.findings if f.rule == "limits kept").nearest > 0.1
 
 
-class _Asked(Play):
-    """A person asks a gateway while the day is played."""
+class _QueriedPlay(Play):
+    """Play during which the commands and the metrics of a gateway are queried."""
 
-    shown: Any = None
-    lines: str = ""
+    gossip_status: Any = None
+    command_output: str = ""
     metrics: str = ""
 
-    def _do_lead_moves(self, x: TroubleBlock, cells: Any, heads: Any) -> None:
-        where = f"127.0.0.1:{self.heads[0].port}"
-        cli = [sys.executable, "-m", "fawnspool.cli"]
-        self.shown = json.loads(gevent.subprocess.check_output([*cli, "shared", "show", where, "--json"]))
-        self.lines = gevent.subprocess.check_output([*cli, "shared", "show", where]).decode()
-        self.lines += gevent.subprocess.check_output([*cli, "status", where]).decode()
+    def _do_lead_moves(self, trouble: TroubleBlock, cells: Any, heads: Any) -> None:
+        address = f"127.0.0.1:{self.heads[0].port}"
+        command = [sys.executable, "-m", "fawnspool.cli"]
+        self.gossip_status = json.loads(gevent.subprocess.check_output([*command, "shared", "show", address, "--json"]))
+        self.command_output = gevent.subprocess.check_output([*command, "shared", "show", address]).decode()
+        self.command_output += gevent.subprocess.check_output([*command, "status", address]).decode()
         _, body = call(
             ConnectionPool(("127.0.0.1", self.heads[0].port), PoolOptions(1, 1.0, 1.0)),
             b"GET",
@@ -78,26 +78,31 @@
         self.metrics = body.decode()
 
     def _await_clients(self) -> None:
-        """How fast commands answer is the machine's matter; gateways serve until the last one has."""
+        """Keep the gateways running until the queries are done, as the speed of the commands depends on the machine."""
         super()._await_clients()
         wait_for(lambda: self.metrics, 60.0)
 
 
-def test_what_a_person_is_shown(tmp_path: Path) -> None:
+def test_commands_and_metrics_show_the_gossip(tmp_path: Path) -> None:
     day = load(FILE, Day, check_day)
-    played = _Asked(
+    queried = _QueriedPlay(
         replace(day, trouble=(*day.trouble, fault("head_lies", at=1.0, part=0.17, size=0.0))), FILE, tmp_path, 1
     )
-    played.run()
-    assert played.shown["heads"] == 6 and not played.shown["alone"] and played.shown["strangers"] == 0
-    rows = [r for r in played.shown["volumes"] if r["heads"] > 1]
+    queried.run()
+    assert (
+        queried.gossip_status["heads"] == 6
+        and not queried.gossip_status["alone"]
+        and queried.gossip_status["strangers"] == 0
+    )
+    rows = [r for r in queried.gossip_status["volumes"] if r["heads"] > 1]
     assert rows and any(r["used_at_least"] > 0 for r in rows)
     assert all((r["used_at_most"] is None) == (r["unheard"] > 0) for r in rows)
     assert all(r["used_at_most"] is None or r["used_at_most"] > r["used_at_least"] for r in rows)
-    assert any(e["signs"] == 9 for n in played.shown["nodes"] for e in n["evidence"])  # the liar's
-    assert "6 heads are there" in played.lines and "Nodes that anything is said of" in played.lines
-    assert "nodes shunned on hearsay" in played.lines
-    assert "fawnspool_shared_heads 6.0" in played.metrics and "fawnspool_shared_alone 0.0" in played.metrics
+    # The gateway that lies reports 9 failures.
+    assert any(e["signs"] == 9 for n in queried.gossip_status["nodes"] for e in n["evidence"])
+    assert "6 heads are there" in queried.command_output and "Nodes that anything is said of" in queried.command_output
+    assert "nodes shunned on hearsay" in queried.command_output
+    assert "fawnspool_shared_heads 6.0" in queried.metrics and "fawnspool_shared_alone 0.0" in queried.metrics
 
 
 @pytest.mark.parametrize(
@@ -107,14 +112,14 @@
         ("hearsay_alone", (fault("head_lies", at=1.0, length=7.0, part=0.17, size=0.0),), "well nodes used"),
     ],
 )
-def test_each_doctored_gateway_is_found(
+def test_judge_finds_each_doctored_gateway(
     tmp_path: Path, head: str, troubles: tuple[TroubleBlock, ...], rule: str
 ) -> None:
     result = play(tmp_path, *troubles, head_command=(head, "serve"), head_module="tests.e2e.doctored")
     assert rule in broken_rules(result)
 
 
-def test_run_starts_and_imports_none_of_it() -> None:
+def test_run_command_does_not_import_gossip() -> None:
     loaded = modules_of_run()
     assert not [name for name in loaded if "gossip" in name or "shared" in name]
     for name in ("fawnspool.gossip", "fawnspool.gateway.gossip_runner"):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: messages, agents, and who serves which volume."""
+"""Tests of gossip: message codec, agent, and volume participants."""
 
 from __future__ import annotations
 
@@ -49,42 +49,42 @@
 )
 
 
-def assert_survives_the_wire(message: GossipMessage) -> None:
+def assert_survives_encoding(message: GossipMessage) -> None:
     body = encode(message)
-    read = decode(body)
+    decoded = decode(body)
     assert len(body) <= 256
-    assert (read.type, read.fingerprint, len(read.rows)) == (message.type, 7, len(message.rows))
-    for received, sent in zip(read.rows, message.rows, strict=True):
+    assert (decoded.type, decoded.fingerprint, len(decoded.rows)) == (message.type, 7, len(message.rows))
+    for received, sent in zip(decoded.rows, message.rows, strict=True):
         assert type(received) is type(sent)
         assert abs(received.age_s - sent.age_s) < 0.006
-        exact = [name for name in type(sent).__slots__ if name != "age_s"]
-        assert [getattr(received, name) for name in exact] == [getattr(sent, name) for name in exact]
+        exact_fields = [name for name in type(sent).__slots__ if name != "age_s"]
+        assert [getattr(received, name) for name in exact_fields] == [getattr(sent, name) for name in exact_fields]
 
 
 @given(
-    st.sampled_from([kind for kind in GossipMessageType if kind is not EVIDENCE]),
+    st.sampled_from([message_type for message_type in GossipMessageType if message_type is not EVIDENCE]),
     st.lists(USAGE_ROWS, max_size=max_rows(GossipMessageType.PARTICIPATION)),
 )
-def test_usage_decodes_as_it_was_encoded(kind: GossipMessageType, rows: list[UsageRow]) -> None:
-    assert_survives_the_wire(GossipMessage(kind, 7, tuple(rows)))
+def test_usage_rows_survive_encoding_and_decoding(message_type: GossipMessageType, rows: list[UsageRow]) -> None:
+    assert_survives_encoding(GossipMessage(message_type, 7, tuple(rows)))
 
 
 @given(st.lists(EVIDENCE_ROWS, max_size=max_rows(EVIDENCE)))
-def test_evidence_decodes_as_it_was_encoded(rows: list[EvidenceRow]) -> None:
-    assert_survives_the_wire(GossipMessage(EVIDENCE, 7, tuple(rows)))
+def test_evidence_rows_survive_encoding_and_decoding(rows: list[EvidenceRow]) -> None:
+    assert_survives_encoding(GossipMessage(EVIDENCE, 7, tuple(rows)))
 
 
-def test_messages_keep_their_layout_on_the_wire() -> None:
+def test_messages_keep_their_wire_layout() -> None:
     usage = GossipMessage(GossipMessageType.PARTICIPANTS_QUERY, 0x01020304, (UsageRow(5, 6, 7, 1.5, 0.25),))
     evidence = GossipMessage(EVIDENCE, 0x01020304, (EvidenceRow(5, 6, HealthVerdict.UNREACHABLE, 9, 0.25),))
     assert encode(usage).hex() == "b50201020304" + "00000000000000050006000000073fc000000019"
     assert encode(evidence).hex() == "b50401020304" + "00000005000602090019"
-    assert [kind.value for kind in GossipMessageType] == [1, 2, 3, 4]
+    assert [message_type.value for message_type in GossipMessageType] == [1, 2, 3, 4]
     assert [verdict.value for verdict in HealthVerdict] == [0, 1, 2]
 
 
-def test_the_fingerprint_of_settings_keeps_its_value() -> None:
-    """It stands in messages: gateways before and after an upgrade must agree on it."""
+def test_settings_fingerprint_keeps_its_value() -> None:
+    """Guards against a fingerprint that differs between versions, which would make them drop each other's messages."""
     assert GossipSettings(4).fingerprint == 223593480
 
 
@@ -93,7 +93,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_make_an_agent_raise_anything_else(data: bytes) -> None:
+def test_arbitrary_bytes_raise_only_gossip_message_errors(data: bytes) -> None:
     agent = make_agent()
     header = encode(GossipMessage(EVIDENCE, agent.settings.fingerprint))[:6]
     for body in (data, b"\xb5" + data, header + data):
@@ -104,17 +104,17 @@
     agent.run_round(9.0, 3, [])
 
 
-def test_foreign_messages_are_counted_and_dropped() -> None:
+def test_counts_and_drops_foreign_messages() -> None:
     agent = make_agent()
     rows = (EvidenceRow(5, 1, HealthVerdict.UNRESPONSIVE, 9, 0.0),)
-    own = agent.settings.fingerprint
+    own_fingerprint = agent.settings.fingerprint
     agent.receive(1.0, 1, GossipMessage(EVIDENCE, GossipSettings(5).fingerprint, rows))
-    agent.receive(1.0, 4, GossipMessage(EVIDENCE, own, rows))
-    agent.receive(1.0, 0, GossipMessage(EVIDENCE, own, rows))
+    agent.receive(1.0, 4, GossipMessage(EVIDENCE, own_fingerprint, rows))
+    agent.receive(1.0, 0, GossipMessage(EVIDENCE, own_fingerprint, rows))
     assert agent.foreign_messages == 3 and not agent.health.nodes
 
 
-def test_an_agent_that_hears_nobody_is_isolated() -> None:
+def test_agent_without_messages_from_others_is_isolated() -> None:
     agent = make_agent(6)
     for step in range(400):
         agent.volumes.record_demand(step * 0.1, 7, VolumeLimit(6, 20.0, 60.0), 9.0)
@@ -130,7 +130,7 @@
 
 
 class VolumeFleet:
-    """Tables of several gateways that hear each other at once; those that are away hear nothing."""
+    """Volume tables of several gateways with instant delivery; messages to a gateway that is not listed are lost."""
 
     def __init__(self, gateways: Iterable[int], gateway_count: int = 12) -> None:
         settings = GossipSettings(gateway_count)
@@ -147,7 +147,7 @@
     def _carry_out(
         self, now: float, sender: int, actions: list[GossipAction], learned: list[VolumeParticipants]
     ) -> None:
-        """Events at others count for the gateway whose round it is, as answers come back to it."""
+        """Deliver messages and answers; collect all participant events for the gateway whose round it is."""
         for action in actions:
             if isinstance(action, SendGossip) and action.recipient in self.tables:
                 message = decode(encode(action.message))
@@ -157,14 +157,14 @@
                 learned.append(action)
 
 
-def test_a_gateway_that_lacks_units_learns_who_else_takes_part() -> None:
+def test_gateway_that_lacks_units_learns_the_other_participants() -> None:
     fleet = VolumeFleet(range(12))
     for step in range(40):
         for gateway_id in (2, 5, 9):
             fleet.demand(step * INTERVAL_S, gateway_id, 3, 8.0 if gateway_id == 2 else 0.5)
         fleet.run_round(step * INTERVAL_S)
     assert fleet.learned[2][-1] == VolumeParticipants(VOLUME, (5, 9))
-    assert not fleet.learned[5] and not fleet.learned[9]  # they have enough
+    assert not fleet.learned[5] and not fleet.learned[9]  # their units are enough
 
     fleet.tables[5].record_used(VOLUME, 3.0)
     for step in range(40, 90):
@@ -174,13 +174,13 @@
     assert interval is not None and interval.at_least == 3.0 and interval.unheard == 0 and interval.at_most > 3.0
 
 
-def test_one_registrar_may_be_away() -> None:
+def test_participants_are_learned_while_one_registrar_is_unreachable() -> None:
     settings = GossipSettings(12)
     for volume in range(50):
         assert len(settings.registrars(volume)) == 2
     registrars = settings.registrars(VOLUME)
-    away = registrars[0] if registrars[0] not in (2, 5) else registrars[1]
-    fleet = VolumeFleet(gateway_id for gateway_id in range(12) if gateway_id != away)
+    unreachable = registrars[0] if registrars[0] not in (2, 5) else registrars[1]
+    fleet = VolumeFleet(gateway_id for gateway_id in range(12) if gateway_id != unreachable)
     for step in range(40):
         for gateway_id in (2, 5):
             fleet.demand(step * INTERVAL_S, gateway_id, 2, 8.0)
@@ -188,8 +188,8 @@
     assert fleet.learned[2][-1].gateways == (5,)
 
 
-def test_bytes_are_bounded_and_lacking_volumes_come_first() -> None:
-    """Two volumes of 5,000 that matter."""
+def test_rows_sent_are_bounded_and_lacking_volumes_come_first() -> None:
+    """Two of 5,000 volumes lack units: both are queried first, and the rows sent stay within a round's limit."""
     table = VolumeTable(GossipSettings(190), 3, 1, 1)
     limit = VolumeLimit(4, 20.0, 60.0)
     for volume in range(5000):
@@ -200,7 +200,7 @@
     sent = [action.message for action in table.run_round(1.0) if isinstance(action, SendGossip)]
     rows = [row for message in sent for row in message.rows if isinstance(row, UsageRow)]
     assert len(rows) <= 2 * MAX_VOLUMES_PER_ROUND
-    again = [action.message.type for action in table.run_round(1.0) if isinstance(action, SendGossip)]
-    assert set(again) == {GossipMessageType.PARTICIPATION}  # registrars were asked a moment ago
+    second_round_types = [action.message.type for action in table.run_round(1.0) if isinstance(action, SendGossip)]
+    assert set(second_round_types) == {GossipMessageType.PARTICIPATION}  # the registrars were queried a moment ago
     first_two = [row.volume for row in rows][:2]
     assert first_two in ([4998, 4999], [4999, 4998], [4998, 4998], [4999, 4999])
--- a/tests/test_peer_message_faults.py
+++ b/tests/test_peer_message_faults.py
@@ -1,4 +1,4 @@
-"""What peers send, and what handling it raises, must not end the greenlets that leases and gossip run in."""
+"""Tests that no peer message, and no exception raised while one is handled, ends the greenlets of leases and gossip."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 SETTINGS = terms(5, 3, 8)
 SELF, PEER = 0, 1
 
-# ---------------------------------------------------------------- every message at every state
+# ---------------------------------------------------------------- any messages in any state
 
 U16, U64 = st.integers(0, 2**16 - 1), st.integers(0, 2**64 - 1)
 TOKENS = st.one_of(st.integers(0, 9), st.sampled_from([2**63, 2**64 - 2, 2**64 - 1]), U64)
@@ -63,36 +63,38 @@
 
 
 @given(STEPS)
-def test_no_message_in_any_order_ends_a_lease_holder(steps: list[tuple[float, int, LeaseMessage]]) -> None:
+def test_lease_holder_survives_any_messages_in_any_order(steps: list[tuple[float, int, LeaseMessage]]) -> None:
     now, serial = 10.0, 0
     holder = LeaseHolder(SETTINGS, LeaseMember(4, 5, seed=1), now)
     for delay_s, sender, message in steps:
         now += delay_s
-        answered = replace(message, serial=(serial - message.serial) & 0xFFFFFFFF)
-        sent = encode_all(holder.receive(now, sender, answered) + holder.tick(now))
+        message_with_serial = replace(message, serial=(serial - message.serial) & 0xFFFFFFFF)
+        sent = encode_all(holder.receive(now, sender, message_with_serial) + holder.tick(now))
         serial = max([serial, *(request.serial for request in sent)])
         assert holder.next_deadline() > 0
 
 
-def heard(holder: LeaseHolder, kind: LeaseMessageType, token: int, serial: int = 0) -> list[LeaseMessage]:
-    """What the holder sends on hearing of role 0."""
-    message = LeaseMessage(kind, SETTINGS.fingerprint, 5, serial, entries=(BallotEntry(0, token),))
+def messages_after(
+    holder: LeaseHolder, message_type: LeaseMessageType, token: int, serial: int = 0
+) -> list[LeaseMessage]:
+    """Return the messages that the holder sends after a message about role 0."""
+    message = LeaseMessage(message_type, SETTINGS.fingerprint, 5, serial, entries=(BallotEntry(0, token),))
     return encode_all(holder.receive(10.0, 0, message))
 
 
-def test_the_highest_token_of_the_wire_does_not_end_a_lease_holder() -> None:
-    """Guards against a peer's token so high that the next one did not fit the wire: it ended the greenlet of leases."""
+def test_lease_holder_survives_the_highest_token_of_the_wire() -> None:
+    """Guards against a peer's token whose successor does not fit the wire, which ended the greenlet of leases."""
     nominated = LeaseHolder(SETTINGS, LeaseMember(4, 5, seed=1), 10.0)
-    assert heard(nominated, LeaseMessageType.NOMINATION, 2**64 - 1)
+    assert messages_after(nominated, LeaseMessageType.NOMINATION, 2**64 - 1)
     outbid = LeaseHolder(SETTINGS, LeaseMember(4, 5, seed=1), 10.0)
-    request = heard(outbid, LeaseMessageType.NOMINATION, 1)[0]
-    heard(outbid, LeaseMessageType.VOTE_RESPONSE, 2**64 - 1, request.serial)
+    request = messages_after(outbid, LeaseMessageType.NOMINATION, 1)[0]
+    messages_after(outbid, LeaseMessageType.VOTE_RESPONSE, 2**64 - 1, request.serial)
     assert encode_all(outbid.tick(10.2))
 
 
 @pytest.mark.parametrize("memory", [AcceptorMemory({}, 0), None], ids=["remembers", "recovers"])
 @given(steps=STEPS)
-def test_no_message_in_any_order_ends_an_acceptor(
+def test_acceptor_survives_any_messages_in_any_order(
     memory: AcceptorMemory | None, steps: list[tuple[float, int, LeaseMessage]]
 ) -> None:
     now = 10.0
@@ -104,7 +106,7 @@
         assert acceptor.next_deadline() > 0
 
 
-# ---------------------------------------------------------------- what raises all the same
+# ---------------------------------------------------------------- unexpected exceptions
 
 
 class FailsOnce:
@@ -117,70 +119,72 @@
     def __call__(self, *args: Any) -> Any:
         self.calls += 1
         if self.calls == 1:
-            message = "not foreseen"
+            message = "unexpected failure"
             raise RuntimeError(message)
         return self.real(*args)
 
 
 @pytest.fixture
 def peers() -> Iterator[PeerSocket]:
-    own = PeerSocket(("127.0.0.1", 0), SELF, {}, lambda event: None)
-    own.addresses = {SELF: own.address, PEER: own.address}
-    yield own
-    own.stop()
+    own_socket = PeerSocket(("127.0.0.1", 0), SELF, {}, lambda event: None)
+    own_socket.addresses = {SELF: own_socket.address, PEER: own_socket.address}
+    yield own_socket
+    own_socket.stop()
 
 
 @pytest.fixture
-def stranger(peers: PeerSocket) -> Iterator[PeerSocket]:
-    """The other gateway's end."""
-    other = PeerSocket(("127.0.0.1", 0), PEER, {SELF: peers.address}, lambda event: None)
-    peers.addresses[PEER] = other.address
-    yield other
-    other.stop()
+def other_peer(peers: PeerSocket) -> Iterator[PeerSocket]:
+    """Peer socket of the other gateway."""
+    other_socket = PeerSocket(("127.0.0.1", 0), PEER, {SELF: peers.address}, lambda event: None)
+    peers.addresses[PEER] = other_socket.address
+    yield other_socket
+    other_socket.stop()
 
 
-def test_a_handler_that_raises_does_not_end_the_peer_socket(peers: PeerSocket, stranger: PeerSocket) -> None:
-    """Guards against one message after which a gateway heard no peer any more, of leases, limits or gossip."""
+def test_peer_socket_survives_a_handler_that_raises(peers: PeerSocket, other_peer: PeerSocket) -> None:
+    """Guards against one message after which a gateway receives no peer messages any more, in any subsystem."""
     received: list[bytes] = []
     peers.subscribe(7, FailsOnce(lambda sender, body: received.append(body)))
     for text in (b"\x07first", b"\x07second"):
-        stranger.send(SELF, text)
+        other_peer.send(SELF, text)
     wait_for(lambda: received)
     assert received == [b"\x07second"] and not peers.greenlet.ready()
 
 
-def test_an_error_of_the_socket_does_not_end_the_peer_socket(
-    peers: PeerSocket, stranger: PeerSocket, monkeypatch: pytest.MonkeyPatch
+def test_peer_socket_survives_a_socket_error(
+    peers: PeerSocket, other_peer: PeerSocket, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     received: list[bytes] = []
     peers.subscribe(7, lambda sender, body: received.append(body))
 
-    def fails(size: int) -> Any:
+    def raise_once(size: int) -> Any:
         monkeypatch.undo()
         raise OSError(105, "No buffer space available")
 
-    monkeypatch.setattr(peers, "sock", type("Socket", (), {"recvfrom": staticmethod(fails), "close": peers.sock.close}))
+    monkeypatch.setattr(
+        peers, "sock", type("Socket", (), {"recvfrom": staticmethod(raise_once), "close": peers.sock.close})
+    )
     peers.greenlet.kill()
     peers.greenlet = gevent.spawn(peers._receive_all)
     gevent.sleep(0.01)
-    stranger.send(SELF, b"\x07text")
+    other_peer.send(SELF, b"\x07text")
     wait_for(lambda: received)
 
 
 @pytest.fixture
 def runner(peers: PeerSocket, tmp_path: Path) -> Iterator[LeaseRunner]:
-    """A fleet of one, whose only gateway is the only acceptor."""
+    """Lease runner of a fleet with one gateway, which is the only acceptor."""
     config = DutiesBlock(voters=(SELF,), lease=0.2, duty=(DutyBlock(name="drain", shards=2),))
-    remembers = AcceptorLog(tmp_path, lease_settings(config, 1), sync=False)
-    remembers.persist(PersistVotes((), 0))
-    remembers.close()
-    made = LeaseRunner(config, FleetPlace(SELF, 1, 1), tmp_path, peers, logs.get())
-    yield made
-    made.stop()
+    acceptor_log = AcceptorLog(tmp_path, lease_settings(config, 1), sync=False)
+    acceptor_log.persist(PersistVotes((), 0))
+    acceptor_log.close()
+    lease_runner = LeaseRunner(config, FleetPlace(SELF, 1, 1), tmp_path, peers, logs.get())
+    yield lease_runner
+    lease_runner.stop()
 
 
 class IdleWork:
-    """Holds roles and does nothing."""
+    """Role work that holds the leases and does nothing."""
 
     def __init__(self) -> None:
         self.by_kind = {"drain": self._idle}
@@ -190,19 +194,19 @@
             lease.sleep(0.01)
 
     def poll_operator_requests(self, runner: LeaseRunner) -> None:
-        """Ask for nothing."""
+        """Do nothing."""
 
 
 @pytest.mark.parametrize("method", ["receive", "tick"])
-def test_a_lease_holder_that_raises_once_does_not_end_the_greenlet_of_leases(runner: LeaseRunner, method: str) -> None:
-    """Guards against leases that are never renewed, nor votes given, after one fault, in silence."""
+def test_lease_greenlet_survives_a_lease_holder_that_raises_once(runner: LeaseRunner, method: str) -> None:
+    """Guards against one exception after which, silently, no lease is renewed and no vote is given."""
     failing = FailsOnce(getattr(runner.holder, method))
     setattr(runner.holder, method, failing)
     runner.start(IdleWork())
     wait_for(lambda: len(runner.leases) == 2 and failing.calls > 1)
 
 
-def test_an_acceptor_that_raises_once_does_not_end_the_greenlet_of_leases(runner: LeaseRunner) -> None:
+def test_lease_greenlet_survives_an_acceptor_that_raises_once(runner: LeaseRunner) -> None:
     assert runner.acceptor is not None
     failing = FailsOnce(runner.acceptor.acceptor.receive)
     runner.acceptor.acceptor.receive = failing  # type: ignore[method-assign]
@@ -210,28 +214,28 @@
     wait_for(lambda: len(runner.leases) == 2 and failing.calls > 1)
 
 
-def test_a_write_that_raises_no_oserror_announces_nothing_and_does_not_end_the_acceptor(tmp_path: Path) -> None:
-    """Guards against an acceptor that gives no vote until a restart, and against a vote that is not on disk."""
+def test_acceptor_survives_an_unexpected_write_error_and_sends_no_vote_for_it(tmp_path: Path) -> None:
+    """Guards against an acceptor that gives no vote until a restart, and against a vote sent before it is on disk."""
     sent: list[SendLeaseMessage] = []
-    votes = AcceptorLog(tmp_path, SETTINGS, sync=False)
+    acceptor_log = AcceptorLog(tmp_path, SETTINGS, sync=False)
     acceptor = Acceptor(SETTINGS, LeaseMember(SELF, 5, seed=1), 10.0, AcceptorMemory({}, 0))
-    votes.persist(PersistVotes((), 0))
-    votes.persist = FailsOnce(votes.persist)  # type: ignore[method-assign]
-    made = AcceptorRunner(acceptor, votes, sent.extend, logs.get())
-    made.start()
+    acceptor_log.persist(PersistVotes((), 0))
+    acceptor_log.persist = FailsOnce(acceptor_log.persist)  # type: ignore[method-assign]
+    acceptor_runner = AcceptorRunner(acceptor, acceptor_log, sent.extend, logs.get())
+    acceptor_runner.start()
     for serial in (1, 2):
         request = LeaseMessage(
             LeaseMessageType.VOTE_REQUEST, SETTINGS.fingerprint, 6, serial, entries=(BallotEntry(0, 3),)
         )
-        made.receive(10.0, 3, request)
+        acceptor_runner.receive(10.0, 3, request)
     wait_for(lambda: sent)
-    made.stop()
+    acceptor_runner.stop()
     assert [action.message.serial for action in sent] == [2]
     assert AcceptorLog(tmp_path, SETTINGS, sync=False).memory.votes  # type: ignore[union-attr]
 
 
-class Requests:
-    """A map service that says what operators ask for."""
+class StandInMapService:
+    """Stand-in of the map service that returns fixed operators' requests."""
 
     timeout_s = 1.0
 
@@ -239,19 +243,19 @@
         self.requests = requests
         self.calls = 0
 
-    def with_deadline(self, deadline: float) -> Requests:
+    def with_deadline(self, deadline: float) -> StandInMapService:
         """Return itself."""
         return self
 
     def operator_requests(self) -> OperatorRequests:
-        """Return what is asked for, and count the calls."""
+        """Return the requests, and count the calls."""
         self.calls += 1
         return OperatorRequests(self.requests, [])
 
 
-def test_a_request_to_release_that_names_no_token_does_not_end_the_polls(runner: LeaseRunner) -> None:
-    """Guards against a gateway that heeds no operator any more: neither drains, nor pauses, nor releases."""
-    service = Requests({"release/drain/0": "soon", "release/drain/1": "999"})
+def test_operator_polls_survive_a_release_request_without_a_valid_token(runner: LeaseRunner) -> None:
+    """Guards against a gateway that ignores all requests to drain, pause or release after a malformed one."""
+    service = StandInMapService({"release/drain/0": "soon", "release/drain/1": "999"})
     context = RoleContext(None, service, GatewayView(dict, lambda: 0), logs.get())  # type: ignore[arg-type]
     work = IdleWork()
     work.poll_operator_requests = context.poll_operator_requests  # type: ignore[method-assign]
@@ -259,12 +263,12 @@
     wait_for(lambda: runner.lost_counts[RELEASED_BY_OPERATOR] > 1 and service.calls > 2)
 
 
-def test_a_gossip_round_that_raises_once_is_not_the_last(peers: PeerSocket) -> None:
-    """Guards against a gateway that tells its peers nothing any more after one fault, in silence."""
+def test_gossip_continues_after_a_round_that_raises(peers: PeerSocket) -> None:
+    """Guards against a gateway that silently sends no gossip any more after one exception."""
     view = SchedulerView({}, lambda: 1, list, lambda event: None)
-    made = GossipRunner(SharedBlock(every=0.01), FleetPlace(SELF, 2, 1), peers, view, logs.get())
-    failing = FailsOnce(made.agent.run_round)
-    made.agent.run_round = failing  # type: ignore[method-assign]
-    made.start()
+    gossip_runner = GossipRunner(SharedBlock(every=0.01), FleetPlace(SELF, 2, 1), peers, view, logs.get())
+    failing = FailsOnce(gossip_runner.agent.run_round)
+    gossip_runner.agent.run_round = failing  # type: ignore[method-assign]
+    gossip_runner.start()
     wait_for(lambda: failing.calls > 2)
-    made.stop()
+    gossip_runner.stop()
