--- a/fawnspool/net/__init__.py
+++ b/fawnspool/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP framing, sockets, pools and deadlines: no meaning, no choices."""
+"""HTTP framing, sockets, connection pools and deadlines; this package knows nothing of volumes, nodes or scheduling."""
--- a/fawnspool/net/admission_throttle.py
+++ b/fawnspool/net/admission_throttle.py
@@ -1,4 +1,4 @@
-"""A bound on the greenlets that may begin their work in one iteration of the event loop."""
+"""A limit on the number of greenlets that start their work in one iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class AdmissionThrottle:
-    """Lets `max_per_iteration` greenlets at most pass in one iteration of the loop; others wait in order of arrival.
+    """Admits at most `max_per_iteration` greenlets per iteration of the loop; the others wait in order of arrival.
 
-    Without it a thousand requests that arrive together are all begun before the loop comes back to what is already
-    under way, and everything takes as long as the whole thousand.
+    Without the throttle, a thousand requests that arrive together would all start before the loop returns to the
+    requests in progress, and each request would take as long as the whole thousand.
     """
 
     def __init__(self, max_per_iteration: int) -> None:
@@ -23,15 +23,15 @@
         loop = get_hub().loop
         self._iteration_watcher = loop.check()
         self._iteration_watcher.start(self._begin_iteration)
-        self._keep_awake = loop.timer(0.0)  # the loop must not sleep while some wait
+        self._keep_awake = loop.timer(0.0)  # keeps the loop iterating while greenlets wait
 
     def enter(self, deadline: float | None = None) -> None:
-        """Pass, or wait for a later iteration; past the deadline pass in any case, as little is left to do then.
+        """Wait until the calling greenlet is admitted, or until the deadline, past which a request needs little work.
 
         Parameters
         ----------
         deadline
-            Monotonic seconds; None: no limit.
+            Monotonic seconds; None: no deadline.
         """
         if self._passed < self.max_per_iteration and not self._waiting:
             self._passed += 1
@@ -44,7 +44,7 @@
             self._waiting.remove(permit)
 
     def close(self) -> None:
-        """Let all that wait pass and watch the loop no longer."""
+        """Admit all waiting greenlets and stop the loop watchers."""
         self._iteration_watcher.stop()
         self._iteration_watcher.close()
         self._keep_awake.stop()
--- a/fawnspool/net/arrival_clock.py
+++ b/fawnspool/net/arrival_clock.py
@@ -1,20 +1,20 @@
-"""When bytes reached this host, on the monotonic clock.
+"""Converts the kernel's receive timestamps to the monotonic clock.
 
-The kernel stamps what arrives by the wall clock, which may be set by any amount at any moment. So the offset between
-the two clocks is observed now and then and with every stamp, and a stamp counts only as far as it can be true.
+The kernel stamps received bytes by the wall clock, which may be set by any amount at any moment. So the offset between
+the two clocks is observed periodically and with every timestamp, and a timestamp is used only where it is plausible.
 """
 
 from __future__ import annotations
 
-OFFSET_TOLERANCE_S = 0.01  # an offset that changes by more between two observations was set, and not only slewed
-_TRUSTED_PAST_S = 60.0  # before the first observation
+OFFSET_TOLERANCE_S = 0.01  # a larger change between two observations means that the wall clock was set, not slewed
+_TRUSTED_PAST_S = 60.0  # timestamps from this long before the first observation are accepted
 
 
 class ArrivalClock:
-    """Turns stamps of the wall clock into monotonic times, seconds.
+    """Converts wall-clock timestamps to monotonic times, in seconds.
 
-    The caller reads both clocks together and calls `observe` often (each twentieth of a second): between two
-    observations nobody can tell when the wall clock was set.
+    The caller reads both clocks together and calls `observe` often (every 50 ms): the moment at which the wall clock
+    was set is known only to lie between two observations.
     """
 
     def __init__(self, wall: float, now: float) -> None:
@@ -25,7 +25,7 @@
         self._set_before = now  # first observation after it
 
     def observe(self, wall: float, now: float) -> None:
-        """Note how the clocks stand to each other."""
+        """Record the offset between the two clocks."""
         offset = wall - now
         if abs(offset - self._offset) > OFFSET_TOLERANCE_S:
             self._former_offset = self._offset
@@ -35,25 +35,26 @@
         self._observed_at = now
 
     def arrival(self, stamp: float, wall: float, now: float) -> float:
-        """Return the monotonic time at which bytes came.
+        """Return the monotonic time at which bytes arrived.
 
-        Where the wall clock was set meanwhile, the stamp may be of the old time. The result is never later than `now`
-        and hardly earlier than the last observation before that.
+        If the wall clock was set after the bytes arrived, their timestamp is converted with the previous offset. The
+        result is never later than `now`, and at most slightly earlier than the last observation before the clock was
+        set.
 
         Parameters
         ----------
         stamp
-            The kernel's stamp, by the wall clock.
+            The kernel's timestamp, by the wall clock.
         wall, now
-            Both clocks as read just after the bytes.
+            Both clocks, read just after the bytes.
         """
         self.observe(wall, now)
-        came = stamp - self._offset
-        if self._set_after <= came <= now:
-            return came
-        former = stamp - self._former_offset
-        if self._set_after <= former <= self._set_before:
-            return former
-        if came < self._set_after:
+        arrived_at = stamp - self._offset
+        if self._set_after <= arrived_at <= now:
+            return arrived_at
+        by_former_offset = stamp - self._former_offset
+        if self._set_after <= by_former_offset <= self._set_before:
+            return by_former_offset
+        if arrived_at < self._set_after:
             return self._set_after
         return now
--- a/fawnspool/net/client_connection.py
+++ b/fawnspool/net/client_connection.py
@@ -24,18 +24,18 @@
     Attributes
     ----------
     is_new
-        No request has been answered on it yet.
+        The pool opened the connection for its current request, rather than reusing it.
     last_used
         When its last request ended (monotonic seconds).
     lenient
-        Bytes behind a complete response leave it complete and only spoil the connection (`has_trailing_data`), else
-        they raise TrailingDataError. And a response that names no length is complete where its sender closes the
-        connection (RFC 9112, 6.3), never where that breaks (`SocketStream` keeps a break that any look met), else it
-        is never complete.
+        If true, bytes after a complete response do not invalidate the response; they only make the connection unusable
+        for another request (`has_trailing_data`). Otherwise they raise TrailingDataError. If true, a response without
+        a length also is complete once its sender closes the connection (RFC 9112, 6.3), but never where the connection
+        breaks (`SocketStream` remembers a break that any call met). Otherwise such a response is never complete.
     ends_at_close
-        The close of the connection ends the present response.
+        The current response ends when the peer closes the connection.
     has_trailing_data
-        Bytes came behind a response: the connection carries no other request.
+        Bytes arrived after a response, so the connection carries no further request.
     """
 
     __slots__ = ("_parser", "ends_at_close", "has_trailing_data", "is_new", "last_used", "lenient", "stream")
@@ -50,14 +50,14 @@
         self._parser = ResponseParser(_LIMITS)
 
     def send(self, data: bytes, deadline: float) -> None:
-        """Hand all of it to the kernel.
+        """Pass all of `data` to the kernel.
 
         Raises
         ------
         TimeoutError
-            Past the deadline (monotonic seconds).
+            The deadline (monotonic seconds) passed first.
         ConnectionLostError
-            Where the connection ended before; `request_written` is False.
+            The connection ended first; `request_written` is False.
         """
         try:
             self.stream.sendall(data, deadline)
@@ -67,17 +67,17 @@
             raise _lost(error, "while sending", request_written=False) from None
 
     def read_head(self, deadline: float) -> ResponseHead:
-        """Read up to the end of the response's head. Raises TimeoutError, ConnectionLostError, HttpError."""
+        """Read and return the response's head. Raises TimeoutError, ConnectionLostError, HttpError."""
         self._parser.expect_response()
         self.ends_at_close = False
         head = self._next_event(deadline)
         if not isinstance(head, ResponseHead):
-            raise HttpError(502, "no status line came")
+            raise HttpError(502, "expected a status line")
         self.ends_at_close = self.lenient and head.length is None and b"transfer-encoding" not in head.headers
         return head
 
     def read_piece(self, deadline: float) -> bytes | None:
-        """Read the next piece of the body; None at its end. Raises as `read_head`."""
+        """Read the next piece of the body; None at its end. Raises the errors of `read_head`."""
         event = self._next_event(deadline)
         if event is END_OF_MESSAGE:
             return None
@@ -85,13 +85,13 @@
         return event
 
     def read_body(self, deadline: float, max_bytes: int | None = None) -> bytes:
-        """Read the whole body. Raises as `read_head`, and HttpError as soon as it is known to be over `max_bytes`."""
+        """Read the whole body. Raises the errors of `read_head`, and HttpError once more than `max_bytes` were read."""
         pieces = []
         size = 0
         while (piece := self.read_piece(deadline)) is not None:
             size += len(piece)
             if max_bytes is not None and size > max_bytes:
-                raise HttpError(502, f"a body of over {max_bytes} bytes")
+                raise HttpError(502, f"response body is longer than {max_bytes} bytes")
             pieces.append(piece)
         if len(pieces) == 1:
             return pieces[0]
@@ -123,7 +123,7 @@
             self.has_trailing_data = True
 
     def _end_of_stream(self) -> None:
-        """The peer closed: the response ends with that, or it is cut."""
+        """Handle the peer's close, which ends the response or truncates it."""
         if not self.ends_at_close or self._parser.in_head:
             raise ConnectionClosedError
         self._parser.complete = True
@@ -131,24 +131,24 @@
         self._parser.events.append(END_OF_MESSAGE)
 
     def is_cut_in_head(self) -> bool:
-        """Tell whether a response has begun and its head is not complete."""
+        """Return whether a response has begun and its head is not complete."""
         return self._parser.in_head
 
     def is_reusable_after(self, head: ResponseHead) -> bool:
-        """Tell whether the connection may carry another request once this response has been read."""
+        """Return whether the connection may carry another request once this response has been read."""
         return head.keep_alive and self._parser.complete and not self.has_trailing_data
 
     def is_stale(self) -> bool:
-        """Tell whether the peer has closed it, or sent what nobody asked for, while it lay idle."""
+        """Return whether the peer closed the idle connection or sent unrequested bytes on it."""
         return self.stream.at_end()
 
     def close(self) -> None:
-        """Close it; a greenlet that waits on it wakes with ConnectionClosedError."""
+        """Close the connection; a greenlet that waits on it gets ConnectionClosedError."""
         self.stream.close()
 
 
 def _lost(error: OSError, where: str, request_written: bool = True) -> ConnectionLostError:
-    """Return the error to raise where a connection's stream met `error`."""
+    """Return the error to raise when the connection's stream raised `error`."""
     if isinstance(error, StreamClosedError):
         return ConnectionClosedError(f"{where}: {error}", request_written)
     return ConnectionBrokenError(f"{where}: {error}", request_written)
--- a/fawnspool/net/connection_pool.py
+++ b/fawnspool/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to a server, kept alive between requests."""
+"""A pool of connections to one server, kept alive between requests."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 @dataclass(frozen=True)
 class PoolOptions:
-    """Bounds of a pool.
+    """Limits and timeouts of a pool.
 
     Attributes
     ----------
     max_connections
-        Open at once, in use or idle.
+        Most connections open at once, in use or idle.
     connect_timeout_s
-        For one connect.
+        Timeout of one connection attempt.
     idle_timeout_s
-        An idle connection is used no more after so long.
+        A connection that was idle for this long is not reused.
     lenient
         See `ClientConnection`.
     cooldown_s
-        A connection rests so long between two requests, so that what comes late of the one is not taken for the
-        other's.
+        Minimum time between two requests on one connection, so that late bytes of one response are not taken for the
+        next response.
     max_with_spares
-        Where requests wait for resting connections again and again, others are opened for those that follow, up to so
-        many in all.
+        If requests repeatedly wait for connections that cool down, the pool opens spare connections for later
+        requests until this many are open in all.
     """
 
     max_connections: int
@@ -54,14 +54,14 @@
 
 
 class ConnectionPool:
-    """Connections to one address. Whoever acquires one gives it back by `release` or `discard`.
+    """Connections to one address; each acquired connection must be returned with `release` or `discard`.
 
     Attributes
     ----------
     idle
-        Connections without a request, the one used last at the end.
+        Connections without a request, the most recently used one last.
     open_count
-        Connections in use or idle.
+        Number of connections in use or idle.
     """
 
     def __init__(self, address: tuple[str, int], options: PoolOptions) -> None:
@@ -87,7 +87,7 @@
         Raises
         ------
         ConnectError
-            Also where all connections are in use.
+            No connection could be opened, or all `max_connections` are in use.
         """
         while self.idle:
             connection = self._take_idle()
@@ -99,7 +99,10 @@
         return self._open(deadline)
 
     def _take_idle(self) -> ClientConnection:
-        """Take out the connection used last, so that the others may be given up, but for those that cool down."""
+        """Remove and return the most recently used connection that has cooled down, so that the others may expire.
+
+        If none has cooled down, return the most recently used one.
+        """
         cooled_before = time.monotonic() - self.options.cooldown_s
         for index in range(len(self.idle) - 1, -1, -1):
             if self.idle[index].last_used <= cooled_before:
@@ -109,21 +112,21 @@
         return self.idle.pop()
 
     def _cool_down(self, connection: ClientConnection, deadline: float) -> None:
-        """Wait until an idle connection that was taken out has rested long enough."""
+        """Wait until the cooldown of a connection taken from `idle` has passed, at most until the deadline."""
         now = time.monotonic()
-        rest_s = connection.last_used + self.options.cooldown_s - now
-        if rest_s <= 0:
+        remaining_s = connection.last_used + self.options.cooldown_s - now
+        if remaining_s <= 0:
             return
         if self._spare_demand.record_wait(now):
             self._begin_spare()
         try:
-            gevent.sleep(min(rest_s, max(0.0, deadline - time.monotonic())))
+            gevent.sleep(min(remaining_s, max(0.0, deadline - time.monotonic())))
         except BaseException:
             self.discard(connection)
             raise
 
     def _begin_spare(self) -> None:
-        """Open a connection for requests to come, in the background, where there is a place and none is on its way."""
+        """Open a spare connection in the background, unless one is being opened or the limit on spares is reached."""
         if self._is_opening_spare or self.open_count >= self.options.max_with_spares:
             return
         self._is_opening_spare = True
@@ -139,7 +142,7 @@
 
     def _open(self, deadline: float) -> ClientConnection:
         if self.open_count >= self.options.max_connections:
-            text = f"all {self.options.max_connections} connections are in use"
+            text = f"all {self.options.max_connections} connections of the pool are in use"
             raise PoolExhaustedError(text)
         self.open_count += 1
         try:
@@ -152,31 +155,31 @@
         return ClientConnection(stream, self.options.lenient)
 
     def release(self, connection: ClientConnection) -> None:
-        """Give a connection back for the next request."""
+        """Return a connection to the pool for the next request, and discard idle ones past the idle timeout."""
         connection.last_used = time.monotonic()
         self.idle.append(connection)
         while self.idle and connection.last_used - self.idle[0].last_used > self.options.idle_timeout_s:
             self.discard(self.idle.popleft())
 
     def discard(self, connection: ClientConnection) -> None:
-        """Close a connection that is not idle."""
+        """Close a connection that is not in `idle`."""
         self.open_count -= 1
         connection.close()
 
     def prune(self) -> None:
-        """Close idle connections that lay too long or that the peer closed: nobody may ever acquire them."""
+        """Close idle connections past the idle timeout or closed by the peer, which `acquire` may never reach."""
         now = time.monotonic()
-        outdated = [
+        unusable = [
             connection
             for connection in self.idle
             if now - connection.last_used >= self.options.idle_timeout_s or connection.is_stale()
         ]
-        for connection in outdated:
+        for connection in unusable:
             self.idle.remove(connection)
             self.discard(connection)
 
     def discard_older_than(self, broken: ClientConnection) -> None:
-        """A kept connection broke at its next request: those that have lain longer are not to be trusted either."""
+        """Discard connections idle for longer than a reused one that broke: they are no longer trusted either."""
         while self.idle and self.idle[0].last_used <= broken.last_used:
             self.discard(self.idle.popleft())
 
@@ -187,9 +190,9 @@
 
 
 def _connect_error(error: OSError) -> ConnectError:
-    """Return the error to raise where a connect met `error`."""
+    """Return the error to raise when connecting failed with `error`."""
     if error.errno in (errno.EMFILE, errno.ENFILE):
-        return PoolExhaustedError("no descriptor is left")
+        return PoolExhaustedError("no file descriptor is left")
     text = str(error) or type(error).__name__
     if isinstance(error, DeadlineExceededError):
         return ConnectTimeoutError(text)
@@ -201,21 +204,21 @@
 ) -> tuple[ResponseHead, bytes]:
     """Send one request and read its whole response.
 
-    A kept connection that broke is replaced by a new one, so this is for requests that are safe to repeat only.
+    If a reused connection breaks, the request is sent again on another one, so this is only for idempotent requests.
 
     Parameters
     ----------
     pool
-        Of the server.
+        Pool of connections to the server.
     method, target, body
-        Of the request.
+        Parts of the request.
     deadline
         Monotonic seconds.
 
     Raises
     ------
     ConnectError, ConnectionLostError, HttpError, TimeoutError
-        Where no response came, or none that reads.
+        There was no response, or a malformed one.
     """
     host = b"%s:%d" % (pool.address[0].encode(), pool.address[1])
     request = format_request_head(method, target, host, [], len(body)) + body
--- a/fawnspool/net/exceptions.py
+++ b/fawnspool/net/exceptions.py
@@ -3,21 +3,21 @@
 ::
 
     ConnectionFailedError
-    ├── ConnectError                no connection was made: nothing was sent
-    │   ├── ConnectTimeoutError     not within the time given
-    │   ├── ConnectRefusedError     refused, or out of reach as the system says
-    │   └── PoolExhaustedError      this side has no connection or descriptor left
-    └── ConnectionLostError         it ended before its response was complete
-        ├── ConnectionBrokenError   by an error of the socket, as a reset
+    ├── ConnectError                no connection was established, so nothing was sent
+    │   ├── ConnectTimeoutError     not before the deadline
+    │   ├── ConnectRefusedError     refused, or the system reports the address as unreachable
+    │   └── PoolExhaustedError      no connection or file descriptor is left on this side
+    └── ConnectionLostError         the connection ended before its response was complete
+        ├── ConnectionBrokenError   by a socket error such as a reset
         └── ConnectionClosedError   by a close, of the peer or of this side
-    HttpError                       a message that is not to be taken
-    └── TrailingDataError           bytes behind the end of a response
-    ClientDisconnectedError         the peer of a server left in the middle of an exchange
-    DeadlineExceededError           (a TimeoutError) a wait reached the deadline that its caller gave
+    HttpError                       a message that is rejected
+    └── TrailingDataError           bytes after the end of a response
+    ClientDisconnectedError         the client of a server disconnected during an exchange
+    DeadlineExceededError           (a TimeoutError) a wait reached its caller's deadline
     StreamClosedError               (an OSError) the stream was closed on this side
-    RangeNotSatisfiableError        no byte of a representation lies in a range
-    ConcurrentWaitError             (a RuntimeError) a mistake in the program
-    AnsweredTwiceError              (a RuntimeError) a mistake in the program
+    RangeNotSatisfiableError        the requested range contains no byte of the representation
+    ConcurrentWaitError             (a RuntimeError) a programming error
+    AnsweredTwiceError              (a RuntimeError) a programming error
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
 
 
 class ConnectionFailedError(Exception):
-    """No connection was made, or one ended too early."""
+    """No connection was established, or one ended too early."""
 
 
 class ConnectError(ConnectionFailedError):
-    """No connection was made: nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class ConnectTimeoutError(ConnectError):
-    """No connection was made within the time given."""
+    """No connection was established before the deadline."""
 
 
 class ConnectRefusedError(ConnectError):
-    """The connection was refused, or its address is out of reach."""
+    """The connection was refused, or its address is unreachable."""
 
 
 class PoolExhaustedError(ConnectError):
-    """This side has no connection left to give, or no descriptor: it says nothing of the other side."""
+    """No connection or file descriptor is left on this side; this is no evidence about the peer."""
 
 
 class ConnectionLostError(ConnectionFailedError):
@@ -51,7 +51,7 @@
     Attributes
     ----------
     request_written
-        False where the kernel had not taken the whole request, so that the peer cannot have read it.
+        False if the kernel had not accepted the whole request, so that the peer cannot have read it.
     """
 
     def __init__(self, text: str, request_written: bool = True) -> None:
@@ -60,25 +60,27 @@
 
 
 class ConnectionBrokenError(ConnectionLostError):
-    """The socket reported an error: a reset, a route that is gone, a timeout of the system's own."""
+    """The socket reported an error: a reset, a lost route or a timeout of the operating system."""
 
 
 class ConnectionClosedError(ConnectionLostError):
     """The peer ended the connection, or this side closed it."""
 
-    def __init__(self, text: str = "closed before the answer was whole", request_written: bool = True) -> None:
+    def __init__(
+        self, text: str = "connection closed before the response was complete", request_written: bool = True
+    ) -> None:
         super().__init__(text, request_written)
 
 
 class HttpError(Exception):
-    """A message that is not to be taken.
+    """A message that is rejected.
 
     Attributes
     ----------
     status
-        What the peer is answered with, where it is a client.
+        Status of the error response, if the peer is a client.
     text
-        The reason, for people.
+        Human-readable reason.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -88,18 +90,18 @@
 
 
 class TrailingDataError(HttpError):
-    """Bytes came behind the end of a response: its length is in doubt."""
+    """Bytes arrived after the end of a response, so its length is in doubt."""
 
     def __init__(self) -> None:
-        super().__init__(502, "bytes behind the answer's end")
+        super().__init__(502, "unexpected bytes after the end of the response")
 
 
 class ClientDisconnectedError(Exception):
-    """The client closed its side, or went silent for too long, in the middle of its request or of the response."""
+    """The client closed its side of the connection during its request or the response, or the connection broke."""
 
 
 class DeadlineExceededError(TimeoutError):
-    """A wait reached the deadline that its caller gave. Unlike the system's ETIMEDOUT it tells nothing of the peer."""
+    """A wait reached its caller's deadline. Unlike the system's ETIMEDOUT this is no evidence about the peer."""
 
     def __init__(self) -> None:
         super().__init__("timed out")
@@ -109,22 +111,22 @@
     """The stream was closed on this side while a greenlet waited on it."""
 
     def __init__(self) -> None:
-        super().__init__(errno.EBADF, "closed here")
+        super().__init__(errno.EBADF, "stream was closed on this side")
 
 
 class RangeNotSatisfiableError(Exception):
-    """No byte of a representation lies in the range asked for."""
+    """The requested range contains no byte of the representation."""
 
 
 class ConcurrentWaitError(RuntimeError):
-    """A mistake in the program: one direction of a socket belongs to one greenlet at a time."""
+    """A programming error: only one greenlet at a time may wait for one direction of a socket."""
 
     def __init__(self) -> None:
         super().__init__("two greenlets wait for one direction of a socket")
 
 
 class AnsweredTwiceError(RuntimeError):
-    """A mistake in the program: a handler answered an exchange that has its response."""
+    """A programming error: a handler answered an exchange that already has its response."""
 
     def __init__(self) -> None:
-        super().__init__("an exchange is answered once")
+        super().__init__("the exchange already has its response")
--- a/fawnspool/net/exchange.py
+++ b/fawnspool/net/exchange.py
@@ -1,4 +1,4 @@
-"""One request to an HTTP/1.1 server and its one response."""
+"""One request to an HTTP/1.1 server and its response."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 class ExchangeConnection(Protocol):
-    """What an exchange needs of its connection.
+    """What an exchange needs from its connection.
 
     Attributes
     ----------
     closing
-        No other request is read on it.
+        No further request is read on the connection.
     request_cut
-        Its last response was given before the request was complete.
+        The last response was sent before its request was completely read.
     flooded
-        Too much came behind the request being handled.
+        The client sent too many bytes after the request being handled.
     """
 
     stream: SocketStream
@@ -43,26 +43,26 @@
     flooded: bool
 
     def send(self, data: bytes) -> None:
-        """Send all of it. Raises OSError."""
+        """Send all of `data`. Raises OSError."""
 
     def next_event(self, read_bytes: int) -> MessageEvent:
         """Return the next event of the request being read."""
 
-    def has_left(self) -> bool:
-        """Tell whether the peer has closed."""
+    def has_disconnected(self) -> bool:
+        """Return whether the peer has closed the connection."""
 
     def must_end(self) -> bool:
-        """Tell whether the connection ends with its present response."""
+        """Return whether the connection ends with its current response."""
 
     def note_event(self, event: ConnectionEvent) -> None:
-        """Go on to the connection's next state."""
+        """Change to the connection's next state."""
 
     def note_cause(self, cause: CloseCause) -> None:
-        """Note why the connection ends."""
+        """Record why the connection ends."""
 
 
 class Exchange:
-    """One request and its one response.
+    """One request and its response.
 
     Attributes
     ----------
@@ -71,11 +71,11 @@
     arrived_at
         When the request's first bytes reached this host (monotonic seconds).
     answered
-        Its response was given or has begun, or none is owed.
+        The response was sent or has begun, or none is owed.
     request_read
         The request has been read to its end.
     body_bytes
-        Bytes of the body read.
+        Number of bytes of the body that were read.
     """
 
     __slots__ = ("answered", "arrived_at", "body_bytes", "connection", "head", "request_read")
@@ -89,16 +89,16 @@
         self.body_bytes = 0
 
     def body(self) -> Iterator[bytes]:
-        """Read the rest of the body, piece by piece; reading it slowly holds the client back.
+        """Yield the rest of the body piece by piece; a slow reader slows down the client (backpressure).
 
         Raises
         ------
         ClientDisconnectedError
-            Where the client left.
+            The client disconnected.
         HttpError
-            Where the framing is in doubt.
+            The framing is invalid.
         TimeoutError
-            Where a piece takes too long.
+            A piece did not arrive in time.
         """
         connection = self.connection
         if self.head.expects_continue and not self.answered and not self.body_bytes:
@@ -115,20 +115,20 @@
             yield event
 
     def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes = b"", close: bool = False) -> None:
-        """Send the whole response. A client that has left meanwhile is no error.
+        """Send the whole response. A client that has disconnected is no error.
 
         Parameters
         ----------
         status, headers, body
-            Of the response; the body is not sent to HEAD.
+            Parts of the response; the body is not sent in response to HEAD.
         close
-            The connection ends behind it in any case.
+            Close the connection after the response in any case.
         """
         bodiless = self.head.method == b"HEAD" or status in BODILESS_STATUSES
         self._send_response(status, headers, len(body), b"" if bodiless else body, close)
 
     def respond_bare(self, status: int, headers: list[tuple[bytes, bytes]], length: int) -> None:
-        """Send the response to HEAD: `length` is what GET would send."""
+        """Send the response to HEAD, with the body length that GET would have."""
         self._send_response(status, headers, length, b"", close=False)
 
     def _send_response(
@@ -143,24 +143,24 @@
             self.connection.closing = True
 
     def begin(self, status: int, headers: list[tuple[bytes, bytes]], length: int | None) -> None:
-        """Start a response whose body follows by `write`; `finish` ends it. Raises OSError as `write`."""
+        """Send a response's head; `write` sends the body and `finish` ends it. Raises OSError as `write` does."""
         last = self._begin_response()
         self.connection.closing |= last
         self.connection.send(format_response_head(status, headers, length, last))
 
     def write(self, piece: bytes | memoryview, deadline: float) -> None:
-        """Send a piece of the body. Raises OSError where the client has left or takes nothing until `deadline`."""
+        """Send a piece of the body. Raises OSError if the client has disconnected or does not read by `deadline`."""
         self.connection.stream.sendall(piece, deadline)
 
     def finish(self, complete: bool) -> None:
-        """End the response that was begun; one that is not complete ends with its connection."""
+        """End the response that was begun; if it is not complete, the connection is closed."""
         self.connection.closing |= not complete
 
     def abandon(self) -> None:
-        """Count the client as gone, so that no response is owed. One that only sent too much is told so."""
+        """Treat the client as disconnected, so that no response is owed; a client that sent too much gets a 400."""
         if self.connection.flooded:
             self.connection.note_cause(CloseCause.BAD_MESSAGE)
-            body = format_error_body("bad-request", "too much came behind a request")
+            body = format_error_body("bad-request", "too many bytes after a request that is being handled")
             self.respond(400, [JSON_HEADER], body, close=True)
             return
         self.connection.note_cause(CloseCause.PEER_CLOSED)
@@ -168,29 +168,29 @@
         self.connection.closing = True
 
     def client_left(self) -> bool:
-        """Tell whether the client closed its connection while its response is awaited.
+        """Return whether the client closed its connection while it waits for the response.
 
-        An end is also seen behind bytes that follow the request; these are not read.
+        A close is also detected after further bytes that follow the request; these bytes are left unread.
         """
         connection = self.connection
         if connection.stream.closed:
             return True
         if self.request_read:
-            return connection.has_left()
+            return connection.has_disconnected()
         return connection.stream.peer_left()
 
     def _begin_response(self) -> bool:
-        """Mark the exchange as answered. Is this response the connection's last?"""
+        """Mark the exchange as answered and return whether this response is the connection's last."""
         if self.answered:
             raise AnsweredTwiceError
         self.answered = True
-        complete = self.request_read or self._rest_has_come()
+        complete = self.request_read or self._is_fully_received()
         self.connection.note_event(ConnectionEvent.RESPONSE_BEGAN)
         self.connection.request_cut = not complete
         return not complete or not self.head.keep_alive or self.connection.must_end()
 
-    def _rest_has_come(self) -> bool:
-        """Tell whether the whole request has come already, so that the connection may go on."""
+    def _is_fully_received(self) -> bool:
+        """Return whether the whole request has been received, so that the connection may be kept open."""
         if self.head.length == 0:
             events = self.connection.parser.events
             if events and events[0] is END_OF_MESSAGE:
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 framing without I/O: bytes in, events out. The grammar is httptools' (llhttp, strict mode).
 
-Sources: RFC 9110 and 9112. A message whose framing is in doubt raises `HttpError`; the connection it came on must then
-be closed, as nobody can tell where the next message begins.
+Sources: RFC 9110 and 9112. A message with invalid framing raises `HttpError`; its connection must then be closed, as
+the start of the next message is unknown.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 _STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
-_FIRST_FINAL_STATUS = 200  # lower ones are informational: another head follows
-_OPTIONAL_WHITESPACE = b" \t"  # may stand on both sides of a field's value and is no part of it (RFC 9110, 5.5)
+_FIRST_FINAL_STATUS = 200  # a lower status is informational: another head follows
+_OPTIONAL_WHITESPACE = b" \t"  # may surround a field's value and is not part of it (RFC 9110, 5.5)
 _SINGLE_HEADERS = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
 
 
 @dataclass(slots=True)
 class MessageLimits:
-    """Bounds of one message before its body."""
+    """Limits on the size of a message before its body."""
 
     head_bytes: int = 16384
     headers: int = 64
@@ -83,7 +83,7 @@
 
 
 class EndOfMessage:
-    """The event of a message that is complete."""
+    """Event: the message is complete."""
 
 
 END_OF_MESSAGE: Final = EndOfMessage()
@@ -92,12 +92,12 @@
 
 @dataclass(slots=True)
 class _MessageParser:
-    """What both parsers share: a message's head gathered from httptools' callbacks, its bounds, its errors.
+    """Base of both parsers: collects a message's head from httptools' callbacks, checks limits and reports errors.
 
     Attributes
     ----------
     events
-        Events read and not taken yet.
+        Parsed events that the caller has not removed yet.
     in_head
         A message has begun and its head is not complete.
     """
@@ -106,20 +106,20 @@
     events: deque[MessageEvent] = field(default_factory=deque)
     in_head: bool = False
     _grammar: Any = None  # httptools' parser
-    _error_status: int = 400  # of what is not HTTP at all
+    _error_status: int = 400  # status of the HttpError for bytes that httptools rejects
     _target: bytes = b""
     _headers: dict[bytes, bytes] = field(default_factory=dict)
     _head_bytes: int = 0
     _header_count: int = 0
-    _error: HttpError | None = None  # raised by a callback: httptools reports one of its own
+    _error: HttpError | None = None  # raised by a callback; httptools raises its own error instead
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; what they make stands in `events`.
+        """Parse bytes and append the resulting events to `events`.
 
         Raises
         ------
         HttpError
-            Where the message is not to be taken.
+            The message is rejected.
         """
         try:
             self._grammar.feed_data(data)
@@ -132,22 +132,22 @@
         raise NotImplementedError
 
     def _grammar_error(self, error: Exception) -> HttpError:
-        return self._error or HttpError(self._error_status, f"not HTTP: {error}")
+        return self._error or HttpError(self._error_status, f"malformed HTTP message: {error}")
 
     def _rejected(self, status: int, text: str) -> HttpError:
-        """Return the error that a callback is to raise, kept as httptools raises its own instead."""
+        """Return the error that a callback must raise, and keep it, as httptools raises its own error instead."""
         self._error = HttpError(status, text)
         return self._error
 
     def _count_head_bytes(self, count: int, status: int) -> None:
         self._head_bytes += count
         if self._head_bytes > self.limits.head_bytes:
-            raise self._rejected(status, f"over {self.limits.head_bytes} bytes before the body")
+            raise self._rejected(status, f"message head is longer than {self.limits.head_bytes} bytes")
 
     # ------------------------------------------------------------ httptools' callbacks
 
     def on_message_begin(self) -> None:
-        """A message begins."""
+        """Reset the state for a new message."""
         self._target = b""
         self._headers = {}
         self._head_bytes = 0
@@ -155,32 +155,32 @@
         self.in_head = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header, or one trailer."""
+        """Collect a header; a trailer is only counted."""
         name = name.lower()
-        value = value.strip(_OPTIONAL_WHITESPACE)  # llhttp drops only what stands before a value
+        value = value.strip(_OPTIONAL_WHITESPACE)  # llhttp strips only leading whitespace
         self._header_count += 1
         self._count_head_bytes(len(name) + len(value), 431)
         if self._header_count > self.limits.headers:
             raise self._rejected(431, f"more than {self.limits.headers} header fields")
         if not self.in_head:
-            return  # trailers are read and dropped
+            return  # trailers are dropped
         if name in self._headers:
             if name in _SINGLE_HEADERS:
-                raise self._rejected(400, f"{name.decode()} stands twice")
+                raise self._rejected(400, f"{name.decode()} header field occurs more than once")
             value = self._headers[name] + b", " + value
         self._headers[name] = value
 
     def on_body(self, piece: bytes) -> None:
-        """A piece of the body."""
+        """Append a piece of the body to the events."""
         self.events.append(piece)
 
     def on_message_complete(self) -> None:
-        """The message is complete."""
+        """Append the end of the message to the events."""
         self.events.append(END_OF_MESSAGE)
 
 
 class RequestParser(_MessageParser):
-    """Reads the requests of a connection, one behind the other."""
+    """Parses the consecutive requests of a connection."""
 
     __slots__ = ()
 
@@ -189,31 +189,31 @@
         self._grammar = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; what they make stands in `events`. Raises HttpError."""
+        """Parse bytes and append the resulting events to `events`. Raises HttpError."""
         super().feed(data)
         if self.in_head and not self.events and len(data) > self.limits.head_bytes:
-            raise HttpError(431, f"over {self.limits.head_bytes} bytes before the body")
+            raise HttpError(431, f"request head is longer than {self.limits.head_bytes} bytes")
 
     def on_url(self, piece: bytes) -> None:
-        """A piece of the request target."""
+        """Append a piece of the request target."""
         self._target += piece
         self._count_head_bytes(len(piece), 414)
 
     def on_headers_complete(self) -> None:
-        """The request's head is complete."""
+        """Check the complete head of the request and append it to the events."""
         self.in_head = False
         headers = self._headers
         version = self._grammar.get_http_version()
         if version not in ("1.1", "1.0"):
-            raise self._rejected(505, f"HTTP/{version} is not spoken here; use HTTP/1.1")
+            raise self._rejected(505, f"HTTP/{version} is not supported; use HTTP/1.1")
         if version == "1.1" and b"host" not in headers:
-            raise self._rejected(400, "a host header is needed")
+            raise self._rejected(400, "Host header is missing")
         coding = headers.get(b"transfer-encoding")
         if coding is not None and (coding.lower() != b"chunked" or version == "1.0"):
-            raise self._rejected(501, "the only transfer coding taken is chunked, over HTTP/1.1")
+            raise self._rejected(501, "the only supported transfer coding is chunked, over HTTP/1.1")
         expectation = headers.get(b"expect")
         if expectation is not None and expectation.lower() != b"100-continue":
-            raise self._rejected(417, "the only expectation met is 100-continue")
+            raise self._rejected(417, "the only supported expectation is 100-continue")
         self.events.append(
             RequestHead(
                 method=self._grammar.get_method(),
@@ -226,36 +226,36 @@
         )
 
     def _upgrade_error(self) -> HttpError:
-        return HttpError(400, "no upgrades and no tunnels here")
+        return HttpError(400, "protocol upgrades and CONNECT are not supported")
 
 
 class ResponseParser(_MessageParser):
-    """Reads the responses of a connection. Its reader calls `expect_response` before each."""
+    """Parses the responses of a connection; the caller calls `expect_response` before each of them."""
 
     __slots__ = ("complete",)
 
     def __init__(self, limits: MessageLimits) -> None:
         super().__init__(limits, _error_status=502)
         self._grammar = httptools.HttpResponseParser(self)
-        self.complete = False  # the response is
+        self.complete = False  # whether the current response is complete
 
     def expect_response(self) -> None:
-        """A request is sent: bytes that come are of its response, and no trailing data."""
+        """Treat the following bytes as a new response and not as trailing data. Called when a request is sent."""
         self.complete = False
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Reset the state for a new response, or raise if none is expected."""
         if self.complete:
             self._error = TrailingDataError()
             raise self._error
         super().on_message_begin()
 
     def on_status(self, text: bytes) -> None:
-        """Receive the reason phrase."""
+        """Count the bytes of the reason phrase."""
         self._count_head_bytes(len(text), 502)
 
     def on_headers_complete(self) -> None:
-        """The response's head is complete."""
+        """Append the complete head of a final response to the events."""
         self.in_head = False
         code = self._grammar.get_status_code()
         if 100 <= code < _FIRST_FINAL_STATUS:
@@ -271,13 +271,13 @@
         )
 
     def on_message_complete(self) -> None:
-        """The response is complete, unless it was an informational one."""
+        """Mark the response as complete, unless it is informational."""
         if self._grammar.get_status_code() >= _FIRST_FINAL_STATUS:
             self.events.append(END_OF_MESSAGE)
             self.complete = True
 
     def _upgrade_error(self) -> HttpError:
-        return HttpError(502, "an upgrade was answered")
+        return HttpError(502, "server responded with a protocol upgrade")
 
     def _grammar_error(self, error: Exception) -> HttpError:
         if self.complete:
@@ -286,18 +286,18 @@
 
 
 def format_response_head(status: int, headers: list[tuple[bytes, bytes]], length: int | None, close: bool) -> bytes:
-    """Write a response's head.
+    """Return a response's head as bytes.
 
     Parameters
     ----------
     status
         One of `REASONS`.
     headers
-        Beside those of the framing.
+        Headers other than those for framing.
     length
-        Of the body, bytes; None: chunked, or a status that has no body.
+        Length of the body, bytes; None: chunked, or a status that has no body.
     close
-        The connection ends behind it.
+        The connection is closed after the response.
     """
     parts = [_STATUS_LINES[status]]
     parts += [b"%s: %s\r\n" % row for row in headers]
@@ -310,16 +310,16 @@
 def format_request_head(
     method: bytes, target: bytes, host: bytes, headers: list[tuple[bytes, bytes]], length: int | None = 0
 ) -> bytes:
-    """Write a request's head.
+    """Return a request's head as bytes.
 
     Parameters
     ----------
     method, target, host
-        Of the request.
+        Parts of the request.
     headers
-        Beside those of the framing.
+        Headers other than Host and those for framing.
     length
-        Of the body, bytes; 0: none; None: chunked.
+        Length of the body, bytes; 0: no body; None: chunked.
     """
     parts = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
     parts += [b"%s: %s\r\n" % row for row in headers]
@@ -336,21 +336,21 @@
 
 
 def format_chunk(piece: bytes) -> bytes:
-    """Write a chunk of a chunked body; nothing for an empty piece, as an empty chunk ends the body."""
+    """Return a chunk of a chunked body; b"" for an empty piece, as an empty chunk would end the body."""
     if not piece:
         return b""
     return b"%x\r\n%s\r\n" % (len(piece), piece)
 
 
-def format_error_body(word: str, reason: str) -> bytes:
-    """Write the JSON body of an error response.
+def format_error_body(error_code: str, reason: str) -> bytes:
+    """Return the JSON body of an error response.
 
     Parameters
     ----------
-    word
-        The error in one word, for programs.
+    error_code
+        One word that names the error, for programs.
     reason
-        For people.
+        Human-readable reason.
     """
     text = reason.replace("\\", "/").replace('"', "'").encode("ascii", "replace")
-    return b'{"error":"%s","reason":"%s"}' % (word.encode(), text)
+    return b'{"error":"%s","reason":"%s"}' % (error_code.encode(), text)
--- a/fawnspool/net/lingering_close.py
+++ b/fawnspool/net/lingering_close.py
@@ -1,7 +1,7 @@
-"""Closing a connection without losing what was sent last.
+"""Closing a connection without losing the response that was sent last.
 
-Bytes that nobody has read make a close a reset, which tells their sender that nobody has. A reset also takes bytes of
-ours with it that are still under way, so a close waits a little for these.
+If received bytes are unread, the system closes the connection with a reset, which tells the peer that its bytes were
+not read. A reset also discards our own bytes that the peer has not received yet, so a close waits briefly for these.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from fawnspool.net.socket_stream import SocketStream
 
 LINGER_S = 0.2
-_LINGER_BYTES = 262_144  # of a request that was answered before it was complete
+_LINGER_BYTES = 262_144  # most bytes read of a request that was answered before it was complete
 _READ_BYTES = 65536
 _POLL_S = 0.002
 
 
 def discard_rest(stream: SocketStream) -> None:
-    """Read and drop the rest of a request that has its response, so that no reset takes the response."""
+    """Read and drop the rest of a request that was answered early, so that no reset discards the response."""
     stream.end_writing()
     deadline = time.monotonic() + LINGER_S
-    left = _LINGER_BYTES
-    while left > 0 and (data := stream.recv(_READ_BYTES, deadline)):
-        left -= len(data)
+    remaining_bytes = _LINGER_BYTES
+    while remaining_bytes > 0 and (data := stream.recv(_READ_BYTES, deadline)):
+        remaining_bytes -= len(data)
 
 
 def await_acknowledged(stream: SocketStream) -> None:
-    """Wait until the peer's system has all bytes, and read nothing."""
+    """Wait until the peer's system has acknowledged all sent bytes; received bytes stay unread."""
     deadline = time.monotonic() + LINGER_S
     while stream.unacknowledged_bytes() and time.monotonic() < deadline:
         gevent.sleep(_POLL_S)
--- a/fawnspool/net/listener.py
+++ b/fawnspool/net/listener.py
@@ -1,20 +1,20 @@
-"""A listening socket: bound, and given up without losing a connection that the system has accepted for it."""
+"""A listening socket that can be closed without losing a connection that the system has already accepted for it."""
 
 from __future__ import annotations
 
 import contextlib
 import ctypes
 import select
-import socket as std
+import socket as std_socket
 import struct
 from typing import Any
 
 from gevent import socket
 
 BACKLOG = 2048
-SO_TIMESTAMPNS = 35  # Linux: socket(7); on a listener its connections inherit it
+SO_TIMESTAMPNS = 35  # Linux: socket(7); connections inherit it from their listener
 _SO_ATTACH_FILTER = 26  # Linux: socket(7)
-# Classic BPF over the TCP header (bpf(4), linux/filter.h): drop what has SYN and not ACK, pass all else.
+# Classic BPF over the TCP header (bpf(4), linux/filter.h): drop packets with SYN and without ACK, pass all others.
 _LOAD_BYTE = 0x30
 _AND = 0x54
 _JUMP_EQUAL = 0x15
@@ -36,9 +36,9 @@
 
 
 def bind(address: tuple[str, int]) -> Any:
-    """Return a socket bound to `address`; `listen` makes it take connections. Raises OSError naming the address."""
-    sock = socket.socket(std.AF_INET, std.SOCK_STREAM)
-    sock.setsockopt(std.SOL_SOCKET, std.SO_REUSEADDR, 1)
+    """Return a socket bound to `address`, not listening yet. Raises OSError with the address in its text."""
+    sock = socket.socket(std_socket.AF_INET, std_socket.SOCK_STREAM)
+    sock.setsockopt(std_socket.SOL_SOCKET, std_socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
     except OSError as error:
@@ -48,35 +48,35 @@
 
 
 def listen(sock: Any) -> None:
-    """Take connections from now on."""
-    with contextlib.suppress(OSError):  # without it a request counts from when it is read
-        sock.setsockopt(std.SOL_SOCKET, SO_TIMESTAMPNS, 1)
+    """Start to accept connections."""
+    with contextlib.suppress(OSError):  # without timestamps, a request's arrival time is the time it is read
+        sock.setsockopt(std_socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     sock.listen(BACKLOG)
 
 
 def refuse_connections(sock: Any) -> bool:
-    """Drop the first packet of new connections from now on.
+    """Drop the first packet of each new connection from now on.
 
-    Handshakes under way still end, so that the queue can be emptied before the socket is closed. A close alone resets
-    what lies in the queue, and no look at the queue comes without a gap before the close.
+    Handshakes in progress still complete, so that the queue can be emptied before the socket is closed. A close alone
+    would reset queued connections, and checking the queue first would leave a gap between the check and the close.
 
     Returns
     -------
     bool
-        False where the system offers no such filter.
+        False if the system does not support such a filter.
     """
     code = b"".join(_INSTRUCTION.pack(*instruction) for instruction in _DROP_SYN)
     buffer = ctypes.create_string_buffer(code, len(code))
     program = _PROGRAM.pack(len(_DROP_SYN), ctypes.addressof(buffer))
     try:
-        sock.setsockopt(std.SOL_SOCKET, _SO_ATTACH_FILTER, program)
+        sock.setsockopt(std_socket.SOL_SOCKET, _SO_ATTACH_FILTER, program)
     except OSError:
         return False
     return True
 
 
 def has_queued(sock: Any) -> bool:
-    """Tell whether connections wait to be accepted."""
+    """Return whether connections wait to be accepted."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return any(events & select.POLLIN for _, events in poll.poll(0))
--- a/fawnspool/net/node_headers.py
+++ b/fawnspool/net/node_headers.py
@@ -1,4 +1,4 @@
-"""The headers between gateways and nodes; docs/node-wire.md describes them. Reads and writes, decides nothing."""
+"""Encoding and parsing of the headers between gateways and nodes, which docs/node-wire.md describes."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 REPORT_HEADER = b"fawn-told"
 MOVED_HEADER = b"fawn-moved"
 _ATTEMPT_PARTS = 12
-_TARGET_PARTS = 4  # the empty one before the first slash, "o", volume, key
+_TARGET_PARTS = 4  # the empty part before the first slash, "o", volume, key
 _MAX_MOVED_BYTES = 31
 _MS_PER_S = 1000
 
 
 @dataclass(slots=True)
 class AttemptHeader:
-    """What a gateway says of an attempt.
+    """What a gateway sends to a node about an attempt.
 
     Attributes
     ----------
     units
         Size of the request in units of work.
     idempotence, deduplication_scope
-        The values of the enums of `fawnspool.scheduling.interface`.
+        Values of the enumerations of `fawnspool.scheduling.interface`.
     deduplication_window_s, time_left_s
         Seconds; milliseconds on the wire.
     operation
-        The client's name for the operation.
+        The client's identifier of the operation.
     idempotency_key
-        Empty where there is none.
+        Empty if there is none.
     """
 
     gateway_id: int
@@ -55,10 +55,10 @@
 
 
 def parse_attempt_header(raw: bytes) -> AttemptHeader:
-    """Read the header's value. Raises ValueError where it does not read."""
+    """Parse the header's value. Raises ValueError if it is malformed."""
     parts = raw.decode("ascii").split(";")
     if len(parts) != _ATTEMPT_PARTS:
-        text = f"fawn-call has {len(parts)} parts, expected {_ATTEMPT_PARTS}"
+        text = f"fawn-call header has {len(parts)} parts, expected {_ATTEMPT_PARTS}"
         raise ValueError(text)
     return AttemptHeader(
         gateway_id=int(parts[0]),
@@ -83,13 +83,13 @@
     Attributes
     ----------
     served_elsewhere
-        Units that the node has served of the volume for other gateways since its last response to this one.
+        Units of the volume that the node has served for other gateways since its last response to this gateway.
     volume_units_per_s
-        The volume's use everywhere; None: no figure.
+        The volume's use by all gateways; None: not reported.
     load
         The fields of the node's load report, in the order of the settings.
     overloaded
-        The request was rejected unseen: the node is full or draining.
+        The node rejected the request without running it, because it is full or draining.
     """
 
     served_elsewhere: int = 0
@@ -105,7 +105,7 @@
 
 
 def parse_node_report(raw: bytes | None) -> NodeReport:
-    """Read the header's value; None: the response has none. Raises ValueError where it does not read."""
+    """Parse the header's value; None: the response has no such header. Raises ValueError if it is malformed."""
     if raw is None:
         return NodeReport()
     served_elsewhere, use, load, overloaded = raw.decode("ascii").split(";")
@@ -118,7 +118,7 @@
 
 
 def parse_moved(raw: bytes | None) -> tuple[int, int] | None:
-    """Return the (shard, generation) that an extent has moved to; None where that is not said."""
+    """Return the (shard, generation) that an extent has moved to; None if the header is missing or malformed."""
     if raw is None or len(raw) > _MAX_MOVED_BYTES:
         return None
     shard, _, generation = raw.partition(b";")
@@ -137,6 +137,6 @@
     path, _, query = raw.decode("ascii").partition("?")
     parts = path.split("/")
     if len(parts) != _TARGET_PARTS or parts[1] != "o":
-        text = f"no such place: {path[:80]}"
+        text = f"unknown request path: {path[:80]}"
         raise ValueError(text)
     return unquote(parts[2]), unquote(parts[3]), query
--- a/fawnspool/net/ranges.py
+++ b/fawnspool/net/ranges.py
@@ -1,4 +1,4 @@
-"""Byte ranges and entity tags of RFC 9110, read from header fields. No I/O."""
+"""Parsing of byte ranges and entity tags (RFC 9110) in header fields. No I/O."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 def parse_range(field: str, size: int) -> tuple[int, int] | None:
-    """Read a Range field over a representation of `size` bytes.
+    """Parse a Range field for a representation of `size` bytes.
 
     Returns
     -------
     tuple of (start, length), or None
-        None: the field is to be ignored and the whole sent (another unit, or several ranges).
+        None: ignore the field and send the whole representation (malformed, another unit, or several ranges).
 
     Raises
     ------
     RangeNotSatisfiableError
-        To be answered with 416.
+        The response must be a 416.
     """
-    found = _RANGE.match(field)
-    if found is None:
+    match = _RANGE.match(field)
+    if match is None:
         return None
-    first, last = found[1], found[2]
+    first, last = match[1], match[2]
     if first == last == "":
         return None
     if first == "":
@@ -50,16 +50,16 @@
 
 
 def etag_matches(field: str, etag: str | None, weak: bool) -> bool:
-    """Tell whether a condition names an entity tag.
+    """Return whether a precondition field lists an object's entity tag.
 
     Parameters
     ----------
     field
-        The value of If-Match or If-None-Match.
+        Value of If-Match or If-None-Match.
     etag
-        The object's tag; None: there is no object.
+        The object's tag; None: the object does not exist.
     weak
-        Whether weak tags count: for If-None-Match they do, for If-Match they don't.
+        Whether weak tags match: true for If-None-Match, false for If-Match.
     """
     if field.strip() == "*":
         return etag is not None
--- a/fawnspool/net/readiness.py
+++ b/fawnspool/net/readiness.py
@@ -1,4 +1,4 @@
-"""Waiting until a socket can be read or written."""
+"""Waiting until a socket is readable or writable."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReadinessWaiter:
-    """One direction of a socket: a watcher of the loop, made once, and the greenlet that waits for it."""
+    """Waits for one direction of a socket, by an event-loop watcher that is created once and reused."""
 
     __slots__ = ("_greenlet", "_timed_out", "_watcher")
 
@@ -35,9 +35,9 @@
         Raises
         ------
         DeadlineExceededError
-            Past the deadline.
+            The deadline passed first.
         ConcurrentWaitError
-            Where another greenlet waits already.
+            Another greenlet is already waiting.
         """
         if self._greenlet is not None:
             raise ConcurrentWaitError
@@ -57,13 +57,13 @@
             raise DeadlineExceededError
 
     def expire(self) -> None:
-        """End the wait as if its deadline had come. Called from the event loop itself."""
+        """End the wait as if its deadline had passed. Must be called from the event loop's own greenlet."""
         if self._greenlet is not None:
             self._timed_out = True
             self._wake()
 
     def close(self) -> None:
-        """Close the watcher; whoever waits wakes in the loop's next turn."""
+        """Close the watcher; a waiting greenlet wakes in the loop's next iteration."""
         self._watcher.stop()
         if self._greenlet is not None and self._greenlet is not getcurrent():
             get_hub().loop.run_callback(self._wake)
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -1,14 +1,15 @@
-"""A small HTTP/1.1 server on gevent: a greenlet a connection, blocking-style, every wait with a deadline.
+"""A small HTTP/1.1 server on gevent: one greenlet per connection, blocking calls, and a deadline for every wait.
 
-It frames, bounds and times messages; what a request means is the handler's business. The handler gets an `Exchange`
-and must answer it exactly once; an exchange left unanswered is answered with 500 and its connection closed.
+The server does the framing of messages and enforces limits and timeouts; the handler interprets the requests. It gets
+an `Exchange` and must answer it exactly once. The server answers an unanswered exchange with 500 and closes its
+connection.
 """
 
 from __future__ import annotations
 
 import errno
 import math
-import socket as std
+import socket as std_socket
 import time
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -33,11 +34,11 @@
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
-_EVICTION_CANDIDATES = 64  # waiting connections looked at, of either kind
-_FULL_RETRY_S = 0.01  # a full server looks again so soon
-_ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the loop, at most
-_HANDSHAKE_S = 0.02  # handshakes under way as new connections are refused end within it
-_KILL_TIMEOUT_S = 1.0  # what is killed has so long to end
+_EVICTION_CANDIDATES = 64  # most waiting connections checked, of each kind
+_FULL_RETRY_S = 0.01  # interval at which a full server tries again to accept
+_ACCEPTS_PER_ITERATION = 16  # most connections accepted in one iteration of the loop
+_HANDSHAKE_S = 0.02  # handshakes in progress when new connections are refused complete within this time
+_KILL_TIMEOUT_S = 1.0  # how long `stop` waits for killed greenlets to end
 _POLL_S = 0.002
 
 
@@ -48,13 +49,13 @@
     Attributes
     ----------
     on_error
-        An exception of a handler, or an accept that failed.
+        Called with an exception that a handler raised, or of an accept that failed.
     on_rejected
-        A request was rejected before its handler saw it, or by an HttpError of its handler.
+        Called when a request was rejected before the handler got it, or by an HttpError of the handler.
     on_unanswered
-        A connection ended that owed a response.
+        Called when a connection has ended without a response that it owed.
     start_deadline
-        Until when a request may wait for its turn, by its head and its arrival (monotonic seconds).
+        Returns how long a request may wait for the throttle, from its head and its arrival (monotonic seconds).
     """
 
     on_error: Callable[[Exception], None] | None = None
@@ -64,22 +65,22 @@
 
 
 class Server:
-    """Listens, accepts, and runs a greenlet for each connection.
+    """Listens, accepts connections, and runs a greenlet for each of them.
 
     Attributes
     ----------
     address
-        Where it listens.
+        Address on which the server listens.
     connections
         Open connections with their greenlets.
     idle, new
-        Those that wait for a request, see `ConnectionOwner`.
+        Connections that wait for a request, see `ConnectionOwner`.
     accepted
-        How many connections were accepted.
+        Number of connections accepted.
     closed_counts
-        How many connections ended, by state and cause.
+        Number of connections ended, by state and cause.
     draining
-        Every response is its connection's last.
+        Every response is the last of its connection.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         callbacks: ServerCallbacks | None = None,
         listener: Any = None,
     ) -> None:
-        """Bind to `address`, or take over `listener`, a socket that is bound already."""
+        """Bind to `address`, or use `listener`, a socket that is already bound."""
         self.handler = handler
         self.options = options or ServerOptions()
         self.callbacks = callbacks or ServerCallbacks()
@@ -100,7 +101,7 @@
         self.accepted = 0
         self.closed_counts: Counter[tuple[str, str]] = Counter()
         self.draining = False
-        self.closing_until = math.inf
+        self.shutdown_deadline = math.inf
         self.reading_ended = False
         self.throttle: AdmissionThrottle | None = None
         if self.options.max_starts_per_iteration is not None:
@@ -111,7 +112,7 @@
         self._acceptor: Any = None
 
     def start(self) -> None:
-        """Listen and accept. Raises OSError where another listens there."""
+        """Listen and accept connections. Raises OSError if another socket listens on the address."""
         listen(self.sock)
         self._acceptor = gevent.spawn(self._accept)
 
@@ -122,12 +123,12 @@
         while not self._listener_closed:
             accepts += 1
             if accepts % _ACCEPTS_PER_ITERATION == 0:
-                gevent.sleep(0)  # a flood of connections must not hold up those that stand
+                gevent.sleep(0)  # a flood of new connections must not delay the established ones
             try:
                 if self.options.untrusted_clients and self._is_full() and not self._make_room():
                     continue
                 sock, _ = self.sock.accept()
-                self._take(sock)
+                self._start_connection(sock)
             except OSError as error:
                 if self._listener_closed:
                     return
@@ -137,9 +138,9 @@
         return len(self.connections) >= self.options.max_connections
 
     def _make_room(self) -> bool:
-        """Wait for a connection in the backlog, then evict an idle one. False: none may be evicted yet.
+        """Wait for a connection in the backlog, then evict an idle one. False: none can be evicted yet.
 
-        A connection that comes to a full server waits in the backlog until there is room: it is not closed unread.
+        A connection to a full server waits in the backlog until there is room, so that it is not closed unread.
         """
         socket.wait_read(self.sock.fileno())
         if self.evict_waiting():
@@ -147,19 +148,19 @@
         gevent.sleep(_FULL_RETRY_S)
         return False
 
-    def _take(self, sock: Any) -> None:
-        """A connection was accepted."""
+    def _start_connection(self, sock: Any) -> None:
+        """Start to serve an accepted connection, or close it if the server is full."""
         if self._is_full() and not self.options.untrusted_clients:
             sock.close()
             return
-        plain = std.socket(fileno=sock.detach())
-        plain.setsockopt(std.IPPROTO_TCP, std.TCP_NODELAY, 1)
+        stdlib_sock = std_socket.socket(fileno=sock.detach())
+        stdlib_sock.setsockopt(std_socket.IPPROTO_TCP, std_socket.TCP_NODELAY, 1)
         self.accepted += 1
-        connection = ServerConnection(self, SocketStream(plain), self.accepted)
+        connection = ServerConnection(self, SocketStream(stdlib_sock), self.accepted)
         self.connections[connection] = gevent.spawn(self._run, connection)
 
     def _accept_failed(self, error: OSError) -> None:
-        """Wait and accept again: an accept error must never stop the server."""
+        """Handle an accept error, which must never stop the server: free a descriptor or wait."""
         if error.errno in (errno.EMFILE, errno.ENFILE):
             if not self.options.untrusted_clients or not self.evict_waiting():
                 gevent.sleep(_FULL_RETRY_S)  # out of descriptors: wait for one to be closed
@@ -174,20 +175,20 @@
             self.connections.pop(connection, None)
 
     def evict_waiting(self) -> bool:
-        """Close the connection that has waited longest for a request, of the kind that `kind_to_evict` says.
+        """Close the connection that has waited longest for a request, of the kind that `kind_to_evict` prefers.
 
-        One whose request has come and is only not read yet does not wait.
+        A connection whose request has arrived but is still unread is not evicted.
 
         Returns
         -------
         bool
-            False where none waits.
+            False if no connection could be evicted.
         """
         kind = kind_to_evict(len(self.idle), len(self.new))
         if kind is None:
             return False
-        first, then = (self.new, self.idle) if kind is WaitingKind.NEW else (self.idle, self.new)
-        for connection in [*islice(first, _EVICTION_CANDIDATES), *islice(then, _EVICTION_CANDIDATES)]:
+        preferred, others = (self.new, self.idle) if kind is WaitingKind.NEW else (self.idle, self.new)
+        for connection in [*islice(preferred, _EVICTION_CANDIDATES), *islice(others, _EVICTION_CANDIDATES)]:
             if connection.stream.has_unread():
                 continue
             self.idle.pop(connection, None)
@@ -198,30 +199,30 @@
             return True
         return False
 
-    # ------------------------------------------------------------ what its connections ask and tell
+    # ------------------------------------------------------------ called by the connections
 
     def is_last_response(self) -> bool:
-        """Tell whether a connection must end with its response: its client is told, and sends nothing more on it."""
+        """Return whether a connection must end with its response, so that its client sends no further request on it."""
         return self.draining or is_crowded(len(self.connections), self.options.crowded_from)
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return until when a request may wait for its turn (monotonic seconds)."""
+        """Return until when a request may wait for the throttle (monotonic seconds)."""
         if self.callbacks.start_deadline is None:
             return arrived_at + self.options.read_timeout_s
         return self.callbacks.start_deadline(head, arrived_at)
 
     def note_error(self, error: Exception) -> None:
-        """Tell of an error that is no client's."""
+        """Report an error that no client caused."""
         if self.callbacks.on_error is not None:
             self.callbacks.on_error(error)
 
     def note_rejected(self, error: HttpError) -> None:
-        """Tell of a request that was rejected."""
+        """Report a request that was rejected."""
         if self.callbacks.on_rejected is not None:
             self.callbacks.on_rejected(error)
 
     def note_end(self, connection: ServerConnection) -> None:
-        """Count a connection's end by state and cause; tell of a request that it leaves unanswered."""
+        """Count a connection's end by state and cause, and report a request that it leaves unanswered."""
         cause = connection.cause or CloseCause.INTERNAL_ERROR
         self.closed_counts[connection.state.value, cause.value] += 1
         exchange = connection.exchange
@@ -231,20 +232,18 @@
             self.callbacks.on_unanswered(connection)
 
     def states(self) -> dict[str, int]:
-        """Return how many connections are open, by state."""
+        """Return the number of open connections by state."""
         return dict(Counter(connection.state.value for connection in self.connections))
 
-    # ------------------------------------------------------------ its end
+    # ------------------------------------------------------------ shutdown
 
     def stop_accepting(self, until: float) -> None:
-        """Refuse new connections from now on, and close the listener.
-
-        It is closed once the connections that the system has accepted are taken.
+        """Refuse new connections, and close the listener once all connections in its queue have been accepted.
 
         Parameters
         ----------
         until
-            Monotonic seconds at which it is closed at the latest.
+            Latest time at which the listener is closed (monotonic seconds).
         """
         if self._listener_closed:
             return
@@ -255,40 +254,40 @@
         self.close_listener()
 
     def close_listener(self) -> None:
-        """Close the listener at once: the system resets what it has accepted and nobody has taken."""
+        """Close the listener at once; the system resets the connections that are still in its queue."""
         self._listener_closed = True
         if self._acceptor is not None:
             self._acceptor.kill(block=False)
         self.sock.close()
 
     def drain(self, until: float) -> None:
-        """Let every response be its connection's last from now on, and end the connections that wait for a request.
+        """Make every response the last of its connection, and close the connections that wait for a request.
 
-        One whose request has come meanwhile is served.
+        A connection whose request has arrived in the meantime is still served.
 
         Parameters
         ----------
         until
-            Monotonic seconds past which nothing is waited for.
+            Deadline of all waits (monotonic seconds).
         """
         self.draining = True
-        self.closing_until = until
+        self.shutdown_deadline = until
         self._expire_waits([*self.idle, *self.new])
 
     def end_reading(self) -> None:
-        """Read nothing more; a client whose request has come in part alone is told that this server ends."""
+        """Stop reading; a client whose request has arrived only in part gets a response that this server shuts down."""
         self.draining = True
         self.reading_ended = True
-        self.closing_until = min(self.closing_until, time.monotonic())
+        self.shutdown_deadline = min(self.shutdown_deadline, time.monotonic())
         self._expire_waits(self.connections)
 
     def _expire_waits(self, connections: Iterable[ServerConnection]) -> None:
-        """Their waits to read are over, if they wait still: what lies there is read, as at any deadline."""
+        """End the connections' waits to read; as at any deadline, bytes that have already arrived are still read."""
         for connection in list(connections):
             get_hub().loop.run_callback(connection.stream.expire_wait)
 
     def stop(self, grace_s: float = 0.0) -> None:
-        """Take no more; let what is being handled end within `grace_s` seconds, then close."""
+        """Stop the server; requests being handled have `grace_s` seconds to finish before all connections close."""
         if grace_s:
             until = time.monotonic() + grace_s
             self.stop_accepting(until)
@@ -303,6 +302,6 @@
             self.throttle = None
 
     def reset_all(self) -> None:
-        """Break every open connection with a reset, as a dying process or a middlebox would."""
+        """Reset every open connection, as a dying process or a middlebox would."""
         for connection in list(self.connections):
             connection.stream.reset()
--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -1,8 +1,8 @@
-"""One client's connection to an HTTP/1.1 server, and its requests one by one.
+"""One client's connection to an HTTP/1.1 server, which carries one request at a time.
 
 A connection is a small state machine (`connections/states.py`). Its invariant: a request that has been read is
-answered once, unless its client has gone; bytes that have not been read stay unread when the connection ends, so that
-the system's reset tells the client that it may send them again.
+answered once, unless its client has disconnected. Bytes that have not been read stay unread when the connection ends,
+so that the system's reset shows the client that it may send them again.
 """
 
 from __future__ import annotations
@@ -32,33 +32,33 @@
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
-FLOOD_BYTES = 32_768  # unread behind a request being handled, past which an untrusted client counts as gone
+FLOOD_BYTES = 32_768  # unread bytes after a request being handled at which an untrusted client counts as disconnected
 _HEAD_READ_BYTES = 65536
 _OWED_REASONS = {
-    HTTPStatus.REQUEST_TIMEOUT: "the request did not come whole in time",
-    HTTPStatus.INTERNAL_SERVER_ERROR: "the request was cut short here",
-    HTTPStatus.SERVICE_UNAVAILABLE: "this server ends",
+    HTTPStatus.REQUEST_TIMEOUT: "the complete request was not received in time",
+    HTTPStatus.INTERNAL_SERVER_ERROR: "the server aborted the request",
+    HTTPStatus.SERVICE_UNAVAILABLE: "the server is shutting down",
 }
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server.
+    """What a connection needs from its server.
 
     Attributes
     ----------
     handler
         Answers an exchange, once.
     idle, new
-        Connections that wait for a request and may be evicted: between two, or before their first. Each adds itself
-        while it waits, so the one that has waited longest stands first.
+        Connections that may be evicted because they wait for a request: for another one (`idle`) or for their first
+        (`new`). Each adds itself while it waits, so the one that has waited longest is first.
     throttle
-        Where requests wait for their turn.
+        Limits how many requests start per iteration of the event loop.
     draining
-        Every response is its connection's last.
-    closing_until
-        Nothing is waited for any longer (monotonic seconds).
+        Every response is the last of its connection.
+    shutdown_deadline
+        Latest end of all waits to read (monotonic seconds); infinite until the server drains.
     reading_ended
-        Nothing more is read.
+        No further bytes are read.
     """
 
     options: ServerOptions
@@ -67,23 +67,23 @@
     new: dict[ServerConnection, None]
     throttle: AdmissionThrottle | None
     draining: bool
-    closing_until: float
+    shutdown_deadline: float
     reading_ended: bool
 
     def is_last_response(self) -> bool:
-        """Tell whether a connection must end with its response."""
+        """Return whether a connection must end with its response."""
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return until when a request may wait for its turn."""
+        """Return until when a request may wait for the throttle."""
 
     def note_error(self, error: Exception) -> None:
-        """A handler raised."""
+        """Report that a handler raised an exception."""
 
     def note_rejected(self, error: HttpError) -> None:
-        """A request was rejected."""
+        """Report that a request was rejected."""
 
     def note_end(self, connection: ServerConnection) -> None:
-        """A connection has ended."""
+        """Report that a connection has ended."""
 
 
 class ServerConnection:
@@ -92,23 +92,23 @@
     Attributes
     ----------
     number
-        In the order in which its server accepted them.
+        Sequence number, in the order in which the server accepted its connections.
     opened_at
-        When it was accepted (monotonic seconds).
+        When the connection was accepted (monotonic seconds).
     state, cause
-        Where it stands, and why it ended (None while it is open).
+        Its state, and why it ended (None while it is open).
     exchange
-        The request being handled, or the last one.
+        The request being handled, or the last one; None while the next request is awaited.
     has_carried_request
-        The head of a request has come on it.
+        The head of at least one request has been received.
     closing
-        No other request is read.
+        No further request is read.
     peer_closed
         The peer has closed its side.
     request_cut
-        Its last response was given before the request was complete.
+        The last response was sent before its request was completely read.
     flooded
-        Too much came behind the request being handled.
+        The client sent too many bytes after the request being handled.
     """
 
     __slots__ = (
@@ -144,10 +144,10 @@
         self.flooded = False
         self._request_deadline = math.inf  # by when the request being read must be complete
 
-    # ------------------------------------------------------------ what its exchange asks
+    # ------------------------------------------------------------ called by the exchange
 
     def send(self, data: bytes) -> None:
-        """Send all of it. Raises OSError where the connection broke or takes nothing for `read_timeout_s`."""
+        """Send all of `data`. Raises OSError if the connection broke or the peer reads nothing for `read_timeout_s`."""
         self.stream.sendall(data, time.monotonic() + self.server.options.read_timeout_s)
 
     def next_event(self, read_bytes: int) -> MessageEvent:
@@ -156,11 +156,11 @@
         Raises
         ------
         ClientDisconnectedError
-            Where the client left.
+            The client disconnected.
         HttpError
-            Where the framing is in doubt.
+            The framing is invalid.
         TimeoutError
-            Where it takes too long.
+            The event did not arrive in time.
         """
         events = self.parser.events
         while not events:
@@ -178,8 +178,8 @@
             self.parser.feed(data)
         return events.popleft()
 
-    def has_left(self) -> bool:
-        """Tell whether the peer has closed. Does not wait, and leaves unread what lies before the end."""
+    def has_disconnected(self) -> bool:
+        """Return, without waiting or reading any bytes, whether the peer has closed or sent too much."""
         if self.peer_closed or self.flooded:
             return True
         try:
@@ -190,24 +190,24 @@
             return False
         self.peer_closed = first == b"" or self.stream.closed_by_peer()
         if not self.peer_closed and self.server.options.untrusted_clients:
-            # Past what the buffers hold, no end arrives.
+            # Once the receive buffer is full, the peer's close cannot be detected.
             self.flooded = self.stream.unread_bytes() >= FLOOD_BYTES
         return self.peer_closed or self.flooded
 
     def must_end(self) -> bool:
-        """Tell whether it ends with its present response: not before whatever has been read is answered."""
-        return self.server.is_last_response() and not self._more_came()
+        """Return whether the connection ends with its current response; not while another request waits."""
+        return self.server.is_last_response() and not self._has_more_input()
 
-    def _more_came(self) -> bool:
-        """Tell whether another request waits: read already, in part at least, or lying there to be read."""
+    def _has_more_input(self) -> bool:
+        """Return whether another request has been received, at least in part, read or unread."""
         if self.parser.events or self.parser.in_head:
             return True
         return not self.server.reading_ended and self.stream.has_unread()
 
-    # ------------------------------------------------------------ its life
+    # ------------------------------------------------------------ serving requests
 
     def run(self) -> None:
-        """Serve requests one behind the other until the connection ends."""
+        """Serve requests one after the other until the connection ends."""
         try:
             while not self.closing:
                 exchange = self._next_request()
@@ -223,45 +223,45 @@
             self.note_cause(CloseCause.RESET)
         except gevent.GreenletExit:
             self.note_cause(CloseCause.KILLED)
-            self._send_owed()
+            self._send_owed_response()
         finally:
             self.server.note_end(self)
             self.note_event(ConnectionEvent.ENDED)
             self._close()
 
     def note_event(self, event: ConnectionEvent) -> None:
-        """Go on to the state that follows."""
+        """Change to the next state."""
         self.state = next_state(self.state, event)
 
     def note_cause(self, cause: CloseCause) -> None:
-        """Note why it ends; the first cause counts."""
+        """Record why the connection ends; only the first cause is kept."""
         if self.cause is None:
             self.cause = cause
 
     def _next_request(self) -> Exchange | None:
-        """Read up to the end of a request's head. None: there is none, and the connection ends."""
+        """Read the next request's head and begin its exchange. None: there is no request and the connection ends."""
         self.exchange = None
         events = self.parser.events
-        began: float | None = None  # when the request's first bytes came
+        began_at: float | None = None  # when the request's first bytes arrived
         if self.has_carried_request:
             self.note_event(ConnectionEvent.REQUEST_AWAITED)
-        if self.parser.in_head or events:  # some of it came with the request before
+        if self.parser.in_head or events:  # part of this request was read together with the previous one
             self.note_event(ConnectionEvent.REQUEST_BEGAN)
-            began = time.monotonic()
+            began_at = time.monotonic()
         try:
             while not events:
-                data, arrived_at = self._read_head_piece(began)
+                data, arrived_at = self._read_head_piece(began_at)
                 if not data:
                     self.peer_closed = True
                     self.note_cause(CloseCause.PEER_CLOSED)
                     return None
-                if began is None:
-                    began = arrived_at
+                if began_at is None:
+                    began_at = arrived_at
                 self.note_event(ConnectionEvent.REQUEST_BEGAN)
                 self.parser.feed(data)
         except TimeoutError:
             self.note_cause(CloseCause.SHUTDOWN if self.server.draining else CloseCause.DEADLINE)
-            self._send_owed()
+            self._send_owed_response()
             return None
         except HttpError as error:
             self._reject(error)
@@ -270,13 +270,19 @@
         if not isinstance(head, RequestHead):
             self.note_cause(CloseCause.BAD_MESSAGE)
             return None
-        return self._begin_exchange(head, time.monotonic() if began is None else began)
+        return self._begin_exchange(head, time.monotonic() if began_at is None else began_at)
 
-    def _read_head_piece(self, began: float | None) -> tuple[bytes, float]:
-        """Return some bytes of a request that began at `began`, None: not yet, and when they arrived."""
-        if began is None:
+    def _read_head_piece(self, began_at: float | None) -> tuple[bytes, float]:
+        """Return bytes of a request's head and when they arrived.
+
+        Parameters
+        ----------
+        began_at
+            When the request began; None: it has not begun yet.
+        """
+        if began_at is None:
             return self._await_request()
-        deadline = self._bounded(began + self.server.options.read_timeout_s)
+        deadline = self._bounded(began_at + self.server.options.read_timeout_s)
         return self.stream.recv_stamped(_HEAD_READ_BYTES, deadline)
 
     def _await_request(self) -> tuple[bytes, float]:
@@ -295,7 +301,7 @@
             waiting.pop(self, None)
 
     def _begin_exchange(self, head: RequestHead, arrived_at: float) -> Exchange:
-        """A request's head has come: it waits for its turn."""
+        """Create the exchange of a request whose head is complete, and wait for the throttle."""
         server = self.server
         events = self.parser.events
         complete = head.length == 0 and bool(events) and events[0] is END_OF_MESSAGE
@@ -314,7 +320,7 @@
         return exchange
 
     def _bounded(self, *deadlines: float) -> float:
-        return min(self.server.closing_until, *deadlines)
+        return min(self.server.shutdown_deadline, *deadlines)
 
     def _handle(self, exchange: Exchange) -> None:
         try:
@@ -322,9 +328,9 @@
         except HttpError as error:
             self._reject(error)
         except TimeoutError:
-            ending = self.server.closing_until <= time.monotonic()
-            self.note_cause(CloseCause.SHUTDOWN if ending else CloseCause.DEADLINE)
-            self._send_owed()
+            is_shutdown = self.server.shutdown_deadline <= time.monotonic()
+            self.note_cause(CloseCause.SHUTDOWN if is_shutdown else CloseCause.DEADLINE)
+            self._send_owed_response()
         except ClientDisconnectedError:
             self.note_cause(CloseCause.PEER_CLOSED)
             self.closing = True
@@ -334,29 +340,31 @@
             else:
                 self.server.note_error(error)
                 self.note_cause(CloseCause.INTERNAL_ERROR)
-            self._send_owed()
+            self._send_owed_response()
         if not exchange.answered and not self.closing:
-            exchange.respond(500, [JSON_HEADER], format_error_body("failed", "unanswered"), close=True)
+            exchange.respond(
+                500, [JSON_HEADER], format_error_body("failed", "the request was left unanswered"), close=True
+            )
         self.closing |= not exchange.request_read
 
-    # ------------------------------------------------------------ its end
+    # ------------------------------------------------------------ closing
 
-    def _send_owed(self) -> None:
-        """The connection ends; a request that was read in part or whole and has no response yet gets one."""
+    def _send_owed_response(self) -> None:
+        """Mark the connection as closing, and send the response that is owed to a request read in part or whole."""
         self.closing = True
         status = owed_status(self.state, self.cause or CloseCause.KILLED)
         if status is not None:
-            word = "refused" if status is HTTPStatus.SERVICE_UNAVAILABLE else "failed"
-            self._send_error(status, word, _OWED_REASONS[status])
+            error_code = "refused" if status is HTTPStatus.SERVICE_UNAVAILABLE else "failed"
+            self._send_error(status, error_code, _OWED_REASONS[status])
 
     def _reject(self, error: HttpError) -> None:
-        """Answer a message whose framing is in doubt; the connection closes behind it."""
+        """Answer a message that is rejected, and mark the connection as closing."""
         self.note_cause(CloseCause.BAD_MESSAGE)
         self.closing = True
         self.server.note_rejected(error)
         self._send_error(error.status, "bad-request", error.text)
 
-    def _send_error(self, status: int, word: str, reason: str) -> None:
+    def _send_error(self, status: int, error_code: str, reason: str) -> None:
         exchange = self.exchange
         if exchange is not None:
             if exchange.answered:
@@ -364,7 +372,7 @@
             exchange.answered = True
         self.note_event(ConnectionEvent.RESPONSE_BEGAN)
         self.request_cut = exchange is None or not exchange.request_read
-        body = format_error_body(word, reason)
+        body = format_error_body(error_code, reason)
         with contextlib.suppress(OSError):
             self.send(format_response_head(status, [JSON_HEADER], len(body), close=True) + body)
 
--- a/fawnspool/net/server_options.py
+++ b/fawnspool/net/server_options.py
@@ -1,4 +1,4 @@
-"""Bounds and timeouts of a server."""
+"""Limits and timeouts of a server."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(slots=True)
 class ServerOptions:
-    """What a server holds its clients to; it may be changed while the server runs, but for `max_starts_per_iteration`.
+    """Limits that a server enforces; all but `max_starts_per_iteration` may be changed while the server runs.
 
     Attributes
     ----------
     limits
-        Of a request's head.
+        Limits on a request's head.
     idle_timeout_s
-        A connection without a request is closed after so long.
+        A connection without a request is closed after this time.
     first_request_timeout_s
-        A new connection must begin its first request within so long.
+        A new connection must begin its first request within this time.
     read_timeout_s
-        For the next piece of a request, and for a response to be taken.
+        Timeout for the next piece of a request, and for the client to read a response.
     max_connections
-        Open at once.
+        Most connections open at once.
     max_starts_per_iteration
-        Requests begun in one iteration of the event loop; None: no bound.
+        Most requests started in one iteration of the event loop; None: no limit.
     untrusted_clients
-        Clients are held to more: a complete request must come within `read_timeout_s`, where `max_connections` are open
-        the one that has waited longest without a request is evicted, and a client that sends too much behind a request
-        being handled counts as gone.
+        Enforce stricter rules: a whole request must arrive within `read_timeout_s`; if `max_connections` are open, the
+        connection that has waited longest without a request is evicted; and a client that sends too much after a
+        request being handled is treated as disconnected.
     crowded_from
-        With so many connections open a response ends its connection; None: never.
+        With this many connections open, each response ends its connection; None: never.
     """
 
     limits: MessageLimits = field(default_factory=MessageLimits)
--- a/fawnspool/net/socket_stream.py
+++ b/fawnspool/net/socket_stream.py
@@ -1,11 +1,11 @@
-"""A connected socket for greenlets: blocking-style calls, each wait with a deadline, cheap enough for one core."""
+"""A connected socket for greenlets: blocking calls, a deadline for each wait, and little CPU time per call."""
 
 from __future__ import annotations
 
 import contextlib
 import errno
 import fcntl
-import socket as std
+import socket
 import struct
 import termios
 import time
@@ -21,29 +21,29 @@
 _LINGER = struct.Struct("ii")
 _RESET_ON_CLOSE = _LINGER.pack(1, 0)  # socket(7), SO_LINGER: on, for 0 s
 _TCP_CLOSE = 7  # tcp(7), first byte of TCP_INFO: the connection was reset
-_TCP_CLOSE_WAIT = 8  # the peer has ended its side
+_TCP_CLOSE_WAIT = 8  # the peer has closed its side
 _NANOSECONDS = 1e9
 
 _arrival_clock = ArrivalClock(time.time(), time.monotonic())
 
 
 def observe_clocks() -> None:
-    """Let the arrival clock see both clocks. To be called often, also while nothing is read: see `ArrivalClock`."""
+    """Update the arrival clock; must be called often, also while nothing is read (see `ArrivalClock`)."""
     _arrival_clock.observe(time.time(), time.monotonic())
 
 
 class SocketStream:
-    """One connected socket, used by one greenlet at a time in each direction.
+    """One connected socket, used by at most one greenlet at a time in each direction.
 
-    Its calls raise OSError where the socket breaks, and TimeoutError past a deadline (monotonic seconds) alone.
+    Its methods raise OSError if the connection breaks, and TimeoutError only at a deadline (monotonic seconds).
 
-    The system reports a break once, to whoever looks first; what comes then reads as a clean end. So it is kept here,
-    whichever call met it, and no end that follows is taken for a clean one.
+    The system reports a broken connection only once, to the first call; later reads look like a clean end. So the
+    stream remembers the error, whichever call met it, and never reports a clean end after it.
     """
 
     __slots__ = ("_broken_by", "_reader", "_sock", "_writer", "closed")
 
-    def __init__(self, sock: std.socket) -> None:
+    def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self._sock = sock
         self.closed = False  # on this side
@@ -54,21 +54,21 @@
     # ------------------------------------------------------------ reading
 
     def recv(self, size: int, deadline: float, wait_first: bool = False) -> bytes:
-        """Read some bytes.
+        """Read some bytes, waiting for them if none have arrived.
 
         Parameters
         ----------
         size
-            Bytes at most.
+            Most bytes to read.
         deadline
             Monotonic seconds.
         wait_first
-            Nothing is expected to be there yet, so a try before the wait would be in vain.
+            Wait before the first read, as no bytes are expected to have arrived yet.
 
         Returns
         -------
         bytes
-            b"" at the end.
+            b"" at the end of the stream.
         """
         if wait_first:
             self._wait_readable(deadline)
@@ -79,9 +79,10 @@
                 self._wait_readable(deadline)
 
     def recv_stamped(self, size: int, deadline: float) -> tuple[bytes, float]:
-        """Wait, then read like `recv`, and tell when the bytes reached this host (monotonic seconds).
+        """Wait, then read as `recv` does; also return when the bytes reached this host (monotonic seconds).
 
-        The kernel's stamp counts: what waits while the process stands still is not as young as it looks.
+        The time is the kernel's timestamp, so that it is also right for bytes that arrived while the process was
+        stopped or busy.
         """
         self._wait_readable(deadline)
         while True:
@@ -91,15 +92,15 @@
                 self._wait_readable(deadline)
 
     def recv_stamped_now(self, size: int) -> tuple[bytes, float]:
-        """Read what lies there, with its stamp. Raises BlockingIOError where nothing does."""
+        """Read bytes that have arrived, with their arrival time. Raises BlockingIOError if there are none."""
         try:
             data, ancillary, _, _ = self._sock.recvmsg(size, _ANCILLARY_BYTES)
         except OSError as error:
-            raise self._noted(error) from None
+            raise self._recorded(error) from None
         if not data:
-            self._check_end()
+            self._check_clean_end()
         for level, kind, raw in ancillary:
-            if level == std.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) >= _TIMESPEC.size:
+            if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(raw) >= _TIMESPEC.size:
                 seconds, nanoseconds = _TIMESPEC.unpack_from(raw)
                 stamp = seconds + nanoseconds / _NANOSECONDS
                 return data, _arrival_clock.arrival(stamp, time.time(), time.monotonic())
@@ -109,9 +110,9 @@
         try:
             data = self._sock.recv(size)
         except OSError as error:
-            raise self._noted(error) from None
+            raise self._recorded(error) from None
         if not data:
-            self._check_end()
+            self._check_clean_end()
         return data
 
     def _wait_readable(self, deadline: float) -> None:
@@ -120,17 +121,17 @@
         try:
             self._reader.wait(deadline)
         except TimeoutError:
-            # A process that stood still finds the deadline over and what came before it at one stroke, and the loop
-            # runs timers first. What lies there is not late: it is read.
+            # After the process was stopped, the loop finds both an expired deadline and bytes that arrived before it,
+            # and it runs timers first. Such bytes are not late, so they are read.
             if self.closed or not self.at_end():
                 raise
         if self.closed:
             raise StreamClosedError
 
     def expire_wait(self) -> None:
-        """End the wait to read as if its deadline had come: what lies there is read still.
+        """End the wait to read as if its deadline had passed; bytes that have arrived are still read.
 
-        To be called from the event loop itself.
+        Must be called from the event loop's own greenlet.
         """
         if self._reader is not None:
             self._reader.expire()
@@ -138,11 +139,11 @@
     # ------------------------------------------------------------ writing
 
     def sendall(self, data: bytes | memoryview, deadline: float) -> None:
-        """Hand all of it to the kernel until `deadline` (monotonic seconds)."""
-        sent = self._send_now(data)
-        if sent == len(data):
+        """Pass all of `data` to the kernel by `deadline` (monotonic seconds)."""
+        sent_bytes = self._send_now(data)
+        if sent_bytes == len(data):
             return
-        rest = memoryview(data)[sent:]
+        rest = memoryview(data)[sent_bytes:]
         if self._writer is None:
             self._writer = ReadinessWaiter(self._sock.fileno(), WRITABLE)
         while rest:
@@ -152,86 +153,90 @@
             rest = rest[self._send_now(rest) :]
 
     def _send_now(self, data: bytes | memoryview) -> int:
-        """Return how much of it the kernel takes at once."""
+        """Send without waiting; return how many bytes the kernel accepted."""
         try:
             return self._sock.send(data)
         except BlockingIOError:
             return 0
         except OSError as error:
-            raise self._noted(error) from None
+            raise self._recorded(error) from None
 
-    # ------------------------------------------------------------ breaks and ends
+    # ------------------------------------------------------------ broken connections
 
-    def _noted(self, error: OSError) -> OSError:
-        """Return the error to raise. A break is kept, and never looks like a deadline, as an ETIMEDOUT would."""
+    def _recorded(self, error: OSError) -> OSError:
+        """Return the error to raise, and remember it if the connection broke.
+
+        A broken connection always raises ConnectionResetError: an ETIMEDOUT would be a TimeoutError, and so look like
+        a deadline.
+        """
         if isinstance(error, BlockingIOError) or self.closed:
             return error
         if self._broken_by is None:
             self._broken_by = ConnectionResetError(error.errno, error.strerror)
         return self._broken_by
 
-    def _check_end(self) -> None:
-        """Raise ConnectionError where the end that was read follows a break, one reported before or behind that end."""
+    def _check_clean_end(self) -> None:
+        """Raise ConnectionError if the end that was read is not clean: the connection broke before or after it."""
         if self._broken_by is None and self._tcp_state() == _TCP_CLOSE:
-            self._broken_by = ConnectionResetError(errno.ECONNRESET, "reset behind its end")
+            self._broken_by = ConnectionResetError(errno.ECONNRESET, "connection was reset after its end")
         if self._broken_by is not None:
             raise self._broken_by
 
     def is_broken(self) -> bool:
-        """Tell whether any call met a break, or this side has closed it."""
+        """Return whether any call found the connection broken, or this side has closed it."""
         return self.closed or self._broken_by is not None
 
-    # ------------------------------------------------------------ looks that neither wait nor take anything out
+    # ------------------------------------------------------------ checks that neither wait nor consume bytes
 
     def peek(self) -> bytes | None:
-        """Return the first unread byte, b"" at the end, None where there is neither yet.
+        """Return the first unread byte, b"" at the end of the stream, or None if nothing has arrived.
 
         Raises
         ------
         OSError
-            Where the connection broke.
+            The connection broke.
         """
         try:
-            first = self._sock.recv(1, std.MSG_PEEK)
+            first_byte = self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return None
         except OSError as error:
-            raise self._noted(error) from None
-        if not first:
-            self._check_end()
-        return first
+            raise self._recorded(error) from None
+        if not first_byte:
+            self._check_clean_end()
+        return first_byte
 
     def at_end(self) -> bool:
-        """Tell whether the peer has closed, or sent what nobody has read."""
+        """Return whether the peer has closed the connection or sent bytes that are unread."""
         try:
             return self.peek() is not None
         except OSError:
             return True
 
     def peer_left(self) -> bool:
-        """Tell whether the peer has closed its side; bytes that wait to be read are no end."""
+        """Return whether the peer has closed its side; False while bytes before the close are unread."""
         try:
             return self.peek() == b""
         except OSError:
             return True
 
     def has_unread(self) -> bool:
-        """Tell whether bytes of the peer wait to be read."""
+        """Return whether received bytes wait to be read."""
         try:
             return bool(self.peek())
         except OSError:
             return False
 
     def closed_by_peer(self) -> bool:
-        """Tell whether the peer has closed, also behind bytes that nobody has read, as far as the system knows."""
+        """Return whether, according to the system, the peer has closed its side, even after unread bytes."""
         return self._tcp_state() in (_TCP_CLOSE, _TCP_CLOSE_WAIT)
 
     def unread_bytes(self) -> int:
-        """Return how many bytes wait to be read; 0 where the system does not tell."""
+        """Return how many received bytes are unread; 0 if the system does not report it."""
         return self._queued_bytes(termios.FIONREAD)
 
     def unacknowledged_bytes(self) -> int:
-        """Return how many bytes of ours the peer's system has not confirmed; 0 where this one does not tell."""
+        """Return how many sent bytes the peer's system has not acknowledged; 0 if the system does not report it."""
         return self._queued_bytes(termios.TIOCOUTQ)
 
     def _queued_bytes(self, request: int) -> int:
@@ -242,18 +247,18 @@
 
     def _tcp_state(self) -> int:
         try:
-            return int(self._sock.getsockopt(std.IPPROTO_TCP, std.TCP_INFO, 1)[0])
+            return int(self._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0])
         except OSError:
             return 0
 
-    # ------------------------------------------------------------ its end
+    # ------------------------------------------------------------ closing
 
     def end_writing(self) -> None:
-        """Tell the peer that nothing more comes."""
-        self._sock.shutdown(std.SHUT_WR)
+        """Close this side for writing, which the peer reads as the end of the stream."""
+        self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Close; greenlets that wait on it wake with StreamClosedError."""
+        """Close the stream; greenlets that wait on it get StreamClosedError."""
         if self.closed:
             return
         self.closed = True
@@ -267,35 +272,35 @@
         if self.closed:
             return
         with contextlib.suppress(OSError):
-            self._sock.setsockopt(std.SOL_SOCKET, std.SO_LINGER, _RESET_ON_CLOSE)
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.close()
 
-    # ------------------------------------------------------------ its beginning
+    # ------------------------------------------------------------ connecting
 
     def finish_connect(self, deadline: float) -> int:
-        """Wait until a connect under way has ended; return its error code, 0 for none."""
+        """Wait until the connect in progress has ended; return its error code, 0 for success."""
         self._writer = ReadinessWaiter(self._sock.fileno(), WRITABLE)
         self._writer.wait(deadline)
-        return self._sock.getsockopt(std.SOL_SOCKET, std.SO_ERROR)
+        return self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
 def connect(address: tuple[str, int], deadline: float) -> SocketStream:
-    """Open a connection until `deadline` (monotonic seconds).
+    """Open a connection by `deadline` (monotonic seconds).
 
     Raises
     ------
     DeadlineExceededError
-        Past the deadline.
+        The deadline passed first.
     OSError
-        Where it is refused or out of reach.
+        The connection was refused or the address is unreachable.
     """
-    sock = std.socket(std.AF_INET, std.SOCK_STREAM)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     stream = SocketStream(sock)
     try:
-        sock.setsockopt(std.IPPROTO_TCP, std.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
-        if code in (errno.EINPROGRESS, errno.EINTR):  # one that a signal interrupts goes on all the same
+        if code in (errno.EINPROGRESS, errno.EINTR):  # after EINTR the connect continues as well
             code = stream.finish_connect(deadline)
     except BaseException:
         stream.close()
--- a/fawnspool/net/timer_wheel.py
+++ b/fawnspool/net/timer_wheel.py
@@ -1,8 +1,8 @@
 """A hashed timer wheel: the deadlines of all waits of one thread.
 
-gevent's own waits make a timer and a waiter object each, which cost a fifth of a gateway's time per request
-(docs/measurements.md). Here a wait is one entry in a wheel that is looked at every `TICK_S` seconds: a wait may end so
-much late, and never early.
+Each of gevent's own waits creates a timer and a waiter object, which took a fifth of a gateway's time per request
+(docs/measurements.md). Here a wait is one entry in a wheel with ticks of `TICK_S` seconds: a wait may end up to one
+tick late, and never early.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 
 TICK_S = 0.002
 _MIN_HEAP_TO_COMPACT = 64  # ticks; a smaller heap is not worth compacting
-_STALE_FACTOR = 4  # a heap with so many times the ticks in use is compacted
+_STALE_FACTOR = 4  # a heap is compacted when it has more than this many times the ticks in use
 
 
 class TimedWait(Protocol):
-    """Something that waits until a deadline at most."""
+    """A wait that ends at its deadline at the latest."""
 
     def expire(self) -> None:
-        """The deadline has come. Called from the event loop itself."""
+        """End the wait because its deadline has passed. Called from the event loop's own greenlet."""
 
 
 class TimerWheel:
-    """Waits by the tick of their deadline, with one timer set for the earliest tick.
+    """Waits grouped by the tick of their deadline, with one timer set for the earliest tick.
 
     Most waits end before their deadline, so adding and removing are cheap and only the ticks in use are sorted.
     """
 
     def __init__(self) -> None:
-        self.heap: list[int] = []  # ticks in use; some are gone by now, some stand twice
+        self.heap: list[int] = []  # ticks in use, some of them twice, and ticks whose waits were all removed
         self.hub = get_hub()
         self._waits: dict[int, set[TimedWait]] = {}  # by tick
-        self._timer_tick: int | None = None  # that the timer is set for
+        self._timer_tick: int | None = None  # tick that the timer is set for
         self._timer: Any = None
 
     def add(self, deadline: float, wait: TimedWait) -> int:
@@ -44,7 +44,7 @@
         Returns
         -------
         int
-            Its tick, which `remove` needs.
+            The wait's tick, which `remove` needs.
         """
         tick = int(deadline / TICK_S) + 1
         waits = self._waits.get(tick)
@@ -68,7 +68,7 @@
             self._compact()
 
     def _compact(self) -> None:
-        """Drop ticks without a wait once they are the most."""
+        """Drop ticks without waits once they are most of the heap."""
         if len(self.heap) > _MIN_HEAP_TO_COMPACT and len(self.heap) > _STALE_FACTOR * len(self._waits):
             self.heap = sorted(self._waits)
 
@@ -94,9 +94,9 @@
 
 
 def current_wheel() -> TimerWheel:
-    """Return the wheel of this thread's hub."""
+    """Return the timer wheel of this thread's hub."""
     hub = get_hub()
-    found = _wheels.get(id(hub))
-    if found is None or found.hub is not hub:
-        found = _wheels[id(hub)] = TimerWheel()
-    return found
+    wheel = _wheels.get(id(hub))
+    if wheel is None or wheel.hub is not hub:
+        wheel = _wheels[id(hub)] = TimerWheel()
+    return wheel
--- a/fawnspool/net/wakeup_event.py
+++ b/fawnspool/net/wakeup_event.py
@@ -1,4 +1,4 @@
-"""An event that one greenlet waits for, cheaper than gevent's."""
+"""An event for one waiting greenlet, cheaper than gevent's."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WakeupEvent:
-    """Set by anyone, awaited by one greenlet. As with `threading.Event`, a wait on one that is set ends at once."""
+    """An event that any greenlet sets and one waits for; as with `threading.Event`, waiting on a set event returns."""
 
     __slots__ = ("_waiter", "is_set")
 
@@ -20,7 +20,7 @@
         self._waiter: Any = None
 
     def set(self) -> None:
-        """Set it; whoever waits wakes in the loop's next turn."""
+        """Set the event; a waiting greenlet wakes in the loop's next iteration."""
         if self.is_set:
             return
         self.is_set = True
@@ -28,21 +28,21 @@
             get_hub().loop.run_callback(self._wake)
 
     def clear(self) -> None:
-        """Make it unset again, for a greenlet that waits in a loop."""
+        """Reset the event, for a greenlet that waits for it repeatedly."""
         self.is_set = False
 
     def wait(self, deadline: float | None) -> bool:
-        """Wait until it is set, or until the deadline.
+        """Wait until the event is set, or until the deadline.
 
         Parameters
         ----------
         deadline
-            Monotonic seconds; None: no limit.
+            Monotonic seconds; None: no deadline.
 
         Returns
         -------
         bool
-            True where it is set.
+            Whether the event is set.
         """
         if self.is_set:
             return True
@@ -64,7 +64,7 @@
         return self.is_set
 
     def expire(self) -> None:
-        """The deadline has come. Called by the timer wheel."""
+        """End the wait because its deadline has passed. Called by the timer wheel."""
         self._wake()
 
     def _wake(self) -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -62,10 +62,10 @@
     parser.expect_response()
     parser.feed(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert parser.complete
-    with pytest.raises(TrailingDataError, match="behind"):
+    with pytest.raises(TrailingDataError, match="after the end"):
         parser.feed(b"HTTP/1.1 200 OK\r\n")
     other = ResponseParser(MessageLimits())
-    with pytest.raises(TrailingDataError, match="behind"):
+    with pytest.raises(TrailingDataError, match="after the end"):
         other.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
 
 
