--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -342,9 +342,7 @@
                 self.note_cause(CloseCause.INTERNAL_ERROR)
             self._send_owed_response()
         if not exchange.answered and not self.closing:
-            exchange.respond(
-                500, [JSON_HEADER], format_error_body("failed", "the request was left unanswered"), close=True
-            )
+            exchange.respond(500, [JSON_HEADER], format_error_body("failed", "unanswered"), close=True)
         self.closing |= not exchange.request_read
 
     # ------------------------------------------------------------ closing
--- a/fawnspool/relay/__init__.py
+++ b/fawnspool/relay/__init__.py
@@ -1,5 +1,5 @@
-"""The edge for the platform's protocol, beside `api` on the same core. It never chooses.
+"""The edge for the platform's protocol, next to `api` on the same core; it makes no scheduling decisions.
 
-The protocol's own names are read here and nowhere else: its shelf is a node, its block a shard, its siblings are the
-gateways of the fleet, its grades the plans of volumes, its localities zones.
+Only this package uses the protocol's own names: its shelf is a node, its block a shard, its siblings are the gateways
+of the fleet, its grades the plans of volumes, its localities zones.
 """
--- a/fawnspool/relay/__main__.py
+++ b/fawnspool/relay/__main__.py
@@ -1,14 +1,14 @@
-"""The process that the platform starts."""
+"""Entry point of the gateway process that the platform starts."""
 
 import os
 import signal
 import sys
 from typing import Any
 
-# A configuration may be replaced while this process still loads: that must not end it, nor be missed.
+# The configuration may be replaced while this process is loading. The SIGHUP must neither end the process nor be lost.
 early_signals: list[Any] = []
 signal.signal(signal.SIGHUP, lambda number, frame: early_signals.append(number))
 
-from fawnspool.relay.process import main  # noqa: E402 - the handler must stand before this takes its time
+from fawnspool.relay.process import main  # noqa: E402 - the handler must be set before this slow import
 
 sys.exit(main(os.environ, early_signals))
--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: environment, configuration file, settings. Read and checked here."""
+"""Reading and checking a gateway's configuration: environment, configuration file and settings."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
     Attributes
     ----------
     seed
-        For random numbers.
+        Seed of the random numbers.
     max_descriptors
-        Limit on the process' open files.
+        Limit on the process' open file descriptors.
     known_endpoints
-        The node list as the gateway last had it, in the platform's form.
+        The endpoint list that the gateway last had, in the platform's format.
     zones, node_kinds
-        Names in the order of the module's numbers.
+        Names in the order of the decision module's numbers.
     node_idle_timeout_s
-        After that nodes close an idle connection.
+        Time after which nodes close an idle connection.
     """
 
     name: str
@@ -56,19 +56,19 @@
 
 
 def load(path: str, environ: Mapping[str, str]) -> RelayConfig:
-    """Read the file, and the environment where the file says nothing.
+    """Read the configuration file; the environment supplies values that are missing in it.
 
     Raises
     ------
     ConfigError
-        It can't be used; the subclasses say why it can't be read.
+        The configuration is invalid; the subclasses tell why the file can't be read.
     """
     tree = _read_json(path)
     if not isinstance(tree, dict):
-        raise ConfigError(path, "expected an object")
+        raise ConfigError(path, "expected a JSON object")
     settings = tree.get("settings")
     if not isinstance(settings, dict):
-        raise ConfigError(path, "settings: expected an object")
+        raise ConfigError(path, "settings: expected a JSON object")
     try:
         return _read_tree(path, tree, settings, environ)
     except SettingsError as error:
@@ -81,14 +81,14 @@
     try:
         return json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        problem = f"{error.strerror}; {CONFIG_VARIABLE} names the configuration"
+        problem = f"{error.strerror}; {CONFIG_VARIABLE} must name the configuration file"
         if error.errno in (errno.EMFILE, errno.ENFILE):
             raise NoDescriptorLeftError(path, problem) from None
         if error.errno == errno.ENOENT:
             raise IncompleteConfigError(path, problem) from None
         raise ConfigError(path, problem) from None
     except (ValueError, RecursionError) as error:
-        raise IncompleteConfigError(path, f"not JSON: {error}") from None
+        raise IncompleteConfigError(path, f"invalid JSON: {error}") from None
 
 
 def _read_tree(
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -1,4 +1,4 @@
-"""A client of the platform's discovery service: its list of hosts as `EndpointUpdate` events."""
+"""A client of the platform's discovery service, which converts its list of hosts to `EndpointUpdate` events."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from fawnspool.telemetry.logs import EventLogger
 
 LIST_TARGET = b"/catalog/members"
-HEARTBEAT_S = 2.0  # while nothing changes, a watch says so this often (PROTOCOL, Discovery)
+HEARTBEAT_S = 2.0  # interval of a watch's heartbeats while nothing changes (PROTOCOL, Discovery)
 _PHASES = {"active": interface.Phase.READY, "leaving": interface.Phase.DRAINING, "left": interface.Phase.GONE}
 _MS_PER_S = 1000
 _NUMBER_FIELDS = ("share", "born_ms")
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class EndpointNames:
-    """Names in the order of the module's numbers; any other name counts as the first."""
+    """Names in the order of the decision module's numbers; an unknown name is mapped to number 0."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredNode:
-    """What the gateway keeps of a listed node."""
+    """A listed node, as far as the gateway keeps it."""
 
     name: str
     address: tuple[str, int]
@@ -49,9 +49,9 @@
     Attributes
     ----------
     zone, kind
-        Names; whatever stands in the list.
+        Names, unchecked values of the list.
     started_at
-        Seconds of the wall clock; 0: long ago.
+        Wall-clock time in seconds; 0: long ago.
     """
 
     node: DiscoveredNode
@@ -62,9 +62,9 @@
 
 
 class DiscoveryClient(WatchClient):
-    """The list as this gateway has it.
+    """Keeps this gateway's copy of the endpoint list up to date.
 
-    Nodes are numbered here as they appear; a number is never given again.
+    Nodes are numbered in the order in which they appear; a number is never reused.
     """
 
     def __init__(
@@ -83,10 +83,10 @@
         self.start_times.observe_clocks(time.time(), time.monotonic())
         self.last_number = 0
         self.older_lists_in_row = 0
-        self.confirmed = False  # the service has said something of the list that is held
+        self.confirmed = False  # whether the service has sent or confirmed the current list
 
     def start(self, known: Mapping[str, Any]) -> None:
-        """Post the list of the configuration, which may be old."""
+        """Post the endpoint list of the configuration, which may be outdated."""
         try:
             self._apply(known, interface.UpdateKind.CACHED)
         except ValueError as error:
@@ -97,44 +97,44 @@
         self.post(interface.EndpointUpdate(interface.UpdateKind.CACHED, 0, ()))
 
     def fetch(self) -> None:
-        """Open the watch: where lists are pushed, a single answer would be followed by nothing."""
+        """Open the watch: the service pushes lists, so a single response would be followed by no further updates."""
         self.watch(True)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address, from the version that is held."""
+        """Switch to another address, and continue from the current version of the list."""
         host, port = address
         self.log.info("discovery_moved", to=f"{host}:{port}")
         old_pool = self.pool
         was_watching = self.watch_greenlet is not None
         self.pool = old_pool.for_address(address)
-        self.watch(False)  # what the old address still says is not heard
+        self.watch(False)  # ignore further messages from the old address
         old_pool.close_idle()
         if was_watching:
             self.watch(True)
 
-    # ------------------------------------------------------------ the platform's form
+    # ------------------------------------------------------------ the platform's format
 
     def poll_target(self) -> bytes:
-        """Where the whole list is asked for."""
+        """Return the request target of the whole list."""
         return LIST_TARGET
 
     def watch_target(self) -> bytes:
-        """Where a watch of what follows `version` is asked for."""
+        """Return the request target of a watch of the changes after `version`."""
         return LIST_TARGET + b"?stream=1&index=%d" % self.version
 
     def on_heartbeat(self) -> None:
-        """Confirm a list that was only cached: nothing has changed since the version that the watch named."""
+        """Confirm a cached list: the heartbeat means that nothing has changed since the watch's start version."""
         if not self.confirmed:
             self.confirmed = True
             self.post(interface.EndpointUpdate(interface.UpdateKind.DELTA, self.version, ()))
 
     def apply(self, data: bytes) -> None:
-        """Take a list or a change of it and post it; a change that is older than the list is heard already.
+        """Apply a snapshot or a delta and post it; a delta that is older than the list is ignored.
 
         Raises
         ------
         MalformedUpdateError
-            It does not read, or is a whole list that is older than the one held.
+            The message is malformed, or a snapshot that is older than the current list.
         """
         message = _decode(data)
         is_snapshot = bool(message.get("whole", True))
@@ -150,15 +150,17 @@
 
     def _apply(self, message: Mapping[str, Any], kind: interface.UpdateKind) -> None:
         version = _version(message)
-        rows = message.get("hosts") or []
-        if not isinstance(rows, list):
+        raw_entries = message.get("hosts") or []
+        if not isinstance(raw_entries, list):
             raise UnexpectedFieldError("hosts", "a list")
         now = time.monotonic()
         self.start_times.observe_clocks(time.time(), now)
         is_delta = kind is interface.UpdateKind.DELTA
         if not is_delta:
             self.nodes = {}
-        endpoints = [endpoint for row in rows if (endpoint := self._apply_row(row, now)) is not None]
+        endpoints = [
+            endpoint for raw_entry in raw_entries if (endpoint := self._apply_entry(raw_entry, now)) is not None
+        ]
         if not is_delta:
             self.numbers = {node.name: number for number, node in self.nodes.items()}
             self.start_times.retain(set(self.numbers))
@@ -166,13 +168,13 @@
         self.confirmed = kind is not interface.UpdateKind.CACHED
         self.post(interface.EndpointUpdate(kind, version, tuple(endpoints)))
 
-    def _apply_row(self, row: Any, now: float) -> interface.Endpoint | None:
-        """Take an entry; None: it does not read."""
+    def _apply_entry(self, raw_entry: Any, now: float) -> interface.Endpoint | None:
+        """Apply an entry of the list; None: it is malformed and was logged."""
         try:
-            host = _read_host(row)
+            host = _read_host(raw_entry)
             endpoint = self._endpoint(host, now)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            self._log_malformed(row, error)
+            self._log_malformed(raw_entry, error)
             return None
         if endpoint.phase is interface.Phase.GONE:
             self.nodes.pop(endpoint.node, None)
@@ -182,14 +184,14 @@
             self.nodes[endpoint.node] = host.node
         return endpoint
 
-    def _log_malformed(self, row: Any, error: Exception) -> None:
-        self.log.error("endpoint_entry_malformed", entry=str(row)[:_MAX_LOGGED_ENTRY_CHARS], error=str(error))
+    def _log_malformed(self, raw_entry: Any, error: Exception) -> None:
+        self.log.error("endpoint_entry_malformed", entry=str(raw_entry)[:_MAX_LOGGED_ENTRY_CHARS], error=str(error))
 
     def _endpoint(self, host: ListedHost, now: float) -> interface.Endpoint:
         zones = self.names.zones
         kinds = self.names.kinds
         return interface.Endpoint(
-            node=self._number(host.node.name),
+            node=self._number_of(host.node.name),
             zone=zones.index(host.zone) if host.zone in zones else 0,
             kind=kinds.index(host.kind) if host.kind in kinds else 0,
             shard=host.node.shard,
@@ -198,7 +200,7 @@
             started_at=self.start_times.started_at(host.node.name, host.started_at, now),
         )
 
-    def _number(self, name: str) -> int:
+    def _number_of(self, name: str) -> int:
         number = self.numbers.get(name)
         if number is None:
             self.last_number += 1
@@ -221,31 +223,31 @@
     try:
         return int(raw)
     except (TypeError, ValueError):
-        raise UnexpectedFieldError("seq", f"a whole number, found {raw!r}") from None
+        raise UnexpectedFieldError("seq", f"an integer, found {raw!r}") from None
 
 
-def _read_host(row: Mapping[str, Any]) -> ListedHost:
-    """Read an entry; this is where the platform's names become ours.
+def _read_host(raw_entry: Mapping[str, Any]) -> ListedHost:
+    """Parse an entry, and translate the platform's names to this project's names.
 
     Raises
     ------
     KeyError, TypeError, ValueError, AttributeError
-        It does not read.
+        The entry is malformed.
     """
-    name = str(row["host"])
-    health = row["health"]
+    name = str(raw_entry["host"])
+    health = raw_entry["health"]
     if health not in _PHASES:
         raise UnexpectedFieldError("health", f"one of {', '.join(_PHASES)}, found {health!r}")
-    host, _, port = str(row["dial"]).rpartition(":")
-    shard = int(row["block"])
-    size = float(row.get("share", 1.0))
-    started_ms = float(row.get("born_ms", 0))
+    host, _, port = str(raw_entry["dial"]).rpartition(":")
+    shard = int(raw_entry["block"])
+    size = float(raw_entry.get("share", 1.0))
+    started_ms = float(raw_entry.get("born_ms", 0))
     if not math.isfinite(size + started_ms):
-        raise UnexpectedFieldError(" and ".join(_NUMBER_FIELDS), "numbers")
+        raise UnexpectedFieldError(" and ".join(_NUMBER_FIELDS), "finite numbers")
     return ListedHost(
         node=DiscoveredNode(name, (host, int(port)), _PHASES[health], shard),
-        zone=row.get("site"),
-        kind=row.get("class"),
+        zone=raw_entry.get("site"),
+        kind=raw_entry.get("class"),
         size=size,
         started_at=started_ms / _MS_PER_S,
     )
--- a/fawnspool/relay/errors.py
+++ b/fawnspool/relay/errors.py
@@ -1,4 +1,4 @@
-"""Errors in what the platform gives a gateway: its configuration and its list of nodes."""
+"""Errors in a gateway's configuration and in the endpoint list of the platform's discovery service."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used.
+    """The configuration is invalid or can't be read.
 
     Parameters
     ----------
     path
-        Of the file.
+        Path of the configuration file.
     problem
-        The place in the file, and what was expected there.
+        The position in the file, and what was expected there.
     """
 
     def __init__(self, path: str, problem: str) -> None:
@@ -21,36 +21,36 @@
 
 
 class NoDescriptorLeftError(ConfigError):
-    """This process has no file descriptor left to read the configuration with."""
+    """This process has no file descriptor left for reading the configuration."""
 
 
 class IncompleteConfigError(ConfigError):
-    """The file is not there, or not to its end: it may just be written."""
+    """The file is missing or incomplete, possibly because it is being written."""
 
 
 class NotJsonError(MalformedUpdateError):
-    """The list is not JSON."""
+    """The list is not valid JSON."""
 
     def __init__(self, error: ValueError) -> None:
-        super().__init__(f"not JSON: {error}")
+        super().__init__(f"invalid JSON: {error}")
 
 
 class NotAnObjectError(MalformedUpdateError):
-    """The list is another kind of JSON value."""
+    """The list is a JSON value other than an object."""
 
     def __init__(self) -> None:
-        super().__init__("expected an object")
+        super().__init__("expected a JSON object")
 
 
 class UnexpectedFieldError(MalformedUpdateError):
-    """A field of the list has a value that it can't have."""
+    """A field of the list has an invalid value."""
 
     def __init__(self, field: str, expected: str) -> None:
         super().__init__(f"{field}: expected {expected}")
 
 
 class OutdatedListError(MalformedUpdateError):
-    """A list that is older than the one held."""
+    """A snapshot that is older than the current list."""
 
     def __init__(self, received: int, current: int) -> None:
-        super().__init__(f"a list of {received}, older than {current}")
+        super().__init__(f"received list version {received}, which is older than the current version {current}")
--- a/fawnspool/relay/graceful_shutdown.py
+++ b/fawnspool/relay/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""How a gateway that was told to go ends: without dropping a request that it has read."""
+"""The graceful shutdown of a gateway, which drops no request that the gateway has read."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from fawnspool.relay.request_handler import RequestHandler
 from fawnspool.telemetry.logs import EventLogger
 
-# PROTOCOL, Figures: after SIGTERM new connections come for 0.4 s at most, kept ones are used as long as they stay open,
-# and SIGKILL comes after the longest deadline, counted as 3 s at most, and 0.7 s more.
+# PROTOCOL, Figures: after SIGTERM, clients open new connections for at most 0.4 s and use kept connections until they
+# are closed. SIGKILL follows after the longest deadline (counted as at most 3 s) plus 0.7 s.
 NEW_CONNECTIONS_S = 0.4
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
@@ -22,17 +22,17 @@
 
 
 class GracefulShutdown:
-    """Ends one gateway, once.
+    """Shuts down one gateway, once.
 
-    It goes on serving the clients that still come, as nobody else has what their volumes need, until the time that
-    the platform leaves is nearly over. Then it refuses new connections, closes the idle ones, and answers the requests
-    in hand. It ends when no connection is open and not when no request is known: what a connection that has just been
-    accepted brings is known a moment later.
+    The gateway continues to serve clients until shortly before the platform kills it, as no other gateway has the
+    state that their volumes need. Then it refuses new connections, closes idle connections and answers the open
+    requests. It ends when no connection is open. The absence of open requests would not be enough, as a connection
+    that was just accepted may carry a request that is not read yet.
 
     Parameters
     ----------
     longest_deadline_s
-        Of all request classes.
+        Longest deadline of all request classes.
     """
 
     def __init__(self, handler: RequestHandler, longest_deadline_s: float, log: EventLogger) -> None:
@@ -43,16 +43,16 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether `run` was called."""
+        """Whether `run` has been called."""
         return self.handler.last_answer_by < math.inf
 
     def run(self) -> None:
-        """Shut down; returns when all is answered, or when there is no time left for it."""
+        """Shut down; return when all requests are answered or the time for it is over."""
         began_at = time.monotonic()
         server = self.server
         schedule = shutdown_schedule(began_at, NEW_CONNECTIONS_S, self.kill_after_s)
         self.handler.last_answer_by = schedule.answered_by
-        server.options.crowded_from = None  # new connections end soon: from now on every kept one is needed
+        server.options.crowded_from = None  # new connections are refused soon, so every kept connection is needed
         self._log_step("ending")
         _wait_until(schedule.refuse_at, lambda: time.monotonic() >= schedule.unused_from and not server.connections)
         server.draining = True
--- a/fawnspool/relay/node_client.py
+++ b/fawnspool/relay/node_client.py
@@ -1,4 +1,4 @@
-"""The platform's protocol to its nodes, without I/O: a request's head, and what an answer means."""
+"""The platform's protocol to its nodes, without I/O: formats requests and interprets responses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fawnspool.scheduling.interface import Settings
 
 USUAL_BODY_BYTES = 65536  # PROTOCOL
-MAX_BODY_BYTES = 1 << 20  # good ones of 112 KB from clients and 400 KB from nodes come all the same
+MAX_BODY_BYTES = 1 << 20  # valid bodies of 112 KB from clients and of 400 KB from nodes were seen despite PROTOCOL
 _NOT_STARTED = b"not-started"
 _OK = 200
 _NEVER_RUN_STATUSES = (503, 504)
@@ -21,9 +21,9 @@
 
 
 class RelayNodeProtocol:
-    """How the platform's nodes are spoken to.
+    """The request and response format of the platform's nodes.
 
-    A report that does not read tells nothing; the answer that it came with stays good.
+    A malformed load report is ignored; the response that carried it remains valid.
     """
 
     streams_large = False
@@ -34,12 +34,12 @@
 
     def request_head(self, pending: ClientRequest, attempt: NodeAttempt) -> bytes:
         """Return the head of the request to the node."""
-        left_ms = max(1, round((attempt.deadline - time.monotonic()) * _MS_PER_S))
-        headers = [*pending.forwarded_headers, (b"Request-Timeout-Ms", b"%d" % left_ms)]
+        remaining_ms = max(1, round((attempt.deadline - time.monotonic()) * _MS_PER_S))
+        headers = [*pending.forwarded_headers, (b"Request-Timeout-Ms", b"%d" % remaining_ms)]
         return format_request_head(pending.method, pending.target, b"shelf", headers, pending.body.length)
 
     def feedback(self, pending: ClientRequest, head: ResponseHead) -> NodeFeedback:
-        """Return what the answer's headers tell of the node."""
+        """Return what the response's headers report about the node."""
         headers = head.headers
         volume_use_percent = _number(headers.get(b"x-volume-use"))
         units_by_others = _number(headers.get(b"x-served-elsewhere"))
@@ -50,7 +50,7 @@
         )
 
     def _load_report(self, raw: bytes | None) -> tuple[float, ...]:
-        """Read the values in the order of the settings; () where one is missing or does not read."""
+        """Return the load report's values in the order of the settings; () if one is missing or malformed."""
         if raw is None or not self.load_report_fields:
             return ()
         pairs = dict(part.strip().partition(b"=")[::2] for part in raw.split(b","))
@@ -60,16 +60,16 @@
         return tuple(value for value in values if value is not None)
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        """Return how an attempt ended whose answer came complete."""
+        """Return the ending of an attempt with a complete response."""
         if head.code == _OK:
             return AttemptEnding.ANSWERED
         if head.code in _NEVER_RUN_STATUSES and head.headers.get(_NOT_STARTED) == b"1":
             return AttemptEnding.REJECTED
-        return AttemptEnding.NODE_ERROR  # also whatever else does not say that the request never ran
+        return AttemptEnding.NODE_ERROR  # also any other response that does not state that the request never ran
 
 
 def _number(raw: bytes | None) -> float | None:
-    """Read a number of 0 or more; None: it is missing or does not read."""
+    """Parse a number of 0 or more; None: it is missing or malformed."""
     if raw is None:
         return None
     try:
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -1,4 +1,4 @@
-"""The gateway process that the platform starts: its parts put together, and the signals that the platform sends."""
+"""The gateway process that the platform starts: creates its parts and handles the platform's signals."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
 _DEFAULT_CONNECT_TIMEOUT_S = 0.25
 _BAD_CONFIG_STATUS = 2
 _CANNOT_LISTEN_STATUS = 3
-# What is allocated rarely and stays is looked at rarely: collections of the oldest generation stop the process longest.
+# Collections of the oldest generation pause the process longest, and its objects are mostly long-lived, so it is
+# collected rarely.
 _COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
@@ -42,7 +43,7 @@
     Attributes
     ----------
     ended
-        Set when the gateway has shut down.
+        Event that is set when the gateway has shut down.
     """
 
     def __init__(self, config: RelayConfig, path: str, environ: Mapping[str, str]) -> None:
@@ -83,14 +84,14 @@
         self.state_logger: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start all parts; clients' connections are accepted from now on."""
+        """Start all parts; from then on the server accepts clients' connections."""
         self.core.start()
         self.discovery.start(self.config.known_endpoints)
         self.handler.start()
         self.state_logger = gevent.spawn(self._log_states)
 
     def stop(self) -> None:
-        """End all parts at once."""
+        """Stop all parts immediately."""
         if self.state_logger is not None:
             self.state_logger.kill()
         self.handler.server.stop()
@@ -101,37 +102,37 @@
     # ------------------------------------------------------------ state for operators
 
     def count(self) -> CounterSnapshot:
-        """Return totals since the start."""
+        """Return the totals since the start."""
         return count_now(self.counters, self.handler.server)
 
     def nodes(self) -> list[NodeSnapshot]:
-        """Return what the scheduler believes of its nodes."""
+        """Return the scheduler's view of its nodes."""
         return nodes_now(self.scheduler)
 
     def _log_states(self) -> None:
-        """Log what the gateway has done and believes, to be compared with what its peers saw."""
-        before: LogFields = {}
+        """Periodically log the gateway's totals and its view of nodes, for comparison with its peers' observations."""
+        previous: LogFields = {}
         while True:
             gevent.sleep(STATE_LOG_INTERVAL_S)
-            now = self.count().log_fields()
+            current = self.count().log_fields()
             self.log.info(
                 "state",
                 connections=len(self.handler.server.connections),
                 in_hand=len(self.handler.open),
                 to_shelfs=self.core.pools.open_connections(),
-                **changes(now, before),
+                **changes(current, previous),
                 nodes=[node.text() for node in self.nodes()],
             )
-            before = now
+            previous = current
 
-    # ------------------------------------------------------------ what the platform asks for
+    # ------------------------------------------------------------ descriptors and signals
 
     def free_descriptor(self) -> bool:
-        """Close a connection that can be spared, a client's or one to a node; False: there is none."""
+        """Close an idle connection, of a client or to a node; False: there is none."""
         return self.handler.server.evict_waiting() or self.core.pools.close_one_idle()
 
     def reload(self) -> None:
-        """Read the replaced file (SIGHUP): a new address of discovery counts at once, the rest after a restart."""
+        """Read the replaced file (SIGHUP); a new discovery address applies at once, other changes after a restart."""
         try:
             new = read_config(self.path, self.environ, self.free_descriptor)
         except ConfigError as error:
@@ -145,7 +146,7 @@
         self.log.error("config_rejected", error=str(error))
 
     def drain(self) -> None:
-        """Shut down gracefully (SIGTERM, SIGINT); a second signal gives no more time."""
+        """Shut down gracefully (SIGTERM, SIGINT); a second signal does not extend the time."""
         if self.shutdown.has_begun:
             return
         self.shutdown.run()
@@ -155,12 +156,12 @@
 def read_config(
     path: str, environ: Mapping[str, str], free_descriptor: Callable[[], bool] = lambda: False
 ) -> RelayConfig:
-    """Read the configuration, again while it may just be written.
+    """Read the configuration; retry while it may be incomplete because it is being written.
 
     Raises
     ------
     ConfigError
-        It can't be used.
+        The configuration is invalid or can't be read.
     """
     incomplete_reads = 0
     while True:
@@ -183,9 +184,9 @@
     Parameters
     ----------
     environ
-        Names the configuration's file.
+        Environment variables, which name the configuration file.
     early_signals
-        SIGHUPs that came before their handler stood.
+        SIGHUPs that arrived before the process' own handler was set.
 
     Returns
     -------
@@ -204,7 +205,7 @@
     gevent.signal_handler(signal.SIGTERM, process.drain)
     gevent.signal_handler(signal.SIGINT, process.drain)
     try:
-        process.start()  # behind the handlers, so that signals are heeded as soon as clients are
+        process.start()  # after the signal handlers are set, so that no signal is lost once clients are served
     except OSError as error:
         return _report_start_failure(error.strerror or str(error), _CANNOT_LISTEN_STATUS)
     reloader = gevent.spawn(process.reload) if early_signals else None
@@ -224,7 +225,7 @@
 
 
 def _tune_collections() -> None:
-    """Keep what stands now, which is never garbage, out of all collections to come."""
+    """Exclude all current objects, which are never garbage, from later collections, and make those rarer."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_COLLECTION_THRESHOLDS)
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -1,8 +1,8 @@
-"""The platform's clients: a request read and checked, handed to the core, and answered once.
+"""Handling of the platform's clients: each request is parsed, checked, passed to the core and answered once.
 
 client -> this module (parse, limits) -> `GatewayCore.accept` -> event loop -> a node -> one final answer here
 
-Nothing malformed reaches the decision module.
+No malformed request reaches the decision module.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 HEALTH_TARGET = b"/_health"
 MAX_HEAD_BYTES = 8192
 MAX_HEAD_FIELDS = 40
-MAX_REQUESTS_PER_ITERATION = 16  # started in one iteration of the event loop
+MAX_REQUESTS_PER_ITERATION = 16  # most requests started in one iteration of the event loop
 _MS_PER_S = 1000
 _TEXT = (b"Content-Type", b"text/plain")
 _FORWARDED_HEADERS = (b"request-id", b"idempotency-key")
@@ -51,12 +51,12 @@
 
 
 class LongBodyMemory:
-    """The memory for bodies that are longer than usual, as clients decide how many of them come at once.
+    """Accounts for the memory of bodies of unusual length, as clients control how many of them arrive at once.
 
     Parameters
     ----------
     total_bytes
-        That the gateway may use for everything.
+        Memory that the gateway may use in all.
     """
 
     def __init__(self, total_bytes: int) -> None:
@@ -65,23 +65,23 @@
         self.used_bytes = 0
 
     def reserve(self, exchange: Exchange, size: int) -> None:
-        """Reserve room for a body of `size` bytes in all, where that is more than usual.
+        """Reserve memory for a body of `size` bytes in all, if it is longer than usual.
 
         Raises
         ------
         HttpError
-            There is no room.
+            Too much memory is reserved already.
         """
         additional = size - self.by_exchange.get(exchange, 0)
         if size <= USUAL_BODY_BYTES or additional <= 0:
             return
         if not admits_long_body(additional, self.used_bytes, self.total_bytes):
-            raise HttpError(503, "too many long bodies at once")
+            raise HttpError(503, "too many long request bodies at once")
         self.by_exchange[exchange] = size
         self.used_bytes += additional
 
     def release(self, exchange: Exchange) -> None:
-        """Give back what was reserved for a request."""
+        """Release the memory reserved for a request."""
         self.used_bytes -= self.by_exchange.pop(exchange, 0)
 
 
@@ -91,7 +91,7 @@
     Parameters
     ----------
     memory_bytes
-        That the gateway may use for everything.
+        Memory that the gateway may use in all.
     """
 
     def __init__(
@@ -105,10 +105,12 @@
         self.core = core
         self.settings = settings
         self.long_bodies = LongBodyMemory(memory_bytes)
-        self.class_indexes = {block.name.encode(): index for index, block in enumerate(settings.classes)}
+        self.class_indexes = {
+            request_class.name.encode(): index for index, request_class in enumerate(settings.classes)
+        }
         self.plan_indexes = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
-        self.open: dict[bytes, ClientRequest] = {}  # by the client's id: one that is open is not taken twice
-        self.last_answer_by = math.inf  # monotonic; set when the gateway shuts down
+        self.open: dict[bytes, ClientRequest] = {}  # by the client's request id, which no two open requests may share
+        self.last_answer_by = math.inf  # monotonic seconds; finite once the gateway shuts down
         self.server = Server(
             listen,
             self.handle,
@@ -131,11 +133,11 @@
         )
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self.server.start()
 
     def fail_open_requests(self) -> None:
-        """Answer whatever is still open, as the process ends."""
+        """Answer all open requests as failed, because the process is about to exit."""
         for pending in list(self.open.values()):
             self.core.abandon(pending, AnswerKind.FAILED)
 
@@ -146,7 +148,7 @@
         self.core.metrics.bad_request(error.status)
 
     def _on_unanswered(self, connection: ServerConnection) -> None:
-        """Log that a request was read and its connection ends without an answer."""
+        """Log that a connection ended without a response to a request that was read."""
         request_id = b""
         if connection.exchange is not None:
             request_id = connection.exchange.head.headers.get(b"request-id", b"")
@@ -167,7 +169,7 @@
         Raises
         ------
         HttpError
-            It can't be taken.
+            The request is rejected.
         """
         head = exchange.head
         if head.target == HEALTH_TARGET:
@@ -186,7 +188,7 @@
         request_id = exchange.head.headers[b"request-id"]
         body = self._read_body(exchange)
         if request_id in self.open:
-            raise HttpError(409, "a request of this id is open")
+            raise HttpError(409, "another request with this Request-Id is open")
         margin_s = min(self.settings.answer_slack_s, request.timeout_s / 4)
         pending = self._make_client_request(exchange, request, body, margin_s)
         self.open[request_id] = pending
@@ -216,18 +218,20 @@
         )
 
     def _read_request(self, exchange: Exchange) -> Request:
-        """Make the module's request of the head, its time-out counted from the arrival; raise HttpError."""
+        """Convert a request's head to the decision module's `Request`. Raises HttpError if the head is malformed."""
         head = exchange.head
         headers = head.headers
         if not _REQUEST_ID.fullmatch(headers.get(b"request-id", b"")):
-            raise HttpError(400, "Request-Id is missing or does not read")
+            raise HttpError(
+                400, "Request-Id is missing or malformed; expected 1 to 128 printable ASCII characters, no spaces"
+            )
         class_index = self._read_class(head)
         plan_index = self.plan_indexes.get(headers.get(b"x-plan", b""))
         if plan_index is None:
-            raise HttpError(400, "X-Plan names no plan")
+            raise HttpError(400, "X-Plan is missing or names no configured plan")
         extent = headers.get(b"x-object", b"")
         if not _OBJECT.fullmatch(extent):
-            raise HttpError(400, "X-Object has up to 16 hex digits")
+            raise HttpError(400, "X-Object is missing or malformed; expected 1 to 16 hex digits")
         request_io = self._read_io(head)
         timeout_s = self._read_timeout(head, self.settings.classes[class_index])
         return Request(
@@ -245,7 +249,7 @@
         )
 
     def _read_class(self, head: RequestHead) -> int:
-        """Read the request's class, the first part of its path."""
+        """Return the index of the request class, which is the first part of the path."""
         path = head.target.partition(b"?")[0]
         parts = path.split(b"/")
         class_index = self.class_indexes.get(parts[1] if len(parts) > 1 else b"")
@@ -253,32 +257,32 @@
             raise HttpError(404, "the first part of the path names no request class")
         is_read = head.method == b"GET"
         if head.method not in (b"GET", b"PUT") or (is_read and self.settings.classes[class_index].writes):
-            raise HttpError(405, "a read is a GET, a write a PUT")
+            raise HttpError(405, "method does not fit the request class; reads use GET and writes use PUT")
         return class_index
 
     def _read_io(self, head: RequestHead) -> RequestIo:
-        found = _IO.fullmatch(head.headers.get(b"x-io", b"").replace(b" ", b""))
-        if found is None:
-            raise HttpError(400, "X-IO does not read: volume=HEX,units=N,shard=N,hosts=N")
-        read = RequestIo(
-            volume=int(found[1], 16), units=int(found[2]), shard=int(found[3]), gateway_count=int(found[4])
+        match = _IO.fullmatch(head.headers.get(b"x-io", b"").replace(b" ", b""))
+        if match is None:
+            raise HttpError(400, "X-IO is missing or malformed; expected volume=HEX,units=N,shard=N,hosts=N")
+        request_io = RequestIo(
+            volume=int(match[1], 16), units=int(match[2]), shard=int(match[3]), gateway_count=int(match[4])
         )
         is_in_range = (
-            1 <= read.units <= self.settings.largest_units
-            and read.shard < self.settings.shard_count
-            and read.gateway_count >= 1
+            1 <= request_io.units <= self.settings.largest_units
+            and request_io.shard < self.settings.shard_count
+            and request_io.gateway_count >= 1
         )
         if not is_in_range:
-            raise HttpError(400, "X-IO: units, shard or hosts out of range")
-        return read
+            raise HttpError(400, "X-IO: units, shard or hosts is out of range")
+        return request_io
 
     def _read_timeout(self, head: RequestHead, request_class: RequestClass) -> float:
-        """Read how long the client waits, in seconds."""
+        """Return the client's time-out in seconds, at most the class' deadline; also check for the idempotency key."""
         raw = head.headers.get(b"request-timeout-ms", b"")
         if not _TIMEOUT_MS.fullmatch(raw):
-            raise HttpError(400, "Request-Timeout-Ms is a whole number of milliseconds above 0")
+            raise HttpError(400, "Request-Timeout-Ms must be an integer above 0, in milliseconds")
         if request_class.idempotence is Idempotence.WITH_KEY and b"idempotency-key" not in head.headers:
-            raise HttpError(400, "this class needs an Idempotency-Key")
+            raise HttpError(400, "this request class requires an Idempotency-Key header")
         return min(int(raw) / _MS_PER_S, request_class.deadline_s)
 
     def _read_body(self, exchange: Exchange) -> bytes:
@@ -291,7 +295,7 @@
         return b"".join(pieces)
 
     def _finish(self, pending: ClientRequest, exchange: Exchange) -> None:
-        """Count the request and write its final answer."""
+        """Count the request and send its final answer."""
         kind = pending.answer_kind or AnswerKind.FAILED
         self.core.count_finished(pending, kind.value)
         if kind is AnswerKind.CLIENT_LEFT:
@@ -310,10 +314,10 @@
 
 
 def _body_too_long() -> HttpError:
-    return HttpError(413, f"a body has {MAX_BODY_BYTES} bytes at most")
+    return HttpError(413, f"request body is longer than {MAX_BODY_BYTES} bytes")
 
 
 def _start_deadline(head: RequestHead, arrived_at: float) -> float:
-    """Until when a request is worth a turn: roughly, as nothing of it has been checked yet."""
+    """Return until when a request may wait for the throttle, from its unchecked time-out header."""
     raw = head.headers.get(b"request-timeout-ms", b"")
     return arrived_at + (int(raw) / _MS_PER_S if _TIMEOUT_MS.fullmatch(raw) else REQUEST_TIMEOUT_S)
--- a/fawnspool/relay/snapshots.py
+++ b/fawnspool/relay/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of what a gateway has done and of what it believes, and their form in the log."""
+"""Snapshots of a gateway's totals and of its view of nodes, and their format in the log."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     Attributes
     ----------
     requests
-        By outcome.
+        Finished requests by outcome.
     attempts
-        By result.
+        Ended attempts by result.
     endings
-        Attempts by how they ended.
+        Ended attempts by how they ended.
     bad_requests
-        By status.
+        Malformed requests by status.
     reasons
         Requests not served, by outcome and reason.
     closings
-        Connections of clients, by state and cause.
+        Closed connections of clients, by state and cause.
     """
 
     requests: Mapping[str, int]
@@ -52,7 +52,7 @@
     cpu_s: float
 
     def log_fields(self) -> LogFields:
-        """Return the totals by the names that operators' searches know."""
+        """Return the totals by their log names, which operators' searches rely on."""
         fields: LogFields = {}
         fields |= {f"request {outcome}": count for outcome, count in self.requests.items()}
         fields |= {f"attempt {result}": count for result, count in self.attempts.items()}
@@ -72,7 +72,7 @@
         return fields
 
     def closing_fields(self) -> LogFields:
-        """Return the part about connections that were closed."""
+        """Return the totals of closed connections."""
         return {f"{_CLOSED_PREFIX}{state}: {cause}": count for (state, cause), count in self.closings.items()}
 
 
@@ -101,14 +101,18 @@
     )
 
 
-def changes(now: LogFields, before: LogFields) -> LogFields:
-    """Return by how much each total grew, where it did."""
-    return {name: round(value - before.get(name, 0), 4) for name, value in now.items() if value != before.get(name, 0)}
+def changes(current: LogFields, previous: LogFields) -> LogFields:
+    """Return the increase of each total that changed."""
+    return {
+        name: round(value - previous.get(name, 0), 4)
+        for name, value in current.items()
+        if value != previous.get(name, 0)
+    }
 
 
 @dataclass(frozen=True)
 class NodeSnapshot:
-    """What the scheduler believes of one node."""
+    """The scheduler's view of one node."""
 
     shard: int
     is_available: bool
@@ -120,7 +124,11 @@
     mean_wait_s: float
 
     def text(self) -> str:
-        """Return a few words for the log: milliseconds behind `r` and `w`."""
+        """Return a short text for the log.
+
+        It holds the shard and the state, then `b` concurrency limit, `h` queued requests, `o` requests in flight, `r`
+        mean response time and `w` mean wait, both in milliseconds.
+        """
         state = "sound" if self.is_available else "trials"
         cold = " cold" if self.may_be_cold else ""
         response_ms = self.mean_response_s * _MS_PER_S
--- a/fawnspool/telemetry/__init__.py
+++ b/fawnspool/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and traces: what helps to find a cause. Nothing here chooses."""
+"""Logs, metrics and traces for diagnosis; nothing in this package affects scheduling."""
--- a/fawnspool/telemetry/counters.py
+++ b/fawnspool/telemetry/counters.py
@@ -1,7 +1,7 @@
-"""Plain counters of one gateway's work, cheap enough for every request; `metrics` gives them Prometheus' form.
+"""Counters of one gateway, cheap enough to update for every request; `metrics` exports them to Prometheus.
 
-Labels are bounded: classes, plans and outcomes come from the settings, nodes from the list (those seen first are
-dropped beyond a bound); there is never a label by volume, key or client.
+The number of labels is bounded: classes and plans come from the settings, outcomes are a fixed set, and nodes come
+from the endpoint list (beyond `MAX_NODES`, those seen first are dropped). No label depends on a volume, key or client.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 
 
 class GatewayCounters:
-    """What a gateway counts of itself since its start.
+    """Totals of a gateway since its start.
 
     Attributes
     ----------
     requests
-        By class, plan and outcome.
+        Finished requests by class, plan and outcome.
     attempts
-        By node and result.
+        Ended attempts by node and result.
     endings
-        Attempts by how they ended (`gateway.attempt_results`).
+        Ended attempts by how they ended (`gateway.attempt_results`).
     reasons
         Requests that were not served, by outcome and reason.
     head_wait
-        By class, from a request's arrival to its first send.
+        Times from a request's arrival to its first send, by class.
     node_time
-        By node, how long attempts took.
+        Durations of attempts, by node.
     bad_requests
-        Malformed ones, by status.
+        Malformed requests by status.
     lag
-        How late the gateway's loop ran; seconds.
+        Delays of the gateway's event loop, in seconds.
     overdue
-        Answers by the gateway's own deadline and not by the module.
+        Answers that the gateway sent at its own deadline, before the decision module answered.
     """
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self.overdue = 0
 
     def request(self, class_name: str, plan_name: str, outcome: str) -> None:
-        """Count a request whose answer was carried out."""
+        """Count a request whose answer was sent."""
         key = (class_name, plan_name, outcome)
         self.requests[key] = self.requests.get(key, 0) + 1
 
@@ -84,7 +84,7 @@
         self.bad_requests[status] = self.bad_requests.get(status, 0) + 1
 
     def attempt(self, node: int, result: str, elapsed_s: float) -> None:
-        """Count an attempt that ended."""
+        """Count an ended attempt and its duration."""
         key = (node, result)
         self.attempts[key] = self.attempts.get(key, 0) + 1
         if node not in self.node_time:
--- a/fawnspool/telemetry/logs.py
+++ b/fawnspool/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: for people on a console, or a JSON object a line."""
+"""Structured logs on standard error: readable text for a console, or one JSON object per line."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class EventLogger(Protocol):
-    """A structured logger: the event's text, and fields that belong to it.
+    """A structured logger, which logs an event's text with its fields.
 
-    `exc_info` is a field of its own kind: the exception, or True for the one that is handled just now.
+    The field `exc_info` has a special meaning: an exception to log, or True for the exception being handled.
     """
 
     def debug(self, event: str, **fields: Any) -> Any:
-        """Log what helps only while looking for a cause."""
+        """Log an event that is only of use for debugging."""
 
     def info(self, event: str, **fields: Any) -> Any:
-        """Log what is expected."""
+        """Log an expected event."""
 
     def warning(self, event: str, **fields: Any) -> Any:
-        """Log what a gateway copes with."""
+        """Log an unexpected event that the gateway handles."""
 
     def error(self, event: str, **fields: Any) -> Any:
-        """Log what somebody has to look into."""
+        """Log an event that an operator has to investigate."""
 
 
 def set_up(form: str) -> None:
@@ -34,7 +34,7 @@
     Parameters
     ----------
     form
-        "console", "json", or "none" for critical events alone.
+        "console", "json", or "none" to log critical events only.
     """
     renderer: Any
     if form == "json":
--- a/fawnspool/telemetry/metrics.py
+++ b/fawnspool/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""A gateway's metrics in Prometheus' form, made from its counters and its state when the page is read."""
+"""A gateway's Prometheus metrics, built from its counters and its state whenever the metrics page is read."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True)
 class StateSources:
-    """What gives a gateway's present state.
+    """Functions that return a gateway's current state.
 
     Attributes
     ----------
     node_gauges
-        By name of the gauge and node.
+        Values by name of the gauge and node.
     map_status
-        Of the extent map.
+        Status of the extent map.
     duty_status, shared_status
-        Of leases and gossip; None: the gateway takes no part in them.
+        Status of leases and gossip; None: the gateway does not take part in them.
     """
 
     node_gauges: Callable[[], dict[str, dict[int, float]]]
@@ -45,11 +45,11 @@
         self.registry.register(self)
 
     def page(self) -> bytes:
-        """Return the text that Prometheus reads."""
+        """Return the metrics page in Prometheus' text format."""
         return generate_latest(self.registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics, as Prometheus' client asks for them."""
+        """Yield all metrics; called by the Prometheus client library."""
         yield from _request_metrics(self.counters)
         yield from _totals(self.counters)
         yield _labelled(
@@ -70,7 +70,7 @@
 
 
 def _labelled(family: Any, values: Mapping[Any, float]) -> Metric:
-    """Fill a family of one label, in the order of the label's values."""
+    """Add values to a metric family with one label, sorted by the label's values."""
     for label, value in sorted(values.items()):
         family.add_metric([str(label)], value)
     filled: Metric = family
@@ -156,7 +156,7 @@
 
 
 def _duty_metrics(status: Status) -> Iterator[Metric]:
-    """Labels are the names of duties, which the settings bound, and the few causes there are."""
+    """Yield the metrics of leases; their labels are bounded, as the settings list the duties and causes are few."""
     held = GaugeMetricFamily("fawnspool_duty_held", "The token under which this head holds a duty.", labels=["duty"])
     for name, row in status["held"].items():
         held.add_metric([name], row["token"])
--- a/fawnspool/telemetry/traces.py
+++ b/fawnspool/telemetry/traces.py
@@ -1,7 +1,7 @@
 """OpenTelemetry traces of requests: a span for the request, and one for each attempt with the reason for its end.
 
-Spans go to a file, a JSON object a line. Which requests are traced is drawn by the trace's own sampler; a
-request that is not traced costs one comparison.
+Spans are written to a file, one JSON object per line. OpenTelemetry's sampler selects the traced requests at random;
+a request that is not traced costs one comparison.
 """
 
 from __future__ import annotations
@@ -64,14 +64,14 @@
 
 
 class Traces:
-    """Draws and writes traces; its times are seconds of the monotonic clock.
+    """Samples and writes traces; its methods take times in seconds of the monotonic clock.
 
     Parameters
     ----------
     share
         Fraction of the requests that are traced.
     service_name
-        Names this gateway in its traces.
+        Name of this gateway in its traces.
     """
 
     def __init__(self, path: str, share: float, service_name: str, writer: BackgroundWriter) -> None:
@@ -85,22 +85,22 @@
         return int((at + self.wall_clock_offset_s) * _NS_PER_S)
 
     def begin(self, at: float, **attributes: Any) -> Any:
-        """Return a request's span, or None where it is not traced."""
+        """Start and return a request's span, or return None if the request is not traced."""
         span = self.tracer.start_span("request", start_time=self._wall_clock_ns(at), attributes=attributes)
         return span if span.is_recording() else None
 
     def attempt(self, parent: Any, started_at: float, ended_at: float, **attributes: Any) -> None:
-        """Write the span of an attempt."""
+        """Write the span of an ended attempt."""
         context = set_span_in_context(parent)
         start_ns = self._wall_clock_ns(started_at)
         span = self.tracer.start_span("attempt", context=context, start_time=start_ns, attributes=attributes)
         span.end(self._wall_clock_ns(ended_at))
 
     def end(self, span: Any, at: float, **attributes: Any) -> None:
-        """Write a request's span."""
+        """End and write a request's span."""
         span.set_attributes(attributes)
         span.end(self._wall_clock_ns(at))
 
     def close(self) -> None:
-        """Write what is left and close the file."""
+        """Write pending spans and close the file."""
         self.provider.shutdown()
