--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections to a server: pooled, given back, and never taken for complete where they broke."""
+"""Client connections and their pool: reuse and release, and broken connections, which must not end a response."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from fawnspool.net.socket_stream import SocketStream
 
 
-def test_pools_reuse_connections_replace_dead_ones_and_keep_their_bound() -> None:
+def test_pool_reuses_connections_replaces_broken_ones_and_keeps_its_limit() -> None:
     server = Server(("127.0.0.1", 0), lambda exchange: exchange.respond(200, [], b"hi"))
     server.start()
     pool = ConnectionPool(server.address, PoolOptions(2, 0.5, 10.0))
@@ -49,52 +49,52 @@
     assert pool.open_count == 0
 
 
-def test_a_server_that_breaks_in_the_middle_is_broken() -> None:
-    def half(exchange: Exchange) -> None:
+def test_truncated_response_raises_connection_lost() -> None:
+    def send_half(exchange: Exchange) -> None:
         exchange.begin(200, [], 100)
         exchange.write(b"x" * 50, time.monotonic() + 1)
         exchange.finish(False)
 
-    server = Server(("127.0.0.1", 0), half)
+    server = Server(("127.0.0.1", 0), send_half)
     server.start()
     with pytest.raises(ConnectionLostError):
         call(ConnectionPool(server.address, PoolOptions(1, 1.0, 1.0)), b"GET", b"/", time.monotonic() + 2)
     server.stop()
 
 
-def test_connections_and_their_descriptors_are_given_back() -> None:
+def test_closed_connections_free_their_descriptors() -> None:
     server = Server(("127.0.0.1", 0), lambda exchange: exchange.respond(200, [], b"", close=True))
     server.start()
 
-    def one() -> None:
+    def call_once() -> None:
         pool = ConnectionPool(server.address, PoolOptions(1, 1.0, 1.0))
         call(pool, b"GET", b"/", time.monotonic() + 2)
 
-    one()
+    call_once()
     gc.collect()
-    before = len(os.listdir("/proc/self/fd"))
+    descriptors_before = len(os.listdir("/proc/self/fd"))
     for _ in range(50):
-        one()
+        call_once()
     gevent.sleep(0.05)
-    assert len(os.listdir("/proc/self/fd")) <= before + 3 and not server.connections
+    assert len(os.listdir("/proc/self/fd")) <= descriptors_before + 3 and not server.connections
     server.stop()
 
 
-def connection_to(said: bytes, lenient: bool) -> tuple[ClientConnection, socket.socket]:
-    """A connection whose peer has said this, and the peer."""
+def connection_with(received: bytes, lenient: bool) -> tuple[ClientConnection, socket.socket]:
+    """Return a connection whose peer has sent `received`, and the peer's socket."""
     listener = socket.create_server(("127.0.0.1", 0))
     connection = ConnectionPool(listener.getsockname(), PoolOptions(1, 1.0, 5.0, lenient=lenient)).acquire(
         time.monotonic() + 1
     )
     peer, _ = listener.accept()
     listener.close()
-    peer.sendall(said)
+    peer.sendall(received)
     return connection, peer
 
 
 @pytest.mark.parametrize("lenient", [False, True])
-def test_a_close_ends_an_answer_without_a_length_where_the_pool_is_lenient(lenient: bool) -> None:
-    """RFC 9112, 6.3. Our own nodes always name a length, so there an end in the middle is a node that died."""
+def test_close_ends_a_response_without_length_only_if_the_pool_is_lenient(lenient: bool) -> None:
+    """RFC 9112, 6.3. Our own nodes always send a length, so from them such an end means that the node died."""
     connection, peer = connection_to(b"HTTP/1.1 200 OK\r\n\r\nall of it", lenient)
     peer.close()
     assert connection.read_head(time.monotonic() + 1).length is None
@@ -116,7 +116,7 @@
         stream.sendall(b"x", time.monotonic() + 1)
 
 
-LOOKS: dict[str, Callable[[SocketStream], Any]] = {
+CALLS_AFTER_RESET: dict[str, Callable[[SocketStream], Any]] = {
     "none": lambda stream: None,
     "at_end": SocketStream.at_end,
     "peer_left": SocketStream.peer_left,
@@ -126,17 +126,20 @@
 }
 
 
-@pytest.mark.parametrize("look", LOOKS)
+@pytest.mark.parametrize("call_name", CALLS_AFTER_RESET)
 @pytest.mark.parametrize("lenient", [False, True])
-def test_a_reset_ends_no_answer_whoever_met_it_first(lenient: bool, look: str) -> None:
-    """Linux reports a break once; behind it the connection reads as one that ended. A look at the socket, as behind
-    every wait that timed out, took a reset away, and a cut answer without a length would have passed for whole."""
+def test_reset_never_ends_a_response_whichever_call_meets_it_first(lenient: bool, call_name: str) -> None:
+    """Guards against a truncated response without a length that is accepted as complete.
+
+    Linux reports a reset once; later reads look like a clean end. A check of the socket, as after every wait that timed
+    out, once consumed the reset.
+    """
     connection, peer = connection_to(b"HTTP/1.1 200 OK\r\n\r\nhalf", lenient)
     assert connection.read_head(time.monotonic() + 1).length is None
     assert connection.read_piece(time.monotonic() + 1) == b"half"
     reset(peer)
     time.sleep(0.02)
-    LOOKS[look](connection.stream)
+    CALLS_AFTER_RESET[call_name](connection.stream)
     for _ in range(3):
         with pytest.raises(ConnectionLostError):
             connection.read_piece(time.monotonic() + 1)
@@ -144,20 +147,20 @@
     connection.close()
 
 
-@pytest.mark.parametrize("look", LOOKS)
-def test_a_reset_behind_unread_bytes_ends_no_answer(look: str) -> None:
+@pytest.mark.parametrize("call_name", CALLS_AFTER_RESET)
+def test_reset_after_unread_bytes_does_not_end_a_response(call_name: str) -> None:
     connection, peer = connection_to(b"HTTP/1.1 200 OK\r\n\r\nhalf", True)
     reset(peer)
     time.sleep(0.02)
-    LOOKS[look](connection.stream)
+    CALLS_AFTER_RESET[call_name](connection.stream)
     connection.read_head(time.monotonic() + 1)
     with pytest.raises(ConnectionLostError):
         connection.read_body(time.monotonic() + 1)
     connection.close()
 
 
-def test_a_reset_as_the_wait_ends_ends_no_answer() -> None:
-    """The process stands still over the reset and the deadline: the wait ends first, then the socket is looked at."""
+def test_reset_at_the_deadline_does_not_end_a_response() -> None:
+    """The process is blocked past the reset and the deadline: the wait ends first, and then the socket is checked."""
     connection, peer = connection_to(b"HTTP/1.1 200 OK\r\n\r\nhalf", True)
     deadline = time.monotonic() + 0.1
     connection.read_head(deadline)
@@ -177,7 +180,7 @@
     server.stop()
 
 
-def test_a_connection_rests_for_its_cooldown_between_two_requests(echo_server: Server) -> None:
+def test_connection_is_reused_only_after_its_cooldown(echo_server: Server) -> None:
     pool = ConnectionPool(echo_server.address, PoolOptions(2, 0.5, 10.0, cooldown_s=0.05))
     first = pool.acquire(time.monotonic() + 1)
     pool.release(first)
@@ -185,21 +188,21 @@
     assert pool.acquire(began + 1) is first and time.monotonic() - began >= 0.045
     pool.release(first)
     began = time.monotonic()
-    assert pool.acquire(began) is first and time.monotonic() - began < 0.045  # no longer than there is time
+    assert pool.acquire(began) is first and time.monotonic() - began < 0.045  # the deadline limits the wait
 
 
 def use_once(pool: ConnectionPool) -> float:
-    """Seconds that a request waited for its connection."""
+    """Acquire and release a connection; return for how many seconds the acquire waited."""
     began = time.monotonic()
     connection = pool.acquire(began + 1)
     waited_s = time.monotonic() - began
     pool.release(connection)
-    gevent.sleep(0.001)  # a spare connection comes up meanwhile
+    gevent.sleep(0.001)  # lets a spare connection open
     return waited_s
 
 
-def test_a_lone_caller_waits_no_more_once_its_waits_for_resting_connections_recur(echo_server: Server) -> None:
-    """Guards against one request after another waiting for the only kept connection, with places left in the pool."""
+def test_recurring_waits_for_the_cooldown_open_spare_connections(echo_server: Server) -> None:
+    """Guards against consecutive requests that each wait for the only kept connection while the pool has room."""
     pool = ConnectionPool(echo_server.address, PoolOptions(100, 0.5, 10.0, cooldown_s=0.02, max_with_spares=50))
     for _ in range(200):
         use_once(pool)
@@ -207,8 +210,8 @@
     assert pool.open_count <= 50
 
 
-def test_few_waits_open_no_spare_connection_and_the_last_places_are_kept(echo_server: Server) -> None:
-    """Guards against spares opened for requests that met by chance, and against a pool that spares fill."""
+def test_few_waits_open_no_spare_connection_and_spares_are_limited(echo_server: Server) -> None:
+    """Guards against spares for requests that collided by chance, and against spares that fill the pool."""
     pool = ConnectionPool(echo_server.address, PoolOptions(4, 0.5, 10.0, cooldown_s=0.02, max_with_spares=2))
     for _ in range(WAITS_TO_RECUR):  # all but the first wait
         use_once(pool)
@@ -218,7 +221,7 @@
     assert pool.open_count == 2
 
 
-def test_a_spare_connection_that_does_not_come_up_harms_nobody(echo_server: Server) -> None:
+def test_failure_to_open_a_spare_connection_affects_no_request(echo_server: Server) -> None:
     pool = ConnectionPool(echo_server.address, PoolOptions(4, 0.5, 10.0, cooldown_s=0.02, max_with_spares=2))
     use_once(pool)
     address, pool.address = pool.address, ("127.0.0.1", 1)
@@ -228,12 +231,12 @@
     assert pool.open_count == 1
     pool.address = address
     use_once(pool)
-    assert pool.open_count == 1  # it had rested
+    assert pool.open_count == 1  # the kept connection had cooled down
     use_once(pool)
     assert pool.open_count == 2
 
 
-def test_the_connection_used_last_is_taken_and_older_ones_go_with_a_broken_one(echo_server: Server) -> None:
+def test_acquire_prefers_the_last_used_connection_and_a_break_discards_older_ones(echo_server: Server) -> None:
     pool = ConnectionPool(echo_server.address, PoolOptions(3, 0.5, 10.0))
     oldest, middle, latest = (pool.acquire(time.monotonic() + 1) for _ in range(3))
     for connection in (oldest, middle, latest):
@@ -243,7 +246,7 @@
     assert not pool.idle and oldest.stream.closed and middle.stream.closed and pool.open_count == 1
 
 
-def test_pruning_closes_what_lay_too_long_or_was_closed_by_its_peer(echo_server: Server) -> None:
+def test_prune_closes_connections_that_expired_or_were_closed_by_the_peer(echo_server: Server) -> None:
     pool = ConnectionPool(echo_server.address, PoolOptions(2, 0.5, 0.05))
     closed, outdated = pool.acquire(time.monotonic() + 1), pool.acquire(time.monotonic() + 1)
     pool.release(closed)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Reading HTTP/1.1 messages: framing, bounds, and bytes behind a response."""
+"""Parsing of HTTP/1.1 messages: framing, size limits, and trailing bytes after a response."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 
 @given(st.lists(st.integers(1, 30), max_size=40))
-def test_requests_read_the_same_however_they_are_cut(cuts: list[int]) -> None:
-    parser, at, seen = RequestParser(MessageLimits()), 0, []
-    for size in [*cuts, len(REQUESTS)]:
-        if at < len(REQUESTS):
-            parser.feed(REQUESTS[at : at + size])
-            at += size
+def test_requests_parse_the_same_for_any_split_into_pieces(piece_sizes: list[int]) -> None:
+    parser, position, parsed = RequestParser(MessageLimits()), 0, []
+    for size in [*piece_sizes, len(REQUESTS)]:
+        if position < len(REQUESTS):
+            parser.feed(REQUESTS[position : position + size])
+            position += size
     body = b""
     for event in parser.events:
         if isinstance(event, RequestHead):
-            seen.append((event.method, event.target, event.length))
+            parsed.append((event.method, event.target, event.length))
             body = b""
         elif event is END_OF_MESSAGE:
-            seen.append(body)
+            parsed.append(body)
         elif isinstance(event, bytes):
             body += event
-    assert seen == [(b"PUT", b"/a", 5), b"hello", (b"PUT", b"/b", None), b"abc", (b"GET", b"/c", 0), b""]
+    assert parsed == [(b"PUT", b"/a", 5), b"hello", (b"PUT", b"/b", None), b"abc", (b"GET", b"/c", 0), b""]
 
 
 @given(st.binary(min_size=1, max_size=300))
-def test_no_bytes_make_the_parsers_raise_anything_else(data: bytes) -> None:
+def test_parsers_raise_only_http_errors_for_any_bytes(data: bytes) -> None:
     for parser in (RequestParser(MessageLimits(200, 8)), ResponseParser(MessageLimits(200, 8))):
         try:
             parser.feed(data)
             parser.feed(data)
-        except HttpError as bad:
-            assert 400 <= bad.status < 600
+        except HttpError as error:
+            assert 400 <= error.status < 600
 
 
-def test_answers_one_behind_the_other_and_bytes_behind_the_end() -> None:
+def test_parses_consecutive_responses_and_rejects_bytes_after_the_end() -> None:
     parser = ResponseParser(MessageLimits())
     parser.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     head, body, end = parser.events
@@ -64,14 +64,14 @@
     assert parser.complete
     with pytest.raises(TrailingDataError, match="after the end"):
         parser.feed(b"HTTP/1.1 200 OK\r\n")
-    other = ResponseParser(MessageLimits())
+    second_parser = ResponseParser(MessageLimits())
     with pytest.raises(TrailingDataError, match="after the end"):
-        other.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
+        second_parser.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nx")
 
 
-def test_space_around_an_answers_field_values_is_no_part_of_them() -> None:
+def test_whitespace_around_response_field_values_is_stripped() -> None:
     parser = ResponseParser(MessageLimits())
     parser.feed(b"HTTP/1.1 503 No\r\nNot-Started:\t1 \t\r\nServer-Load:  rif=1,lat_ms=2 \r\nContent-Length: 0 \r\n\r\n")
-    status = parser.events[0]
-    assert isinstance(status, ResponseHead) and status.headers[b"not-started"] == b"1" and status.length == 0
-    assert status.headers[b"server-load"] == b"rif=1,lat_ms=2" and parser.complete
+    head = parser.events[0]
+    assert isinstance(head, ResponseHead) and head.headers[b"not-started"] == b"1" and head.length == 0
+    assert head.headers[b"server-load"] == b"rif=1,lat_ms=2" and parser.complete
--- a/tests/test_ranges.py
+++ b/tests/test_ranges.py
@@ -1,4 +1,4 @@
-"""Byte ranges and entity tags of RFC 9110."""
+"""Parsing of byte ranges and entity tags (RFC 9110)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "size", "want"),
+    ("field", "size", "expected"),
     [
         ("bytes=0-4", 10, (0, 5)),
         ("bytes=5-", 10, (5, 5)),
@@ -25,17 +25,17 @@
         ("bytes=a-b", 10, None),
     ],
 )
-def test_ranges(text: str, size: int, want: tuple[int, int] | None) -> None:
-    assert parse_range(text, size) == want
+def test_parses_byte_ranges(field: str, size: int, expected: tuple[int, int] | None) -> None:
+    assert parse_range(field, size) == expected
 
 
-@pytest.mark.parametrize(("text", "size"), [("bytes=10-", 10), ("bytes=-0", 10), ("bytes=0-", 0), ("bytes=-5", 0)])
-def test_ranges_that_cannot_be_met(text: str, size: int) -> None:
+@pytest.mark.parametrize(("field", "size"), [("bytes=10-", 10), ("bytes=-0", 10), ("bytes=0-", 0), ("bytes=-5", 0)])
+def test_rejects_unsatisfiable_ranges(field: str, size: int) -> None:
     with pytest.raises(RangeNotSatisfiableError):
-        parse_range(text, size)
+        parse_range(field, size)
 
 
-def test_entity_tags() -> None:
+def test_matches_entity_tags() -> None:
     assert etag_matches("*", "a", False) and not etag_matches("*", None, True)
     assert etag_matches('"b", "a"', "a", False) and not etag_matches('"b"', "a", False)
     assert etag_matches('W/"a"', "a", True) and not etag_matches('W/"a"', "a", False)
--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -1,4 +1,4 @@
-"""Sockets of greenlets: deadlines, closes, and breaks that the system reports once."""
+"""Socket streams for greenlets: deadlines, closes, and broken connections, which the system reports only once."""
 
 from __future__ import annotations
 
@@ -13,96 +13,96 @@
 from fawnspool.net.socket_stream import SocketStream, connect
 
 
-def pair() -> tuple[SocketStream, SocketStream]:
-    a, b = socket.socketpair()
-    return SocketStream(a), SocketStream(b)
+def stream_pair() -> tuple[SocketStream, SocketStream]:
+    first, second = socket.socketpair()
+    return SocketStream(first), SocketStream(second)
 
 
-def test_a_wait_ends_at_its_deadline_and_not_before() -> None:
-    a, b = pair()
+def test_wait_ends_at_its_deadline_and_not_before() -> None:
+    stream, peer = stream_pair()
     began = time.monotonic()
     with pytest.raises(TimeoutError):
-        a.recv(10, began + 0.05)
+        stream.recv(10, began + 0.05)
     assert time.monotonic() - began >= 0.05
-    b.sendall(b"x", time.monotonic() + 1)
-    assert a.recv(10, time.monotonic() + 1) == b"x"
-    big = bytes(8 << 20)
+    peer.sendall(b"x", time.monotonic() + 1)
+    assert stream.recv(10, time.monotonic() + 1) == b"x"
+    large_data = bytes(8 << 20)
     with pytest.raises(TimeoutError):
-        a.sendall(big, time.monotonic() + 0.05)
-    a.close()
-    b.close()
+        stream.sendall(large_data, time.monotonic() + 0.05)
+    stream.close()
+    peer.close()
 
 
-def test_closing_wakes_whoever_waits() -> None:
-    a, b = pair()
-    seen: list[BaseException] = []
+def test_close_wakes_a_waiting_greenlet() -> None:
+    stream, peer = stream_pair()
+    errors: list[BaseException] = []
 
     def read() -> None:
         try:
-            a.recv(10, time.monotonic() + 10)
-        except OSError as bad:
-            seen.append(bad)
+            stream.recv(10, time.monotonic() + 10)
+        except OSError as error:
+            errors.append(error)
 
-    job = gevent.spawn(read)
+    reader = gevent.spawn(read)
     gevent.sleep(0)
     began = time.monotonic()
-    a.close()
-    job.join(5)
-    assert len(seen) == 1 and not isinstance(seen[0], TimeoutError) and time.monotonic() - began < 5
-    b.close()
+    stream.close()
+    reader.join(5)
+    assert len(errors) == 1 and not isinstance(errors[0], TimeoutError) and time.monotonic() - began < 5
+    peer.close()
 
 
-def test_two_readers_of_one_direction_are_a_mistake() -> None:
-    a, b = pair()
-    job = gevent.spawn(lambda: a.recv(1, time.monotonic() + 5))
+def test_second_reader_of_a_stream_is_rejected() -> None:
+    stream, peer = stream_pair()
+    reader = gevent.spawn(lambda: stream.recv(1, time.monotonic() + 5))
     gevent.sleep(0)
     with pytest.raises(RuntimeError, match="two greenlets"):
-        a.recv(1, time.monotonic() + 5)
-    b.sendall(b"z", time.monotonic() + 1)
-    assert job.get(timeout=5) == b"z"
+        stream.recv(1, time.monotonic() + 5)
+    peer.sendall(b"z", time.monotonic() + 1)
+    assert reader.get(timeout=5) == b"z"
 
 
-def test_a_connect_that_nobody_answers_times_out() -> None:
+def test_connect_times_out_if_the_peer_does_not_respond() -> None:
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)
-    fill = [socket.socket() for _ in range(4)]
-    for sock in fill:
+    backlog_fillers = [socket.socket() for _ in range(4)]
+    for sock in backlog_fillers:
         sock.setblocking(False)
         sock.connect_ex(listener.getsockname())
     began = time.monotonic()
     with pytest.raises(TimeoutError):
         connect(listener.getsockname(), began + 0.1)
     assert 0.1 <= time.monotonic() - began < 2
-    for sock in [*fill, listener]:
+    for sock in [*backlog_fillers, listener]:
         sock.close()
 
 
-def test_what_came_before_a_deadline_is_read_though_the_process_stood_still_past_it() -> None:
-    """Else a head that is stopped and resumed takes a watch that has told it something for a silent one."""
-    ours, theirs = socket.socketpair()
-    stream = SocketStream(ours)
+def test_bytes_before_the_deadline_are_read_after_the_process_was_stopped_past_it() -> None:
+    """Otherwise a gateway that is stopped and resumed takes a watch that has sent a message for a silent one."""
+    sock, peer_sock = socket.socketpair()
+    stream = SocketStream(sock)
 
-    def stand_still() -> None:
-        theirs.send(b"told")
-        time.sleep(0.06)  # nothing of this thread's loop runs: what a SIGSTOP does
+    def send_and_block() -> None:
+        peer_sock.send(b"told")
+        time.sleep(0.06)  # blocks the event loop, as a SIGSTOP does
 
     for wait_first in (True, False):
-        gevent.spawn(stand_still)
+        gevent.spawn(send_and_block)
         assert stream.recv(10, time.monotonic() + 0.02, wait_first) == b"told"
-    gevent.spawn(stand_still)
+    gevent.spawn(send_and_block)
     assert stream.recv_stamped(10, time.monotonic() + 0.02)[0] == b"told"
-    with pytest.raises(TimeoutError):  # and silence stays silence
+    with pytest.raises(TimeoutError):  # without bytes, the wait still times out
         stream.recv(10, time.monotonic() + 0.02, True)
     stream.close()
-    theirs.close()
+    peer_sock.close()
 
 
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE])
-def test_a_break_of_any_kind_is_no_deadline_and_no_end(code: int) -> None:
-    ours, theirs = socket.socketpair()
+def test_broken_connection_raises_neither_a_timeout_nor_a_clean_end(code: int) -> None:
+    sock, peer_sock = socket.socketpair()
 
-    class Failing:
+    class FailingSocket:
         failed = False
 
         def recv(self, size: int, flags: int = 0) -> bytes:
@@ -112,12 +112,12 @@
             return b""
 
         def __getattr__(self, name: str) -> Any:
-            return getattr(ours, name)
+            return getattr(sock, name)
 
-    stream = SocketStream(Failing())  # type: ignore[arg-type]
+    stream = SocketStream(FailingSocket())  # type: ignore[arg-type]
     for _ in range(3):
-        with pytest.raises(ConnectionError) as met:
+        with pytest.raises(ConnectionError) as raised:
             stream.recv(10, time.monotonic() + 1)
-        assert met.value.errno == code
+        assert raised.value.errno == code
     stream.close()
-    theirs.close()
+    peer_sock.close()
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""What greenlets wait with: wakeup events, the timer wheel, the throttle."""
+"""The primitives that greenlets wait with: wakeup events, the timer wheel and the admission throttle."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 
 
-def test_wakeup_events_are_set_once_and_time_out() -> None:
+def test_wait_for_a_wakeup_event_times_out_or_ends_when_it_is_set() -> None:
     event = WakeupEvent()
     assert not event.wait(time.monotonic() + 0.02)
-    job = gevent.spawn(event.wait, time.monotonic() + 5)
+    waiter = gevent.spawn(event.wait, time.monotonic() + 5)
     gevent.sleep(0)
     event.set()
     event.set()
-    assert job.get(timeout=5) and event.wait(None)
+    assert waiter.get(timeout=5) and event.wait(None)
 
 
-def test_the_timer_wheel_drops_ticks_that_it_no_longer_needs() -> None:
+def test_timer_wheel_drops_ticks_without_waits() -> None:
     wheel = current_wheel()
-    before = len(wheel.heap)
-    for k in range(5000):
+    ticks_before = len(wheel.heap)
+    for index in range(5000):
         event = WakeupEvent()
-        wheel.remove(wheel.add(time.monotonic() + 30 + k * 0.004, event), event)
-    assert len(wheel.heap) < before + 600
+        wheel.remove(wheel.add(time.monotonic() + 30 + index * 0.004, event), event)
+    assert len(wheel.heap) < ticks_before + 600
 
 
-def test_a_throttle_lets_few_pass_each_turn_in_order() -> None:
-    throttle, passed = AdmissionThrottle(3), list[int]()
-    turns: list[int] = []
+def test_throttle_admits_greenlets_in_order() -> None:
+    throttle, admitted = AdmissionThrottle(3), list[int]()
+    admitted_per_iteration: list[int] = []
 
-    def one(k: int) -> None:
+    def enter(number: int) -> None:
         throttle.enter()
-        passed.append(k)
+        admitted.append(number)
 
-    jobs = [gevent.spawn(one, k) for k in range(10)]
-    while len(passed) < 10:
-        before = len(passed)
+    greenlets = [gevent.spawn(enter, number) for number in range(10)]
+    while len(admitted) < 10:
+        admitted_before = len(admitted)
         gevent.sleep(0)
-        turns.append(len(passed) - before)
+        admitted_per_iteration.append(len(admitted) - admitted_before)
         gevent.sleep(0.001)
-    gevent.joinall(jobs)
-    assert passed == list(range(10))
+    gevent.joinall(greenlets)
+    assert admitted == list(range(10))
     throttle.close()
