--- a/tests/e2e/relayrig.py
+++ b/tests/e2e/relayrig.py
@@ -170,7 +170,7 @@
     }
 
 
-def text(target: str, fields: dict[str, str], method: str = "GET", body: bytes = b"") -> bytes:
+def request_bytes(target: str, fields: dict[str, str], method: str = "GET", body: bytes = b"") -> bytes:
     """Return a request's bytes as a client would send them."""
     head = f"{method} {target} HTTP/1.1\r\nHost: h\r\n" + "".join(f"{k}: {v}\r\n" for k, v in fields.items())
     return head.encode() + (b"Content-Length: %d\r\n" % len(body) if body else b"") + b"\r\n" + body
@@ -212,7 +212,7 @@
             sock.close()
 
 
-WATCH = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
--- a/tests/e2e/release_soak.py
+++ b/tests/e2e/release_soak.py
@@ -21,7 +21,7 @@
 from tests.e2e.test_release import forty_clients, with_deadline
 
 DEADLINES = (2.0, 0.4)
-MOST_SIGNALS = 5
+MAX_SIGNALS = 5
 CROWDS = (Crowd(), Crowd(idle=40, rude=10), Crowd(idle=200, rude=4))
 USAGE = "usage: python -m tests.e2e.release_soak SEEDS [FIRST]: whole numbers from 1 on"
 
@@ -36,7 +36,7 @@
     signals: tuple[signal.Signals, ...]
     crowd: Crowd
 
-    def play(self) -> list[tuple[str, int, str]]:
+    def run(self) -> list[tuple[str, int, str]]:
         """Run the release and return the lost requests."""
         with tempfile.TemporaryDirectory() as folder:
             rig = RelayRig(Path(folder), classes=with_deadline(self.deadline))
@@ -46,7 +46,7 @@
                 self.deadline,
                 held_up=self.held_up,
                 signals=self.signals,
-                least=0.0 if self.crowd.idle else 1.0,
+                min_served_fraction=0.0 if self.crowd.idle else 1.0,
                 seed=self.seed,
                 crowd=self.crowd,
             )
@@ -57,7 +57,7 @@
     random = Random(seed)
     crowd = CROWDS[0] if seed % 2 else random.choice(CROWDS[1:])
     first = random.choice((signal.SIGTERM, signal.SIGINT))
-    later = random.choices((signal.SIGTERM, signal.SIGINT, signal.SIGHUP), k=random.randrange(MOST_SIGNALS))
+    later = random.choices((signal.SIGTERM, signal.SIGINT, signal.SIGHUP), k=random.randrange(MAX_SIGNALS))
     return [
         Release(seed, deadline, held_up, (first, *later), crowd)
         for deadline, held_up in itertools.product(DEADLINES, (False, True))
@@ -68,7 +68,7 @@
     """Run the releases of `seeds` seeds from `first` on, and return how many requests were lost."""
     total = 0
     for release in itertools.chain.from_iterable(releases(seed) for seed in range(first, first + seeds)):
-        lost = release.play()
+        lost = release.run()
         total += len(lost)
         if lost:
             print(f"{release}: {lost}", flush=True)
--- a/tests/e2e/resting_clients.py
+++ b/tests/e2e/resting_clients.py
@@ -20,13 +20,13 @@
 import gevent
 from gevent import socket
 
-from tests.e2e.relayrig import headers, text
+from tests.e2e.relayrig import headers, request_bytes
 
 LATENCY_S = (0.0005, 0.004)  # between a client's check of its connection and the arrival of its bytes
 RESET_WITHIN_S = 0.3  # upper bound; if the bytes were not read, the system's reset follows at once
 
 
-class Fate(Enum):
+class RequestEnding(Enum):
     """Outcome of a request that was sent completely."""
 
     ANSWERED = "answered"
@@ -36,13 +36,13 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request, with its number on its connection (0: the connection was new) and its outcome."""
 
     ident: str
     number: int
     at: float
-    fate: Fate = Fate.DROPPED
+    ending: RequestEnding = RequestEnding.DROPPED
     status: int = 0
     after: float = 0.0
 
@@ -55,7 +55,7 @@
     address: tuple[str, int]
     seed: int
     pause: float
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentRequest] = field(default_factory=list)
     refused: int = 0
     stop: bool = False
 
@@ -92,12 +92,12 @@
     def _ask(self, sock: Any, number: int) -> bool:
         """Send one request and record it; return whether the connection may be used again."""
         ident = f"{self.name}-{len(self.sent)}"
-        raw = text("/read", headers(ident, shard=len(self.sent) % 2, volume=f"{self.seed + 1:x}", wait="1500"))
-        request = Sent(ident, number, time.monotonic())
+        raw = request_bytes("/read", headers(ident, shard=len(self.sent) % 2, volume=f"{self.seed + 1:x}", wait="1500"))
+        request = SentRequest(ident, number, time.monotonic())
         try:
             sock.sendall(raw)
         except OSError:  # the connection was closed before the bytes arrived
-            request.fate = Fate.UNREAD
+            request.ending = RequestEnding.UNREAD
             self.sent.append(request)
             return False
         self.sent.append(request)
@@ -112,12 +112,12 @@
             error = True
         request.after = time.monotonic() - request.at
         if _is_complete(response):
-            request.fate, request.status = Fate.ANSWERED, int(response[9:12])
+            request.ending, request.status = RequestEnding.ANSWERED, int(response[9:12])
             return b"connection: close" not in response.lower()
         if response:
-            request.fate = Fate.CUT
+            request.ending = RequestEnding.CUT
         elif error or _reset_follows(sock):
-            request.fate = Fate.UNREAD
+            request.ending = RequestEnding.UNREAD
         return False
 
 
@@ -178,7 +178,7 @@
 
 def _rude_bytes(generator: random.Random, ident: str) -> bytes:
     """Return malformed bytes, or requests whose response the client does not await."""
-    request = text("/read", headers(ident, volume=f"{generator.getrandbits(32):x}"))
+    request = request_bytes("/read", headers(ident, volume=f"{generator.getrandbits(32):x}"))
     return generator.choice(
         (generator.randbytes(200), request[: generator.randrange(len(request))], request, request * 5, b"\r\n" * 99)
     )
@@ -216,8 +216,8 @@
     lost_requests = []
     for client in clients:
         for request in client.sent:
-            if request.fate in (Fate.DROPPED, Fate.CUT) or (
-                request.fate is Fate.UNREAD and request.ident in reached_ids
+            if request.ending in (RequestEnding.DROPPED, RequestEnding.CUT) or (
+                request.ending is RequestEnding.UNREAD and request.ident in reached_ids
             ):
-                lost_requests.append((request.ident, request.number, request.fate.value))
+                lost_requests.append((request.ident, request.number, request.ending.value))
     return lost_requests
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -33,9 +33,9 @@
 from fawnspool.relay.process import read_config
 from fawnspool.scheduling import interface
 from fawnspool.standins.platform import DiscoveryServer
-from tests.e2e.relayrig import SETTINGS, WATCH, RawDiscovery, RelayRig, chunk, headers, plain_sock, text
+from tests.e2e.relayrig import SETTINGS, WATCH_HEAD, RawDiscovery, RelayRig, chunk, headers, plain_sock, request_bytes
 from tests.e2e.rig import wait_for
-from tests.e2e.test_relay import record_outcomes, process_of, record_events
+from tests.e2e.test_relay import gateway_process, record_events, record_outcomes
 
 KEYED = {"Idempotency_Key": "k"}
 
@@ -92,7 +92,7 @@
         shelf.closes_after_script = True
         shelf.script = lambda request: b""  # an end without a response to a request that may have run
         late_connect.started, late_connect.undelayed = 0, 1  # only the first attempt gets a connection at once
-        sock = rig.raw(text("/note", headers("w1", wait="8000") | {"Idempotency-Key": "k"}, "PUT", b"x"))
+        sock = rig.raw(request_bytes("/note", headers("w1", wait="8000") | {"Idempotency-Key": "k"}, "PUT", b"x"))
         wait_for(lambda: rig.received_ids() == ["w1"] and late_connect.started == 2)
         gevent.sleep(1.05)  # past the window, before the request's deadline
         late_connect.may_connect.set()
@@ -131,7 +131,7 @@
 ) -> None:
     rig.core.checks.stop()  # the periodic check would detect the disconnect as well, a little later
     late_connect.started, late_connect.undelayed = 0, 0
-    sock = rig.raw(text("/read", headers("r1")))
+    sock = rig.raw(request_bytes("/read", headers("r1")))
     wait_for(lambda: late_connect.started == 1)
     if how == "half":
         sock.shutdown(std.SHUT_WR)
@@ -156,7 +156,7 @@
         return b""
 
     shelf.script = script
-    sock.sendall(text("/read", headers("r1")))
+    sock.sendall(request_bytes("/read", headers("r1")))
     wait_for(lambda: len(outcomes) == 2)
     wait_until_done(rig)
     assert rig.received_ids() == ["r1"] and [o.result for o in outcomes] == [
@@ -171,7 +171,7 @@
     shelf, outcomes = rig.shelfs[0], record_outcomes(rig)
     shelf.may_respond.clear()
     sock = plain_sock(rig.listen)
-    sock.sendall(text("/read", headers("r1")))
+    sock.sendall(request_bytes("/read", headers("r1")))
     wait_for(lambda: rig.received_ids() == ["r1"])
     feeder = gevent.get_hub().threadpool.spawn(sock.sendall, b"x" * trailing_bytes)
     wait_for(feeder.ready)
@@ -183,16 +183,16 @@
 def test_pipelined_requests_are_served_in_order(rig: RelayRig, monkeypatch: pytest.MonkeyPatch) -> None:
     shelf = rig.shelfs[0]
     shelf.may_respond.clear()
-    sock = rig.raw(text("/read", headers("r1")))
+    sock = rig.raw(request_bytes("/read", headers("r1")))
     wait_for(lambda: rig.received_ids() == ["r1"])
     peeks, original = list[int](), SocketStream.peek
     monkeypatch.setattr(SocketStream, "peek", lambda stream: peeks.append(1) or original(stream))
-    sock.sendall(text("/read", headers("r2", shard=1)) + text("/read", headers("r3", shard=1))[:50])
+    sock.sendall(request_bytes("/read", headers("r2", shard=1)) + request_bytes("/read", headers("r3", shard=1))[:50])
     before = len(peeks)
     wait_for(lambda: len(peeks) >= before + 3)  # the periodic check has peeked after the first request
     assert rig.program.handler.server.states() == {"in hand": 1}
     shelf.may_respond.set()
-    sock.sendall(text("/read", headers("r3", shard=1))[50:])
+    sock.sendall(request_bytes("/read", headers("r3", shard=1))[50:])
     response = b""
     while response.count(b"HTTP/1.1 200") < 3 or not response.endswith(b"r3 GET /read"):
         response += sock.recv(4096)
@@ -207,12 +207,12 @@
     try:
         rig.core.checks.stop()
         rig.shelfs[0].may_respond.clear()
-        first = rig.raw(text("/read", headers("first", volume="1", obj="1")))
+        first = rig.raw(request_bytes("/read", headers("first", volume="1", obj="1")))
         wait_for(lambda: rig.received_ids() == ["first"])
         rig.core.loop.module.node_queues[0].concurrency.limit = 1.0
         rig.core.loop.module._shed_load = lambda node_queue: None  # keeps the requests queued however long they wait
         socks = [
-            plain_sock(rig.listen, text("/read", headers(f"r{k}", volume=f"{k + 2:x}", obj=f"{k + 2:x}")))
+            plain_sock(rig.listen, request_bytes("/read", headers(f"r{k}", volume=f"{k + 2:x}", obj=f"{k + 2:x}")))
             for k in range(200)
         ]
         wait_for(lambda: rig.core.loop.module.node_queues[0].queue.queued == 200)
@@ -230,7 +230,7 @@
     rig: RelayRig, late_connect: LateConnect
 ) -> None:
     late_connect.started, late_connect.undelayed = 0, 0
-    sock = rig.raw(text("/read", headers("r1", wait="600")))
+    sock = rig.raw(request_bytes("/read", headers("r1", wait="600")))
     wait_for(lambda: late_connect.started == 1)
     rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
     wait_for(lambda: rig.program.discovery.version == rig.discovery.version)
@@ -245,7 +245,7 @@
 def idle_connection(rig: RelayRig, ident: str) -> std.socket:
     """Return an idle connection that has carried a request."""
     before = len(rig.program.handler.server.idle)
-    sock = plain_sock(rig.listen, text("/read", headers(ident)))
+    sock = plain_sock(rig.listen, request_bytes("/read", headers(ident)))
     wait_for(lambda: len(rig.program.handler.server.idle) == before + 1)
     assert sock.recv(4096).startswith(b"HTTP/1.1 200")
     return sock
@@ -279,7 +279,7 @@
         wait_for(lambda: len(server.new) == 1)
         idle = plain_sock(rig.listen)
         wait_for(lambda: len(server.new) == 2)
-    requesting.sendall(text("/read", headers("r2")))
+    requesting.sendall(request_bytes("/read", headers("r2")))
     assert server.evict_waiting()  # the loop does not run between these two lines
     assert read_to_close(idle) == b""
     server.draining = True
@@ -289,7 +289,7 @@
 def test_no_connection_is_evicted_if_all_have_unread_requests(rig: RelayRig) -> None:
     server = rig.program.handler.server
     requesting = idle_connection(rig, "r0")
-    requesting.sendall(text("/read", headers("r1")))
+    requesting.sendall(request_bytes("/read", headers("r1")))
     assert not server.evict_waiting()
     server.draining = True
     assert read_to_close(requesting).startswith(b"HTTP/1.1 200")
@@ -304,7 +304,7 @@
 
     def unread(stream: SocketStream) -> bool:
         has_bytes = original(stream)
-        sock.sendall(text("/read", headers("r1")))
+        sock.sendall(request_bytes("/read", headers("r1")))
         return has_bytes
 
     monkeypatch.setattr(SocketStream, "has_unread", unread)
@@ -323,7 +323,7 @@
     server.options.idle_timeout_s = server.options.first_request_timeout_s = 0.3
     sock = idle_connection(rig, "r0") if used else plain_sock(rig.listen)
     wait_for(lambda: server.idle or server.new)
-    sock.sendall(text("/read", headers("r1")))
+    sock.sendall(request_bytes("/read", headers("r1")))
     time.sleep(0.5)
     server.draining = True
     assert read_to_close(sock).startswith(b"HTTP/1.1 200") and rig.received_ids()[-1] == "r1"
@@ -334,26 +334,26 @@
     server = rig.program.handler.server
     sock = idle_connection(rig, "r0") if used else plain_sock(rig.listen)
     wait_for(lambda: server.idle or server.new)
-    sock.sendall(text("/read", headers("r1")))
+    sock.sendall(request_bytes("/read", headers("r1")))
     server.drain(time.monotonic() + 5)
     assert read_to_close(sock).startswith(b"HTTP/1.1 200")
     assert rig.received_ids()[-1] == "r1"
 
 
 def test_partial_request_at_the_drain_may_be_completed(rig: RelayRig) -> None:
-    server, whole = rig.program.handler.server, text("/read", headers("r1"))
+    server, request = rig.program.handler.server, request_bytes("/read", headers("r1"))
     sock = idle_connection(rig, "r0")
-    sock.sendall(whole[:30])
+    sock.sendall(request[:30])
     server.drain(time.monotonic() + 5)
     gevent.sleep(0)
-    sock.sendall(whole[30:])
+    sock.sendall(request[30:])
     assert read_to_close(sock).startswith(b"HTTP/1.1 200")
 
 
 def test_pipelined_request_before_the_last_response_is_answered(rig: RelayRig) -> None:
     """It is served whether or not it was read with the first one, and only the last response ends the connection."""
     rig.program.handler.server.draining = True
-    sock = plain_sock(rig.listen, text("/read", headers("r1")) + text("/read", headers("r2")))
+    sock = plain_sock(rig.listen, request_bytes("/read", headers("r1")) + request_bytes("/read", headers("r2")))
     response = read_to_close(sock)
     assert response.count(b"HTTP/1.1 200") == 2 and response.count(b"Connection: close") == 1
     assert response.index(b"r1 GET /read") < response.index(b"Connection: close") < response.index(b"r2 GET /read")
@@ -364,10 +364,10 @@
 def test_request_after_the_last_response_is_not_read(rig: RelayRig) -> None:
     """The response has announced the close, and the system's reset shows the client that its request was not read."""
     rig.program.handler.server.draining = True
-    sock = plain_sock(rig.listen, text("/read", headers("r1")))
+    sock = plain_sock(rig.listen, request_bytes("/read", headers("r1")))
     assert b"Connection: close" in read_to_close(sock)
     sock.setblocking(True)
-    sock.sendall(text("/read", headers("r2")))
+    sock.sendall(request_bytes("/read", headers("r2")))
     gevent.sleep(0.02)
     with pytest.raises((BrokenPipeError, ConnectionResetError)):
         sock.sendall(b"x")
@@ -381,11 +381,11 @@
         shelf.may_respond.clear()
         rig.core.loop.module._shed_load = lambda node_queue: None
         busy = [
-            plain_sock(rig.listen, text("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
+            plain_sock(rig.listen, request_bytes("/read", headers(f"b{k}", volume=f"{k + 1:x}")))
             for k in range(server.options.max_connections)
         ]
         wait_for(lambda: len(rig.program.handler.open) == server.options.max_connections)
-        waiting = plain_sock(rig.listen, text("/read", headers("late", shard=1)))
+        waiting = plain_sock(rig.listen, request_bytes("/read", headers("late", shard=1)))
         gevent.sleep(0.05)
         assert "late" not in rig.received_ids()
         waiting.setblocking(False)
@@ -451,7 +451,7 @@
     wait_for(lambda: failed)
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
     rig.shelfs[0].may_respond.clear()
-    sock = rig.raw(text("/read", headers("r2")))
+    sock = rig.raw(request_bytes("/read", headers("r2")))
     wait_for(lambda: rig.received_ids() == ["r1", "r2"])
     sock.close()
     wait_until_done(rig)  # only the periodic check detects this disconnect
@@ -474,22 +474,22 @@
     rig.core.loop.module._shed_load = lambda node_queue: None
     rig.core.loop.module.node_queues[0].concurrency.limit = 1.0
     rows = {"out": headers("out", volume="1", wait="1900"), "held": headers("held", volume="2", wait="1900")}
-    socks = {"out": rig.raw(text("/read", rows["out"]))}
+    socks = {"out": rig.raw(request_bytes("/read", rows["out"]))}
     wait_for(lambda: "out" in rig.received_ids())
-    socks["held"] = rig.raw(text("/read", rows["held"]))
+    socks["held"] = rig.raw(request_bytes("/read", rows["held"]))
     wait_for(lambda: rig.core.loop.module.node_queues[0].queue.queued == 1)
     late_connect.started, late_connect.undelayed = 0, 0
-    socks["connecting"] = rig.raw(text("/read", headers("connecting", shard=1, volume="3", wait="1900")))
+    socks["connecting"] = rig.raw(request_bytes("/read", headers("connecting", shard=1, volume="3", wait="1900")))
     wait_for(lambda: late_connect.started == 1)
-    whole = text("/read", headers("half", shard=1, volume="4"))
-    socks["half"] = rig.raw(whole[:60])
+    request = request_bytes("/read", headers("half", shard=1, volume="4"))
+    socks["half"] = rig.raw(request[:60])
     silent = rig.raw(b"")
     wait_for(lambda: len(server.new) == 1)
     ending = gevent.spawn(rig.program.drain)
     again = gevent.spawn(rig.program.drain)  # a second signal
     rig.program.reload()  # and a new configuration
     wait_for(lambda: rig.program.handler.last_answer_by < float("inf"))
-    socks["half"].sendall(whole[60:])
+    socks["half"].sendall(request[60:])
     ending.join(timeout=10)
     again.join(timeout=10)
     assert rig.program.ended.is_set()
@@ -508,14 +508,14 @@
     """Discovery is down and many idle clients connect: health checks and requests are served from the saved list."""
     rig = RelayRig(tmp_path, sockets=128)
     rig.discovery.is_down = True
-    with process_of(rig, 128):
+    with gateway_process(rig, 128):
         flood = [plain_sock(rig.listen) for _ in range(200)]
         assert rig.client().ask("GET", "/_health").status == 200
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200 and flood
 
 
 def test_sighup_while_the_program_loads_is_handled(tmp_path: Path) -> None:
-    """Without a handler, an early SIGHUP ends the process; if it were ignored, the new configuration would be missed."""
+    """Without a handler, an early SIGHUP ends the process; if ignored, it would leave the old configuration in use."""
     rig = RelayRig(tmp_path)
     other = DiscoveryServer()
     other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
@@ -534,7 +534,7 @@
     rig.write(other)
     rig.path.rename(str(rig.path) + ".next")
     rig.path.write_bytes(old)
-    with process_of(rig, start=("-c", start), up=lambda: other.watchers) as process:
+    with gateway_process(rig, start=("-c", start), up=lambda: other.watchers) as process:
         assert process.poll() is None
     other.server.stop()
 
@@ -546,8 +546,8 @@
     return rig.discovery.hosts[host] | {"health": health}
 
 
-def list_line(seq: int, *rows: dict[str, Any], whole: bool = False, indent: int | None = None) -> bytes:
-    return chunk(json.dumps({"seq": seq, "whole": whole, "hosts": rows}, indent=indent).encode() + b"\n")
+def list_line(seq: int, *rows: dict[str, Any], is_snapshot: bool = False, indent: int | None = None) -> bytes:
+    return chunk(json.dumps({"seq": seq, "whole": is_snapshot, "hosts": rows}, indent=indent).encode() + b"\n")
 
 
 @contextlib.contextmanager
@@ -570,15 +570,15 @@
     return bool(known) and known[0].phase is interface.Phase.DRAINING
 
 
-SILENT = {
-    "after its head": [WATCH],
-    "after a line": [WATCH, chunk(b"\n")],
-    "in a line": [WATCH, chunk(b"\n"), chunk(b'{"seq": 99, "who')],
-    "in an indented object": [WATCH, chunk(b'{\n "seq": 99,\n')],
+SILENT_WATCHES = {
+    "after its head": [WATCH_HEAD],
+    "after a line": [WATCH_HEAD, chunk(b"\n")],
+    "in a line": [WATCH_HEAD, chunk(b"\n"), chunk(b'{"seq": 99, "who')],
+    "in an indented object": [WATCH_HEAD, chunk(b'{\n "seq": 99,\n')],
 }
 
 
-@pytest.mark.parametrize("case", SILENT)
+@pytest.mark.parametrize("case", SILENT_WATCHES)
 def test_silent_watch_is_reopened_at_once(rig: RelayRig, case: str) -> None:
     """The gateway must know a change 6 s after its watch fell silent, which leaves no time for a pause."""
     lists, times, seq = record_events(rig, interface.EndpointUpdate), list[float](), rig.discovery.version
@@ -586,10 +586,10 @@
     def script(number: int, sock: Any, target: str) -> None:
         times.append(time.monotonic())
         if number < 2:  # the first two watches fall silent
-            for part in SILENT[case]:
+            for part in SILENT_WATCHES[case]:
                 sock.sendall(part)
             return
-        sock.sendall(WATCH + list_line(seq + 1, host_entry(rig, "leaving")))
+        sock.sendall(WATCH_HEAD + list_line(seq + 1, host_entry(rig, "leaving")))
 
     with raw_discovery(rig, script):
         wait_for(lambda: is_draining(rig))
@@ -603,14 +603,14 @@
     def script(number: int, sock: Any, target: str) -> None:
         times.append(time.monotonic())
         if number in (0, 3):
-            return sock.sendall(WATCH + chunk(b"\n"))  # then silent
+            return sock.sendall(WATCH_HEAD + chunk(b"\n"))  # then silent
         if number == 1:
-            sock.sendall(WATCH)
+            sock.sendall(WATCH_HEAD)
             sock.setsockopt(std.SOL_SOCKET, std.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             return sock.close()  # resets the connection after the response's head
         if number == 2:
             return sock.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        sock.sendall(WATCH + list_line(seq + 1, host_entry(rig, "leaving")))
+        sock.sendall(WATCH_HEAD + list_line(seq + 1, host_entry(rig, "leaving")))
 
     with raw_discovery(rig, script) as raw:
         wait_for(lambda: is_draining(rig), 6)
@@ -625,8 +625,8 @@
 
     def script(number: int, sock: Any, target: str) -> None:
         if number:
-            return sock.sendall(WATCH + list_line(seq + 1, host_entry(rig, "leaving")))
-        sock.sendall(WATCH)
+            return sock.sendall(WATCH_HEAD + list_line(seq + 1, host_entry(rig, "leaving")))
+        sock.sendall(WATCH_HEAD)
         for _ in range(200):
             sock.sendall(chunk(b" "))
             gevent.sleep(0.05)
@@ -644,10 +644,10 @@
 
 def test_json_object_may_span_several_lines(rig: RelayRig) -> None:
     seq = rig.discovery.version
-    odd = host_entry(rig, "leaving") | {"note": 'a "brace" { [ and a back\\slash'}
+    entry = host_entry(rig, "leaving") | {"note": 'a "brace" { [ and a back\\slash'}
     response = (
-        WATCH
-        + list_line(seq + 1, odd, indent=2)
+        WATCH_HEAD
+        + list_line(seq + 1, entry, indent=2)
         + chunk(b"\n")
         + list_line(seq + 2, host_entry(rig, "leaving", "s-1"), indent=1)
     )
@@ -675,9 +675,9 @@
     def script(number: int, sock: Any, target: str) -> None:
         if number == 0:
             return sock.sendall(
-                WATCH + list_line(seq + 1, host_entry(rig, "leaving")) + list_line(seq, *before, whole=True)
+                WATCH_HEAD + list_line(seq + 1, host_entry(rig, "leaving")) + list_line(seq, *before, is_snapshot=True)
             )
-        sock.sendall(WATCH + list_line(seq + 2, host_entry(rig, "leaving", "s-1")))
+        sock.sendall(WATCH_HEAD + list_line(seq + 2, host_entry(rig, "leaving", "s-1")))
 
     with raw_discovery(rig, script, 1.0) as raw:
         wait_for(lambda: rig.program.discovery.version == seq + 2)
@@ -686,7 +686,9 @@
 
 def test_snapshots_of_a_service_that_restarted_its_versions_are_finally_accepted(rig: RelayRig) -> None:
     rows = rig.discovery.snapshot()["hosts"]
-    with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH + list_line(1, *rows, whole=True)), 1.0):
+    with raw_discovery(
+        rig, lambda number, sock, target: sock.sendall(WATCH_HEAD + list_line(1, *rows, is_snapshot=True)), 1.0
+    ):
         wait_for(lambda: rig.program.discovery.version == 1)
 
 
@@ -695,7 +697,7 @@
         record_events(rig, interface.EndpointUpdate),
         [interface.UpdateKind.CACHED, interface.UpdateKind.DELTA],
     )
-    with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH + chunk(b"\n"))):
+    with raw_discovery(rig, lambda number, sock, target: sock.sendall(WATCH_HEAD + chunk(b"\n"))):
         rig.program.discovery.start(rig.discovery.snapshot())
         wait_for(lambda: [event.kind for event in lists] == kinds)
         assert lists[1].entries == () and not rig.core.loop.module.endpoints.is_cached
@@ -736,8 +738,8 @@
     """While discovery is down, clients use all descriptors except the few that the gateway needs itself."""
     rig = RelayRig(tmp_path, sockets=64)
     rig.discovery.is_down = True
-    with process_of(rig, 64) as process:
-        kept = [rig.raw(text("/read", headers(f"k{k}", shard=k % 2))) for k in range(80)]
+    with gateway_process(rig, 64) as process:
+        kept = [rig.raw(request_bytes("/read", headers(f"k{k}", shard=k % 2))) for k in range(80)]
         assert kept[0].recv(4096).startswith(b"HTTP/1.1 ")
         quiet = [rig.raw(b"") for _ in range(80)]
         rig.discovery.put(rig.shelfs[0], "s-0", "leaving")
@@ -798,7 +800,7 @@
 ) -> None:
     """The clock is set between a request's arrival and its reading: its age and its remaining time stay right."""
     sock, original = idle_connection(rig, "r0"), time.time
-    sock.sendall(text("/read", headers("r1", wait="1500")))
+    sock.sendall(request_bytes("/read", headers("r1", wait="1500")))
     monkeypatch.setattr(time, "time", lambda: original() + step)
     rig.program.handler.server.draining = True
     assert read_to_close(sock).startswith(b"HTTP/1.1 200")
@@ -921,7 +923,7 @@
 
     shelf.script = script
     began = time.monotonic()
-    first = rig.raw(text("/read", headers("r1", wait="600", volume="1")))
+    first = rig.raw(request_bytes("/read", headers("r1", wait="600", volume="1")))
     assert rig.client().ask("GET", "/read", **headers("r2", volume="2")).status == 200
     assert first.recv(4096).startswith(b"HTTP/1.1 50") and time.monotonic() - began < 3.0
 
@@ -934,7 +936,7 @@
     rig = RelayRig(tmp_path, classes=[c | {"repeat": effect} for c in SETTINGS["classes"]])
     try:
         late_connect.started, late_connect.undelayed = 0, 0
-        sock = rig.raw(text("/note", headers("w1", wait="200") | {"Idempotency-Key": "k"}, "PUT", b"x"))
+        sock = rig.raw(request_bytes("/note", headers("w1", wait="200") | {"Idempotency-Key": "k"}, "PUT", b"x"))
         assert sock.recv(4096).startswith(b"HTTP/1.1 50")
         late_connect.may_connect.set()
         wait_until_done(rig)
@@ -946,7 +948,7 @@
 # ------------------------------------------------------------------ bad configurations
 
 
-BAD = {
+INVALID_CONFIGURATIONS = {
     "no classes": ({"classes": []}, "classes: expected at least one entry"),
     "no plans": ({"grades": []}, "grades: expected at least one entry"),
     "an aim of 0": ({"classes": [SETTINGS["classes"][0] | {"aim": 0}]}, r"classes\.0\.aim: expected a number above 0"),
@@ -956,9 +958,9 @@
 }
 
 
-@pytest.mark.parametrize("case", BAD)
+@pytest.mark.parametrize("case", INVALID_CONFIGURATIONS)
 def test_invalid_configuration_ends_the_start_with_an_error_message(tmp_path: Path, case: str) -> None:
-    change, message = BAD[case]
+    change, message = INVALID_CONFIGURATIONS[case]
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS | change})
@@ -975,32 +977,32 @@
     assert "Traceback" not in done.stderr
 
 
-@pytest.mark.parametrize("there", ["half", "none"])
-def test_reload_waits_until_the_configuration_is_complete(rig: RelayRig, there: str) -> None:
+@pytest.mark.parametrize("file_state", ["half", "none"])
+def test_reload_waits_until_the_configuration_is_complete(rig: RelayRig, file_state: str) -> None:
     """The signal arrives between two writes, or between the removal of the old file and the creation of the new one."""
     other = DiscoveryServer()
     other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
     rig.write(other)
-    whole = rig.path.read_text()
-    if there == "half":
-        rig.path.write_text(whole[: len(whole) // 2])
+    content = rig.path.read_text()
+    if file_state == "half":
+        rig.path.write_text(content[: len(content) // 2])
     else:
         rig.path.unlink()
     reader = gevent.spawn(rig.program.reload)
     gevent.sleep(0)  # runs its first read
     assert not reader.dead and rig.discovery.watchers
-    rig.path.write_text(whole)
+    rig.path.write_text(content)
     wait_for(lambda: other.watchers and not rig.discovery.watchers)
     other.server.stop()
 
 
 def test_start_waits_until_the_configuration_is_complete(rig: RelayRig) -> None:
-    whole = rig.path.read_text()
-    rig.path.write_text(whole[:100])
+    content = rig.path.read_text()
+    rig.path.write_text(content[:100])
     reader = gevent.spawn(read_config, str(rig.path), {})
     gevent.sleep(0)
     assert not reader.dead
-    rig.path.write_text(whole)
+    rig.path.write_text(content)
     assert reader.get(timeout=5).discovery == rig.discovery.server.address
 
 
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -22,7 +22,7 @@
 from fawnspool.relay.errors import ConfigError
 from fawnspool.scheduling import interface
 from fawnspool.standins.platform import DiscoveryServer, ShelfRequest
-from tests.e2e.relayrig import SETTINGS, RelayRig, headers, text
+from tests.e2e.relayrig import SETTINGS, RelayRig, headers, request_bytes
 from tests.e2e.rig import wait_for
 
 
@@ -85,7 +85,7 @@
     assert [node.text().partition(" ")[0] for node in rig.program.nodes()] == ["0:sound", "1:sound"]
 
 
-BAD = {
+MALFORMED_REQUESTS = {
     "no id": ("/read", {"Request-Id": ""}),
     "class": ("/nothing", {}),
     "plan": ("/read", {"X-Plan": "gold"}),
@@ -133,9 +133,11 @@
         def send_request(ident: str, size: int) -> Any:
             rows = headers(ident) | {"Idempotency-Key": "k"}
             if not chunked:
-                return rig.raw(text("/note", rows, "PUT", b"x" * size))
+                return rig.raw(request_bytes("/note", rows, "PUT", b"x" * size))
             pieces = (b"%x\r\n%s\r\n" % (40_000, b"x" * 40_000)) * (size // 40_000)
-            return rig.raw(text("/note", rows | {"Transfer-Encoding": "chunked"}, "PUT") + pieces + b"0\r\n\r\n")
+            return rig.raw(
+                request_bytes("/note", rows | {"Transfer-Encoding": "chunked"}, "PUT") + pieces + b"0\r\n\r\n"
+            )
 
         first = send_request("w1", 120_000)
         wait_for(lambda: rig.received_ids() == ["w1"])
@@ -152,9 +154,9 @@
         rig.stop()
 
 
-@pytest.mark.parametrize("case", BAD)
+@pytest.mark.parametrize("case", MALFORMED_REQUESTS)
 def test_malformed_request_is_rejected_and_not_forwarded(rig: RelayRig, case: str) -> None:
-    target, change = BAD[case]
+    target, change = MALFORMED_REQUESTS[case]
     requests = record_events(rig, interface.Request)
     method, _, target = target.rpartition(" ")
     response = rig.client().ask(method or "GET", target, **headers("r1") | change)
@@ -163,12 +165,13 @@
     assert rig.client().ask("GET", "/read", **headers("r2")).status == 200
 
 
-RAW = {
-    "two framings": text("/read", headers("r1") | {"Content-Length": "4", "Transfer-Encoding": "chunked"}) + b"0\r\n",
-    "two lengths": text("/read", headers("r1") | {"Content-Length": "4", "content-length": "5"}) + b"abcd",
-    "negative": text("/read", headers("r1") | {"Content-Length": "-4"}),
-    "huge": text("/read", headers("r1") | {"Content-Length": str(60 << 20)}) + b"x" * 100_000,
-    "chunks over 1 MiB": text("/read", headers("r1") | {"Transfer-Encoding": "chunked"})
+INVALID_FRAMING = {
+    "two framings": request_bytes("/read", headers("r1") | {"Content-Length": "4", "Transfer-Encoding": "chunked"})
+    + b"0\r\n",
+    "two lengths": request_bytes("/read", headers("r1") | {"Content-Length": "4", "content-length": "5"}) + b"abcd",
+    "negative": request_bytes("/read", headers("r1") | {"Content-Length": "-4"}),
+    "huge": request_bytes("/read", headers("r1") | {"Content-Length": str(60 << 20)}) + b"x" * 100_000,
+    "chunks over 1 MiB": request_bytes("/read", headers("r1") | {"Transfer-Encoding": "chunked"})
     + (b"ffff\r\n" + b"x" * 65535 + b"\r\n") * 16
     + b"ff\r\n"
     + b"x" * 255
@@ -179,9 +182,9 @@
 }
 
 
-@pytest.mark.parametrize("case", RAW)
+@pytest.mark.parametrize("case", INVALID_FRAMING)
 def test_invalid_framing_gets_an_error_or_a_close_at_once(rig: RelayRig, case: str) -> None:
-    began, sock = time.monotonic(), rig.raw(RAW[case])
+    began, sock = time.monotonic(), rig.raw(INVALID_FRAMING[case])
     try:
         first = sock.recv(4096)
     except ConnectionError:
@@ -192,7 +195,7 @@
 
 def test_rejects_a_request_whose_id_is_already_open(rig: RelayRig) -> None:
     rig.shelfs[0].may_respond.clear()
-    first = rig.raw(text("/read", headers("r1")))
+    first = rig.raw(request_bytes("/read", headers("r1")))
     wait_for(lambda: rig.received_ids() == ["r1"])
     assert rig.client().ask("GET", "/read", **headers("r1")).status == 409
     rig.shelfs[0].may_respond.set()
@@ -202,8 +205,8 @@
 
 def test_silent_connections_and_partial_requests_are_closed_in_time(rig: RelayRig) -> None:
     began = time.monotonic()
-    quiet, half = rig.raw(b""), rig.raw(text("/read", headers("r1"))[:40])
-    slow = rig.raw(text("/note", headers("w1") | {"Idempotency-Key": "k", "Content-Length": "100"}, "PUT"))
+    silent, half = rig.raw(b""), rig.raw(request_bytes("/read", headers("r1"))[:40])
+    slow = rig.raw(request_bytes("/note", headers("w1") | {"Idempotency-Key": "k", "Content-Length": "100"}, "PUT"))
 
     def send_slowly() -> None:
         while True:
@@ -211,7 +214,7 @@
             slow.send(b"x")
 
     feeder = gevent.spawn(send_slowly)
-    assert quiet.recv(10) == b"" and half.recv(12).startswith(b"HTTP/1.1 4")
+    assert silent.recv(10) == b"" and half.recv(12).startswith(b"HTTP/1.1 4")
     assert slow.recv(12).startswith(b"HTTP/1.1 4")
     feeder.kill()
     assert time.monotonic() - began < 3.0 and rig.received_ids() == []
@@ -223,9 +226,9 @@
         max_connections = rig.program.handler.server.options.max_connections
         used = rig.client()
         assert used.ask("GET", "/read", **headers("r0")).status == 200
-        quiet = [rig.raw(b"") for _ in range(max_connections + 5)]
+        silent = [rig.raw(b"") for _ in range(max_connections + 5)]
         wait_for(lambda: len(rig.program.handler.server.connections) == max_connections)
-        assert quiet[0].recv(1) == b""
+        assert silent[0].recv(1) == b""
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert (
             used.ask("GET", "/read", **headers("r2")).status == 200
@@ -252,7 +255,7 @@
         rig.stop()
 
 
-SPOILT = {
+MALFORMED_RESPONSES = {
     "noise": b"\x7f\x00garbage garbage\r\n\r\n",
     "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-A: b\r\n" * 5000,
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
@@ -264,10 +267,10 @@
 }
 
 
-@pytest.mark.parametrize("case", SPOILT)
+@pytest.mark.parametrize("case", MALFORMED_RESPONSES)
 def test_malformed_response_is_not_forwarded(rig: RelayRig, case: str) -> None:
     outcomes = record_outcomes(rig)
-    rig.shelfs[0].script = lambda request: SPOILT[case] if len(rig.shelfs[0].requests) == 1 else None
+    rig.shelfs[0].script = lambda request: MALFORMED_RESPONSES[case] if len(rig.shelfs[0].requests) == 1 else None
     began = time.monotonic()
     response: Any = rig.client().ask("GET", "/read", **headers("r1"))
     assert (response.status, response.data) == (200, b"r1 GET /read")  # the second attempt
@@ -275,16 +278,19 @@
     assert time.monotonic() - began < 1.0
 
 
-def plain(request: ShelfRequest, more: bytes = b"") -> bytes:
+def plain_response(request: ShelfRequest, extra_headers: bytes = b"") -> bytes:
     return (
-        b"HTTP/1.1 200 OK\r\n" + more + b"Content-Length: %d\r\n\r\n" % len(request.plain_body()) + request.plain_body()
+        b"HTTP/1.1 200 OK\r\n"
+        + extra_headers
+        + b"Content-Length: %d\r\n\r\n" % len(request.plain_body())
+        + request.plain_body()
     )
 
 
 def test_truncated_response_is_not_forwarded(rig: RelayRig) -> None:
     outcomes, shelf = record_outcomes(rig), rig.shelfs[0]
     shelf.closes_after_script = True
-    shelf.script = lambda request: plain(request)[:-3] if len(shelf.requests) == 1 else None
+    shelf.script = lambda request: plain_response(request)[:-3] if len(shelf.requests) == 1 else None
     response: Any = rig.client().ask("GET", "/read", **headers("r1"))
     assert (response.status, response.data) == (200, b"r1 GET /read")
     assert [o.result for o in outcomes] == [interface.Result.RESET, interface.Result.SERVED]
@@ -311,7 +317,7 @@
 def test_disconnect_of_the_client_cancels_its_attempt(rig: RelayRig) -> None:
     outcomes, shelf = record_outcomes(rig), rig.shelfs[0]
     shelf.may_respond.clear()
-    sock = rig.raw(text("/read", headers("r1")))
+    sock = rig.raw(request_bytes("/read", headers("r1")))
     wait_for(lambda: rig.received_ids() == ["r1"])
     sock.close()
     wait_for(lambda: [o.result for o in outcomes] == [interface.Result.CANCELLED])
@@ -321,17 +327,21 @@
     )  # the closed connection cancels the request at the shelf
 
 
-SURPLUS = {
-    "noise": lambda a: plain(a) + b"\x00noise",
-    "twice": lambda a: plain(a) + plain(a),
-    "early": lambda a: b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + plain(a),
-    "report": lambda a: plain(a, b"Server-Load: rif=many,lat_ms=\r\nX-Volume-Use: lots\r\nX-Served-Elsewhere: -4\r\n"),
+VALID_RESPONSES = {
+    "noise": lambda a: plain_response(a) + b"\x00noise",
+    "twice": lambda a: plain_response(a) + plain_response(a),
+    "early": lambda a: (
+        b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + plain_response(a)
+    ),
+    "report": lambda a: plain_response(
+        a, b"Server-Load: rif=many,lat_ms=\r\nX-Volume-Use: lots\r\nX-Served-Elsewhere: -4\r\n"
+    ),
 }
 
 
-@pytest.mark.parametrize("case", SURPLUS)
+@pytest.mark.parametrize("case", VALID_RESPONSES)
 def test_surplus_bytes_and_malformed_reports_do_not_invalidate_a_response(rig: RelayRig, case: str) -> None:
-    rig.shelfs[0].script = SURPLUS[case]
+    rig.shelfs[0].script = VALID_RESPONSES[case]
     client = rig.client()
     for number in range(3):
         response: Any = client.ask("GET", "/read", **headers(f"r{number}"))
@@ -372,7 +382,7 @@
 
 
 @contextlib.contextmanager
-def process_of(
+def gateway_process(
     rig: RelayRig,
     descriptors: int = 1024,
     start: tuple[str, ...] = ("-m", "fawnspool.relay"),
@@ -407,15 +417,15 @@
 
 def test_process_runs_with_a_small_limit_on_descriptors(tmp_path: Path) -> None:
     rig = RelayRig(tmp_path, sockets=64)
-    with process_of(rig, 64) as process:
-        quiet = [rig.raw(b"") for _ in range(200)]
+    with gateway_process(rig, 64) as process:
+        silent = [rig.raw(b"") for _ in range(200)]
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert len(list(Path(f"/proc/{process.pid}/fd").iterdir())) <= 64 and process.poll() is None
-        assert all(sock.recv(1) == b"" for sock in quiet)  # each was closed by its timeout or evicted
+        assert all(sock.recv(1) == b"" for sock in silent)  # each was closed by its timeout or evicted
 
 
 # Runs the program with an audit hook that ends it at the first call that the platform's filter would reject.
-WATCHED = """
+AUDITED_PROGRAM = """
 import os, socket, sys
 def hook(name, args):
     bad = name in ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system", "subprocess.Popen") \\
@@ -433,7 +443,7 @@
 def test_program_makes_no_call_that_the_platform_rejects(tmp_path: Path) -> None:
     """It starts no program, does not fork, and uses only TCP and UDP sockets over IPv4."""
     rig = RelayRig(tmp_path)
-    with process_of(rig, start=("-c", WATCHED)) as process:
+    with gateway_process(rig, start=("-c", AUDITED_PROGRAM)) as process:
         assert rig.client().ask("GET", "/_health").status == 200
         assert rig.client().ask("GET", "/read", **headers("r1")).status == 200
         assert rig.client().ask("PUT", "/note", b"x", **headers("w1"), Idempotency_Key="k").status == 200
@@ -449,10 +459,10 @@
     rig = RelayRig(tmp_path, classes=[c | {"aim": 8.0, "deadline": 9.0} for c in SETTINGS["classes"]])
     other = DiscoveryServer()
     other.hosts, other.version = dict(rig.discovery.hosts), rig.discovery.version
-    with process_of(rig) as process:
+    with gateway_process(rig) as process:
         assert rig.client().ask("GET", "/_health").status == 200
         rig.shelfs[0].may_respond.clear()
-        sock = rig.raw(text("/read", headers("r1", wait="8000")))
+        sock = rig.raw(request_bytes("/read", headers("r1", wait="8000")))
         wait_for(lambda: rig.received_ids() == ["r1"])
         rig.write(other)
         process.send_signal(signal.SIGHUP)
@@ -487,7 +497,9 @@
     shelf, outcomes = rig.shelfs[0], record_outcomes(rig)
     rig.core.loop.module.node_queues[0].concurrency.limit = 8.0
     shelf.may_respond.clear()
-    socks = [rig.raw(text("/read", headers(f"a{k}", volume=f"{k + 1:016x}", obj=f"{k + 1:x}"))) for k in range(4)]
+    socks = [
+        rig.raw(request_bytes("/read", headers(f"a{k}", volume=f"{k + 1:016x}", obj=f"{k + 1:x}"))) for k in range(4)
+    ]
     wait_for(lambda: len(shelf.requests) == 4)
     shelf.may_respond.set()
     assert all(s.recv(4096).startswith(b"HTTP/1.1 200") for s in socks)
@@ -587,7 +599,7 @@
     kept = rig.client()
     assert kept.ask("GET", "/read", **headers("r0", shard=1)).status == 200
     rig.shelfs[0].may_respond.clear()
-    early = rig.raw(text("/read", headers("r1", wait="2000")))
+    early = rig.raw(request_bytes("/read", headers("r1", wait="2000")))
     wait_for(lambda: "r1" in rig.received_ids())
     began = time.monotonic()
     ending = gevent.spawn(rig.program.drain)
--- a/tests/e2e/test_release.py
+++ b/tests/e2e/test_release.py
@@ -27,14 +27,14 @@
 from fawnspool.net.server import Server
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
-from tests.e2e.relayrig import SETTINGS, RelayRig, headers, plain_sock, text
-from tests.e2e.resting_clients import Crowd, Fate, crowd_of, lost, resting_clients
+from tests.e2e.relayrig import SETTINGS, RelayRig, headers, plain_sock, request_bytes
+from tests.e2e.resting_clients import Crowd, RequestEnding, crowd_of, lost, resting_clients
 from tests.e2e.rig import wait_for
-from tests.e2e.test_crossings import read_to_close, idle_connection
-from tests.e2e.test_relay import process_of
+from tests.e2e.test_crossings import idle_connection, read_to_close
+from tests.e2e.test_relay import gateway_process
 
 CLIENTS = 40
-NOBODY = Crowd()
+NO_CROWD = Crowd()
 
 
 @pytest.fixture
@@ -68,13 +68,13 @@
     start: tuple[str, ...] = ("-m", "fawnspool.relay"),
     held_up: bool = False,
     signals: tuple[signal.Signals, ...] = (signal.SIGTERM,),
-    least: float = 1.0,
+    min_served_fraction: float = 1.0,
     seed: int = 7,
-    crowd: Crowd = NOBODY,
+    crowd: Crowd = NO_CROWD,
 ) -> list[tuple[str, int, str]]:
     """Run clients that keep their connections from before SIGTERM until the exit; return the lost requests."""
     with (
-        process_of(rig, start=start) as process,
+        gateway_process(rig, start=start) as process,
         crowd_of(rig.listen, crowd, seed),
         resting_clients(rig.listen, CLIENTS, seed=seed) as clients,
     ):
@@ -93,15 +93,15 @@
                 process.send_signal(signal.SIGCONT)
         gevent.sleep(0.1)
         assert process.returncode == 0 or held_up  # a process stopped for most of its shutdown may be killed
-        served = sum(one.fate is Fate.ANSWERED for client in clients for one in client.sent)
-        assert served >= 10 * CLIENTS * deadline * (0.2 if held_up else least)
+        served = sum(request.ending is RequestEnding.ANSWERED for client in clients for request in client.sent)
+        assert served >= 10 * CLIENTS * deadline * (0.2 if held_up else min_served_fraction)
     return lost(clients, rig.received_ids)
 
 
 def hanging_nodes(rig: RelayRig, tmp: Path, deadline: float) -> list[tuple[str, int, str]]:
     """One node accepts requests and answers none, from before the signal until after the exit."""
     rig.shelfs[0].may_respond.clear()
-    return forty_clients(rig, tmp, deadline, least=0.0)
+    return forty_clients(rig, tmp, deadline, min_served_fraction=0.0)
 
 
 def many_signals(rig: RelayRig, tmp: Path, deadline: float) -> list[tuple[str, int, str]]:
@@ -123,8 +123,8 @@
     """As in the incident: a connection opens as the idle ones close, and sends a request as "ended" is logged."""
     log = tmp / "log"
     rig.shelfs[0].may_respond.clear()
-    with process_of(rig, start=("-c", SLOW_STOP), log=log) as process:
-        kept = plain_sock(rig.listen, text("/read", headers("kept", shard=1)))
+    with gateway_process(rig, start=("-c", SLOW_STOP), log=log) as process:
+        kept = plain_sock(rig.listen, request_bytes("/read", headers("kept", shard=1)))
         wait_for(lambda: "kept" in rig.received_ids())
         process.send_signal(signal.SIGTERM)
         wait_for(lambda: b'"idle_connections_closed"' in log.read_bytes())
@@ -136,7 +136,7 @@
         response = b""
         if late is not None:
             with contextlib.suppress(OSError):
-                late.sendall(text("/read", headers("late")))
+                late.sendall(request_bytes("/read", headers("late")))
                 response = read_to_close(late)
         wait_for(lambda: process.poll() is not None)
         kept.close()
@@ -170,7 +170,7 @@
         return read
 
 
-ENDS = {
+CLOSE_TRIGGERS = {
     "shutdown": lambda server: server.drain(time.monotonic() + 5),
     "eviction": lambda server: server.evict_waiting(),
     "idle time": lambda server: None,
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("used", [True, False], ids=["idle", "new"])
-@pytest.mark.parametrize("end", ENDS)
+@pytest.mark.parametrize("end", CLOSE_TRIGGERS)
 def test_bytes_that_cross_the_close_of_an_idle_connection_are_not_read(
     rig: RelayRig, monkeypatch: pytest.MonkeyPatch, end: str, used: bool
 ) -> None:
@@ -189,10 +189,10 @@
     sock = idle_connection(rig, "r0") if used else plain_sock(rig.listen)
     wait_for(lambda: server.idle or server.new)
     spy = ReadSpy(monkeypatch)
-    ENDS[end](server)
+    CLOSE_TRIGGERS[end](server)
     assert read_to_close(sock) == b""
     sock.setblocking(True)
-    sock.sendall(text("/read", headers("r1")))
+    sock.sendall(request_bytes("/read", headers("r1")))
     gevent.sleep(0.02)
     with pytest.raises((BrokenPipeError, ConnectionResetError)):
         sock.sendall(b"x")
@@ -203,13 +203,13 @@
 def test_connections_that_the_system_has_accepted_are_served_before_the_listener_closes(tmp_path: Path) -> None:
     """The process is stopped just before it refuses new connections; meanwhile thirty clients send requests."""
     rig = RelayRig(tmp_path)
-    with process_of(rig) as process:
-        kept = plain_sock(rig.listen, text("/read", headers("kept")))
+    with gateway_process(rig) as process:
+        kept = plain_sock(rig.listen, request_bytes("/read", headers("kept")))
         wait_for(lambda: "kept" in rig.received_ids())
         process.send_signal(signal.SIGTERM)
         gevent.sleep(2.0 + 0.7 - KILL_MARGIN_S - LAST_RESPONSES_S - 0.08)
         process.send_signal(signal.SIGSTOP)
-        queued = [plain_sock(rig.listen, text("/read", headers(f"q{k}", volume=f"{k:x}"))) for k in range(30)]
+        queued = [plain_sock(rig.listen, request_bytes("/read", headers(f"q{k}", volume=f"{k:x}"))) for k in range(30)]
         gevent.sleep(0.15)
         process.send_signal(signal.SIGCONT)
         responses = [read_to_close(sock) for sock in queued]
@@ -218,15 +218,17 @@
     assert [response[:9] for response in responses] == [b"HTTP/1.1 "] * 30
 
 
-HALVES = {
+PARTIAL_REQUESTS = {
     "head": b"GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: ",
-    "body": text("/note", headers("w1") | {"Idempotency-Key": "k"}, "PUT", b"x" * 100)[:-50],
-    "body in chunks": text("/note", headers("w1") | {"Idempotency-Key": "k", "Transfer-Encoding": "chunked"}, "PUT")
+    "body": request_bytes("/note", headers("w1") | {"Idempotency-Key": "k"}, "PUT", b"x" * 100)[:-50],
+    "body in chunks": request_bytes(
+        "/note", headers("w1") | {"Idempotency-Key": "k", "Transfer-Encoding": "chunked"}, "PUT"
+    )
     + b"5\r\nab",
 }
 
 
-@pytest.mark.parametrize("half", HALVES)
+@pytest.mark.parametrize("half", PARTIAL_REQUESTS)
 @pytest.mark.parametrize("used", [True, False], ids=["used", "new"])
 def test_partly_read_request_is_rejected_at_shutdown(tmp_path: Path, half: str, used: bool) -> None:
     """Its last byte might arrive only at the exit, so it is answered while there is time for a response."""
@@ -235,7 +237,7 @@
         began_at, ending = time.monotonic(), gevent.spawn(rig.program.drain)
         sock = idle_connection(rig, "r0") if used else plain_sock(rig.listen)
         gevent.sleep(0.3)
-        sock.sendall(HALVES[half])
+        sock.sendall(PARTIAL_REQUESTS[half])
         response = read_to_close(sock)
         assert response.startswith(b"HTTP/1.1 503") and response.count(b"HTTP/1.1") == 1
         assert time.monotonic() < began_at + 0.4 + 0.7  # when the platform may kill the process
@@ -248,7 +250,7 @@
 def test_client_that_sends_too_much_after_its_request_gets_a_400(rig: RelayRig) -> None:
     """Its disconnect could not be detected, so it is treated as disconnected; the request it sent is still answered."""
     rig.shelfs[0].may_respond.clear()
-    sock = plain_sock(rig.listen, text("/read", headers("r1")))
+    sock = plain_sock(rig.listen, request_bytes("/read", headers("r1")))
     wait_for(lambda: rig.received_ids() == ["r1"])
     sock.sendall(b"x" * 40_000)
     sock.setblocking(False)
@@ -292,7 +294,7 @@
     handler = Handler(5.0)
     server = Server(("127.0.0.1", 0), handler)
     server.start()
-    sock = plain_sock(server.address, text("/read", headers("r1")))
+    sock = plain_sock(server.address, request_bytes("/read", headers("r1")))
     wait_for(lambda: handler.request_ids)
     server.stop()
     assert read_to_close(sock).startswith(b"HTTP/1.1 500")
--- a/tests/e2e/test_release_soak.py
+++ b/tests/e2e/test_release_soak.py
@@ -11,8 +11,8 @@
 
 @pytest.mark.parametrize("number", range(len(SHORT_SOAK)))
 def test_no_request_is_lost_in_a_short_soak_of_releases(number: int) -> None:
-    """Guards against requests that a shutdown reads and does not answer, with several signals and a crowd of clients."""
-    assert SHORT_SOAK[number].play() == []
+    """Guards against requests that a shutdown reads and does not answer, with several signals and a crowd."""
+    assert SHORT_SOAK[number].run() == []
 
 
 def test_short_soak_covers_several_signals_crowds_and_stopped_processes() -> None:
