--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -481,15 +481,15 @@
     late_connect.started, late_connect.undelayed = 0, 0
     socks["connecting"] = rig.raw(request_bytes("/read", headers("connecting", shard=1, volume="3", wait="1900")))
     wait_for(lambda: late_connect.started == 1)
-    request = request_bytes("/read", headers("half", shard=1, volume="4"))
-    socks["half"] = rig.raw(request[:60])
+    partial_request = request_bytes("/read", headers("half", shard=1, volume="4"))
+    socks["half"] = rig.raw(partial_request[:60])
     silent = rig.raw(b"")
     wait_for(lambda: len(server.new) == 1)
     ending = gevent.spawn(rig.program.drain)
     again = gevent.spawn(rig.program.drain)  # a second signal
     rig.program.reload()  # and a new configuration
     wait_for(lambda: rig.program.handler.last_answer_by < float("inf"))
-    socks["half"].sendall(request[60:])
+    socks["half"].sendall(partial_request[60:])
     ending.join(timeout=10)
     again.join(timeout=10)
     assert rig.program.ended.is_set()
