--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -275,7 +275,7 @@
         self._expire_waits([*self.idle, *self.new])
 
     def end_reading(self) -> None:
-        """Stop reading; a client whose request has arrived only in part gets a response that this server shuts down."""
+        """Stop reading; a client whose request has arrived only in part gets an error response at once."""
         self.draining = True
         self.reading_ended = True
         self.shutdown_deadline = min(self.shutdown_deadline, time.monotonic())
