--- a/fawnspool/gateway/json_splitter.py
+++ b/fawnspool/gateway/json_splitter.py
@@ -12,7 +12,7 @@
     """An object of the stream exceeds the limit."""
 
     def __init__(self, max_bytes: int) -> None:
-        super().__init__(f"a JSON object exceeds the limit of {max_bytes} bytes")
+        super().__init__(f"a JSON object of over {max_bytes} bytes")
 
 
 class ObjectSplitter:
