--- a/tests/e2e/test_hard_cases.py
+++ b/tests/e2e/test_hard_cases.py
@@ -425,5 +425,5 @@
         and not pending.start_streaming()
         and pending.answer_kind is AnswerKind.SERVED
     )
-    with pytest.raises(RuntimeError, match="answered once"):
+    with pytest.raises(RuntimeError, match="the exchange already has its response"):
         pending.exchange.respond(200, [])
