--- a/fawnspool/leases/backoff.py
+++ b/fawnspool/leases/backoff.py
@@ -13,7 +13,7 @@
 class PauseReason(Enum):
     """Why a gateway accepts no roles for a while, as written in logs."""
 
-    UNUSABLE = "a service that a role needs is unreachable"
+    UNUSABLE = "what a role needs is out of reach"
     UNANSWERED = "no majority of acceptors answered in time"
     LAGGING = "its event loop runs late"
 
