--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -197,7 +197,7 @@
             raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT)
         if time.monotonic() >= self.attempt.write_deadline:
             raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME)
-        if self.request.exchange is not None and self.request.exchange.client_left():
+        if self.request.exchange is not None and self.request.exchange.client_has_disconnected():
             raise _AttemptEndedError(AttemptEnding.CLIENT_LEFT_UNSENT)
 
     # ------------------------------------------------------------ the request
--- a/fawnspool/net/exchange.py
+++ b/fawnspool/net/exchange.py
@@ -167,7 +167,7 @@
         self.answered = True
         self.connection.closing = True
 
-    def client_left(self) -> bool:
+    def client_has_disconnected(self) -> bool:
         """Return whether the client closed its connection while it waits for the response.
 
         A close is also detected after further bytes that follow the request; these bytes are left unread.
--- a/fawnspool/standins/node.py
+++ b/fawnspool/standins/node.py
@@ -222,7 +222,7 @@
         self.recorder.arrived(attempt)
         if self._faults.drain:
             return NodeResponse(503, overloaded=True)
-        result = self._work.execute(attempt.header, attempt.writes, attempt.exchange.client_left)
+        result = self._work.execute(attempt.header, attempt.writes, attempt.exchange.client_has_disconnected)
         if result is not WorkResult.DONE:
             return NodeResponse(503, overloaded=result is WorkResult.OVERLOADED, reason=result.value)
         if occurs(self._faults.error, self._random):
--- a/tests/e2e/test_crossings.py
+++ b/tests/e2e/test_crossings.py
@@ -139,7 +139,7 @@
         if how == "reset":
             sock.setsockopt(std.SOL_SOCKET, std.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         sock.close()
-    wait_for(lambda: next(iter(rig.core.pending.values())).exchange.client_left())
+    wait_for(lambda: next(iter(rig.core.pending.values())).exchange.client_has_disconnected())
     late_connect.may_connect.set()
     wait_until_done(rig)
     assert rig.received_ids() == []
