--- a/fawnspool/net/exchange.py
+++ b/fawnspool/net/exchange.py
@@ -177,7 +177,7 @@
             return True
         if self.request_read:
             return connection.has_disconnected()
-        return connection.stream.peer_left()
+        return connection.stream.peer_has_closed()
 
     def _begin_response(self) -> bool:
         """Mark the exchange as answered and return whether this response is the connection's last."""
--- a/fawnspool/net/socket_stream.py
+++ b/fawnspool/net/socket_stream.py
@@ -213,7 +213,7 @@
         except OSError:
             return True
 
-    def peer_left(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Return whether the peer has closed its side; False while bytes before the close are unread."""
         try:
             return self.peek() == b""
--- a/fawnspool/standins/clients.py
+++ b/fawnspool/standins/clients.py
@@ -211,13 +211,13 @@
             if not link.is_stale():
                 link.is_new = False
                 return link
-            if not link.stream.peer_left():
+            if not link.stream.peer_has_closed():
                 self.note("extra", op="?", n=0, head=head)
             link.close()
         return ClientConnection(connect(self.heads[head], min(deadline, time.monotonic() + 0.5)))
 
     def _keep(self, op: Operation, n: int, head: int, link: ClientConnection, keep: bool) -> None:
-        if link.is_stale() and not link.stream.peer_left():
+        if link.is_stale() and not link.stream.peer_has_closed():
             self.note("extra", op=op.name, n=n, head=head)  # bytes behind the final answer
             link.close()
         elif keep:
--- a/tests/e2e/test_relay.py
+++ b/tests/e2e/test_relay.py
@@ -323,7 +323,7 @@
     wait_for(lambda: [o.result for o in outcomes] == [interface.Result.CANCELLED])
     wait_for(lambda: not rig.core.pending and not rig.program.handler.open)
     assert all(
-        conn.stream.peer_left() for conn in shelf.server.connections
+        conn.stream.peer_has_closed() for conn in shelf.server.connections
     )  # the closed connection cancels the request at the shelf
 
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -119,7 +119,7 @@
 CALLS_AFTER_RESET: dict[str, Callable[[SocketStream], Any]] = {
     "none": lambda stream: None,
     "at_end": SocketStream.at_end,
-    "peer_left": SocketStream.peer_left,
+    "peer_has_closed": SocketStream.peer_has_closed,
     "has_unread": SocketStream.has_unread,
     "closed_by_peer": SocketStream.closed_by_peer,
     "a write": send_fails,
