--- a/fawnspool/api/answer_writer.py
+++ b/fawnspool/api/answer_writer.py
@@ -103,7 +103,7 @@
             headers += [_BINARY, _ACCEPT_RANGES]
         if method == b"HEAD":
             size = int(answer.headers.get(b"fawn-size", b"0"))
-            exchange.respond_bare(answer.status, headers, size)
+            exchange.respond_to_head(answer.status, headers, size)
             return
         if method == b"GET":
             self.gateway.metrics.bytes_out += len(answer.body)
--- a/fawnspool/net/exchange.py
+++ b/fawnspool/net/exchange.py
@@ -127,7 +127,7 @@
         bodiless = self.head.method == b"HEAD" or status in BODILESS_STATUSES
         self._send_response(status, headers, len(body), b"" if bodiless else body, close)
 
-    def respond_bare(self, status: int, headers: list[tuple[bytes, bytes]], length: int) -> None:
+    def respond_to_head(self, status: int, headers: list[tuple[bytes, bytes]], length: int) -> None:
         """Send the response to HEAD, with the body length that GET would have."""
         self._send_response(status, headers, length, b"", close=False)
 
