--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -133,7 +133,7 @@
         age_s = self.age_s()
         return age_s if age_s > STALE_HEARTBEATS * self.staleness.settings.heartbeat_interval_s else 0.0
 
-    def reachable(self) -> bool:
+    def is_service_reachable(self) -> bool:
         """Return whether the map service answers, as far as is known."""
         return self.watch is None or self.watch.reachable
 
@@ -143,7 +143,7 @@
         return {
             "extents": len(self.map),
             "shards": len(self.map.partitions),
-            "reachable": self.reachable(),
+            "reachable": self.is_service_reachable(),
             "age_s": round(age_s, 2) if age_s < math.inf else None,
             "hits": self.cached_answers,
             "asked": self.lookups,
--- a/tests/e2e/test_map.py
+++ b/tests/e2e/test_map.py
@@ -105,7 +105,7 @@
 
 def test_what_the_map_does_not_hold_is_asked_for_and_the_first_of_two_stands(gateways: Gateways) -> None:
     a = gateways.directory()
-    wait_for(a.reachable)
+    wait_for(a.is_service_reachable)
     assert a.find("v", "none", soon()) is None and a.lookups == 1
     gateways.database.put("v", "k", 4, 1)
     assert a.find("v", "k", soon()) == (4, 1)
@@ -117,7 +117,7 @@
     gateways.database.put("v", "k", 1, 1)
     wait_for(lambda: cell(a, "k") == 1)
     gateways.service.stop()
-    wait_for(lambda: not a.reachable() and a.stale_for_s() > 0.2)
+    wait_for(lambda: not a.is_service_reachable() and a.stale_for_s() > 0.2)
     assert a.find("v", "k", soon()) == (1, 1) and a.status()["reachable"] is False
     with pytest.raises(MapServiceError):
         a.find("v", "other", soon())
@@ -131,7 +131,7 @@
     """40 heads, 20 calls a second borne: their watches come back over two seconds and more, not at once."""
     settings = StalenessSettings(gateway_count=40, service_calls_per_s=20.0)
     made = [gateways.directory(settings=settings) for _ in range(40)]
-    wait_for(lambda: all(p.reachable() for p in made))
+    wait_for(lambda: all(p.is_service_reachable() for p in made))
     pauses = sorted(p.staleness.watch_lost(time.monotonic()) for p in made)
     assert pauses[0] >= 2.0 and pauses[-1] - pauses[0] > 2.0
     assert max(sum(x <= p < x + 1 for p in pauses) for x in pauses) <= 25
@@ -198,7 +198,7 @@
         sock.close()
     finally:
         liar.close()
-    assert told[0].startswith(b"GET /watch?told=") and a.map is held and not a.reachable()
+    assert told[0].startswith(b"GET /watch?told=") and a.map is held and not a.is_service_reachable()
 
 
 @pytest.mark.parametrize("query", ["told=1.1", "told=a.b,1.1,1.1,1.1", "told=-1.0,0.0,0.0,0.0", "", "other=1"])
@@ -341,7 +341,7 @@
 def test_the_log_does_not_outgrow_the_map(gateways: Gateways, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(checkpointing, "MIN_LOG_CAPACITY", 50)
     a = gateways.directory("disk")
-    wait_for(a.reachable)
+    wait_for(a.is_service_reachable)
     for n in range(400):
         gateways.database.put("v", "x", n, n)
         gevent.sleep(0.001)
@@ -352,7 +352,7 @@
 
 def test_what_a_call_told_is_saved_too(gateways: Gateways) -> None:
     a = gateways.directory("disk")
-    wait_for(a.reachable)
+    wait_for(a.is_service_reachable)
     gateways.database.watchers.clear()  # the watch says nothing more
     assert a.record_write(ExtentWrite("v", "k", 2, 5), soon()) and a.record_write(ExtentWrite("v", "l", 3, 5), soon())
     wait_for(lambda: same(load_map(gateways.folder / "disk").map, a.map))
@@ -387,7 +387,7 @@
     directory = ExtentDirectory(map_client, Staleness(StalenessSettings(), 1, 1), logs.get())
     try:
         directory.start()
-        wait_for(directory.reachable)
+        wait_for(directory.is_service_reachable)
         for k in range(200):
             assert directory.record_write(ExtentWrite("v", f"x{k}", k % 7, k), soon())
         gevent.spawn_later(0.05, process.kill)
@@ -402,7 +402,7 @@
         for k in range(done):
             fact = again.find_record("v", f"x{k}")
             assert fact is not None and fact.shard == k % 7
-        wait_for(directory.reachable)
+        wait_for(directory.is_service_reachable)
         assert again.record_migration("v", "x0", 9, 1) is not None
         wait_for(lambda: cell(directory, "x0") == 9)
     finally:
