--- a/fawnspool/cli/extents.py
+++ b/fawnspool/cli/extents.py
@@ -106,7 +106,7 @@
 
 
 def _replica_row(migrator: Migrator, shard: int, extent: ExtentKey) -> dict[str, Any]:
-    replica = migrator.replicas.look(shard, extent)
+    replica = migrator.replicas.fetch_report(shard, extent)
     if replica is None:
         return {"cell": shard, "role": "no answer"}
     return {
--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -114,8 +114,8 @@
     def _record_failed_move(self, record: ExtentRecord, target: int) -> None:
         extent = ExtentKey(record.volume, record.extent)
         if (
-            self._migrator.replicas.look(record.shard, extent) is None
-            and self._migrator.replicas.look(target, extent) is None
+            self._migrator.replicas.fetch_report(record.shard, extent) is None
+            and self._migrator.replicas.fetch_report(target, extent) is None
         ):
             self.lease.record_reachability(ANY_NODE, False)
             self.lease.check()
@@ -139,7 +139,7 @@
 
     def _target(self, record: ExtentRecord, drained: set[int]) -> int | None:
         """Return the shard to move an extent to: an earlier holder's target if that holder has fenced the extent."""
-        source_report = self._migrator.replicas.look(record.shard, ExtentKey(record.volume, record.extent))
+        source_report = self._migrator.replicas.fetch_report(record.shard, ExtentKey(record.volume, record.extent))
         next_generation = record.stamp.generation + 1
         if (
             source_report is not None
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -122,7 +122,7 @@
         ConnectError
             If the node does not serve the extent.
         """
-        report = self.replicas.look(record.shard, key)
+        report = self.replicas.fetch_report(record.shard, key)
         if report is not None and report.role is ReplicaRole.UNCONFIRMED:
             generation = record.stamp.generation
             is_serving = self.replicas.send_command(record.shard, key, ReplicaCommand.CONFIRM, generation, mine=True)
@@ -133,8 +133,8 @@
 
     def _take_next_step(self, migration: Migration, key: ExtentKey, undo: bool) -> MigrationStep:
         record = self.map_client.find_record(*key)
-        source = self.replicas.look(migration.source, key)
-        target = self.replicas.look(migration.target, key)
+        source = self.replicas.fetch_report(migration.source, key)
+        target = self.replicas.fetch_report(migration.target, key)
         # A deleted extent needs no update of the map.
         map_generation = migration.generation if record is None else record.stamp.generation
         if record is not None:
--- a/fawnspool/gateway/replica_client.py
+++ b/fawnspool/gateway/replica_client.py
@@ -95,7 +95,7 @@
         self.guard = guard
         self._pools: dict[tuple[str, int], ConnectionPool] = {}
 
-    def look(self, shard: int, key: ExtentKey) -> ReplicaReport | None:
+    def fetch_report(self, shard: int, key: ExtentKey) -> ReplicaReport | None:
         """Return a node's report about its replica, or None if the call fails."""
         try:
             reply = self._call(shard, _NodeCall(b"GET", _REPLICA_PATH, key))
