--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -193,7 +193,7 @@
         """Count a finished request and end its trace."""
         self.metrics.request(pending.class_name, pending.plan_name, outcome)
         if pending.answer_kind is not AnswerKind.SERVED:
-            self.metrics.not_served(outcome, reason_label(pending))
+            self.metrics.count_not_served(outcome, reason_label(pending))
         if pending.span is not None and self.traces is not None:
             self.traces.end(
                 pending.span,
@@ -223,7 +223,7 @@
             write_by=now + action.write_within_s if action.write_within_s > 0 else math.inf,
         )
         if not pending.attempts:
-            self.metrics.waited(pending.class_name, now - pending.arrived_at)
+            self.metrics.count_first_send_wait(pending.class_name, now - pending.arrived_at)
         pending.attempts.append(attempt)
         pending.open_attempts += 1
         self.greenlets.submit(self._run_attempt, pending, attempt)
@@ -282,7 +282,7 @@
         result = RESULTS[outcome.ending].value
         ending = outcome.ending.value
         self.metrics.attempt(attempt.node, result, outcome.duration_s)
-        self.metrics.ended(ending)
+        self.metrics.count_attempt_ending(ending)
         if pending.span is not None and self.traces is not None:
             self.traces.attempt(
                 pending.span,
--- a/fawnspool/telemetry/counters.py
+++ b/fawnspool/telemetry/counters.py
@@ -74,7 +74,7 @@
         key = (class_name, plan_name, outcome)
         self.requests[key] = self.requests.get(key, 0) + 1
 
-    def not_served(self, outcome: str, reason: str) -> None:
+    def count_not_served(self, outcome: str, reason: str) -> None:
         """Count why a request was not served."""
         key = (outcome, reason)
         self.reasons[key] = self.reasons.get(key, 0) + 1
@@ -98,10 +98,10 @@
             del self.node_time[oldest]
             self.attempts = {key: count for key, count in self.attempts.items() if key[0] != oldest}
 
-    def ended(self, ending: str) -> None:
+    def count_attempt_ending(self, ending: str) -> None:
         """Count how an attempt ended."""
         self.endings[ending] = self.endings.get(ending, 0) + 1
 
-    def waited(self, class_name: str, seconds: float) -> None:
+    def count_first_send_wait(self, class_name: str, seconds: float) -> None:
         """Count the time from a request's arrival to its first send."""
         self.head_wait.setdefault(class_name, Histogram()).add(seconds)
