--- a/fawnspool/gossip/health_evidence.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -184,7 +184,7 @@
         is_refuted = findings.healthy_at > finding.at - self.settings.interval_s and not findings.failures
         if finding.is_bad and is_refuted:
             self._announce_healthy(row.node, findings)
-        return self._weigh(now, row.node, findings)
+        return self._evaluate(now, row.node, findings)
 
     def _announce_healthy(self, node: int, findings: NodeFindings) -> None:
         """Queue a healthy finding, as this gateway's own good answers contradict a received finding."""
@@ -198,7 +198,7 @@
 
     # ------------------------------------------------------------ ejection
 
-    def _weigh(self, now: float, node: int, findings: NodeFindings) -> list[GossipAction]:
+    def _evaluate(self, now: float, node: int, findings: NodeFindings) -> list[GossipAction]:
         if findings.ejected_at is not None:
             return self._check_recovery(now, node, findings, findings.ejected_at)
         if not self._should_eject(now, findings):
--- a/tests/e2e/doctored.py
+++ b/tests/e2e/doctored.py
@@ -174,11 +174,11 @@
 def hearsay_alone() -> None:
     """A gateway that believes whatever it hears of a node, before its own answers, and does not try it."""
 
-    def weigh(self: Any, now: float, node: int, findings: Any) -> list[Any]:
+    def evaluate(self: Any, now: float, node: int, findings: Any) -> list[Any]:
         bad = [finding for finding in findings.by_origin.values() if finding.is_bad]
         return [health_evidence.GossipedHealth(node, False, 60.0)] if bad else []
 
-    health_evidence.HealthEvidence._weigh = weigh  # type: ignore[method-assign]
+    health_evidence.HealthEvidence._evaluate = evaluate  # type: ignore[method-assign]
     health_evidence.HealthEvidence.record_healthy = lambda self, now, node: []  # type: ignore[method-assign]
 
 
