--- a/fawnspool/adapter/settings.py
+++ b/fawnspool/adapter/settings.py
@@ -51,7 +51,7 @@
 
 
 def _flatten(path: str, value: Any) -> Iterator[tuple[str, str]]:
-    """Yield the paths and values of the wire's lines; lists of plain values are joined by commas, others numbered."""
+    """Yield the paths and values of the wire's lines; plain lists are joined by commas, others numbered."""
     if isinstance(value, Mapping):
         for name, part in value.items():
             yield from _flatten(f"{path}.{name}" if path else str(name), part)
--- a/fawnspool/connections/config_reload.py
+++ b/fawnspool/connections/config_reload.py
@@ -7,7 +7,7 @@
 
 
 def retry_delay_s(failed_reads: int) -> float | None:
-    """Return the seconds until the next read after so many failed ones; None: the file is invalid."""
+    """Return the seconds until the next read after `failed_reads` failed ones; None: the file counts as invalid."""
     if failed_reads > _MAX_RETRIES:
         return None
     return RETRY_DELAY_S
--- a/fawnspool/connections/eviction.py
+++ b/fawnspool/connections/eviction.py
@@ -15,8 +15,8 @@
 def kind_to_evict(idle: int, new: int) -> WaitingKind | None:
     """Choose the kind of connection to evict; the caller closes the one of this kind that has waited longest.
 
-    The more numerous kind is chosen, so that a flood of either kind cannot evict all of the other. A slow client may
-    lose its first request to this.
+    The more numerous kind is chosen, so that a flood of either kind cannot evict all of the other. A client that
+    is slow to send its first request may be evicted before that request is read.
 
     Parameters
     ----------
--- a/fawnspool/connections/shutdown.py
+++ b/fawnspool/connections/shutdown.py
@@ -34,7 +34,7 @@
 
 
 def shutdown_schedule(signalled_at: float, new_connections_s: float, killed_after_s: float) -> ShutdownSchedule:
-    """Plan the shutdown so that the process serves as long as possible, as no other replaces it before it ends.
+    """Plan the shutdown so that the process serves as long as possible, as no other process replaces it before it ends.
 
     New connections are refused before idle ones are closed; otherwise the clients of the closed ones would reconnect
     until the end. If the machine stalls for longer than `KILL_MARGIN_S`, requests may be left unanswered.
--- a/fawnspool/connections/states.py
+++ b/fawnspool/connections/states.py
@@ -1,7 +1,7 @@
 """The states of a client's connection, the causes of its end, and the response owed at each end.
 
-A request that was read is answered. Unread bytes are not: the client may send them again, as the system's reset of the
-connection indicates.
+A request that was read is answered. Unread bytes are not: the operating system resets the connection, which tells the
+client that it may send them again.
 
 | state     | bytes arrive | client closes, or connection breaks | deadline | eviction | shutdown  | internal error |
 | --------- | ------------ | ----------------------------------- | -------- | -------- | --------- | -------------- |
@@ -62,7 +62,7 @@
     },
     ConnectionState.ANSWERING: {
         ConnectionEvent.REQUEST_AWAITED: ConnectionState.IDLE,
-        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,  # read on after an early response
+        ConnectionEvent.REQUEST_COMPLETE: ConnectionState.HANDLING,  # the rest was read after an early response
     },
     ConnectionState.CLOSING: {  # another greenlet may still work on its exchange
         ConnectionEvent.REQUEST_COMPLETE: ConnectionState.CLOSING,
--- a/fawnspool/connections/watch_timeouts.py
+++ b/fawnspool/connections/watch_timeouts.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-_SILENCE_HEARTBEATS = 1.75  # silent: the heartbeat is late by three quarters of its interval
+_SILENCE_HEARTBEATS = 1.75  # a watch counts as silent once a heartbeat is late by three quarters of its interval
 _CALL_HEARTBEATS = 1.25  # a call that fails just before the service is back leaves time for two more
-_OLDER_SNAPSHOTS_TO_ACCEPT = 3  # in a row, which shows that the service has restarted its version count
+_OLDER_SNAPSHOTS_TO_ACCEPT = 3  # so many in a row show that the service has restarted its version count
 
 
 @dataclass(frozen=True)
@@ -28,8 +28,9 @@
 def watch_timeouts(heartbeat_s: float) -> WatchTimeouts:
     """Derive the timeouts from the interval of the service's heartbeats.
 
-    Updates that a silent watch missed count as known three heartbeats after it fell silent, so the silence and the
-    calls that follow must fit into this time. While the service is slower than that, calls time out and are repeated.
+    Three heartbeats after a watch fell silent, the gateway is expected to know the updates that the watch missed, so
+    the silence and the calls that follow must fit into this time. While the service answers more slowly than that,
+    calls time out and are repeated.
     """
     return WatchTimeouts(silence_s=_SILENCE_HEARTBEATS * heartbeat_s, call_s=_CALL_HEARTBEATS * heartbeat_s)
 
@@ -37,8 +38,9 @@
 def reopens_at_once(established: bool, timed_out: bool) -> bool:
     """Return whether a watch that ended is reopened at once rather than after the scheduler's backoff.
 
-    This holds only if the watch was established and fell silent: the updates it missed count as known soon, so there
-    is no time for a backoff. A backoff would not spare the service, as each reopening takes a silence first.
+    This holds only if the watch was established and fell silent: the gateway is soon expected to know the updates
+    it missed, so there is no time for a backoff. A backoff would not spare the service either, as a silence
+    precedes each reopening.
     """
     return established and timed_out
 
--- a/fawnspool/scheduling/admission.py
+++ b/fawnspool/scheduling/admission.py
@@ -12,15 +12,19 @@
 from fawnspool.scheduling.response_times import FleetResponseTimes
 
 MAX_WAIT_FRACTION = 0.25  # part of the least latency objective that a request may spend in a node's queue
-RESERVE_WAIT_FACTOR = 2.0
-LATE_WAIT_FACTOR = 0.25
+RESERVE_WAIT_FACTOR = 2.0  # of the permitted wait, for a request of rank WITHIN_RESERVE
+LATE_WAIT_FACTOR = 0.25  # of the permitted wait, for a request of rank LATE
 MAX_EXCESS_USE = 4.0  # multiple of a volume's rate; use above it does not reduce the permitted wait further
-MIN_WAIT_JITTER = 0.5  # the factor is random so that the gateways do not all reject at the same time
+MIN_WAIT_JITTER = 0.5  # random factor of the permitted wait, so that the gateways do not all reject at once
 MAX_WAIT_JITTER = 1.5
 
 
 def make_pending(request: Request, settings: Settings, now: float) -> PendingRequest:
-    """Return the request with its due time and expiry; a client's timeout may be below the latency objective."""
+    """Return the pending request with its due time and expiry.
+
+    It is due when the latency objective or the client's timeout ends, whichever is earlier. For a client's retry, the
+    part of the deadline that the client has already spent is deducted from the objective.
+    """
     request_class = settings.classes[request.class_index]
     spent_s = max(0.0, request_class.deadline_s - request.timeout_s) if request.is_client_retry else 0.0
     return PendingRequest(
@@ -35,7 +39,10 @@
 
 
 def assign_rank(pending: PendingRequest, limiter: RateLimiter, now: float, check_interval_s: float) -> None:
-    """Set the rank: LATE, or WITHIN_RESERVE if its volume's reserve has units, from which it then draws."""
+    """Set a request's rank: LATE if it is due by the next check, else WITHIN_RESERVE if its volume's reserve has units.
+
+    A late request gets its client's timeout as its due time. A request within the reserve draws its units from it.
+    """
     if pending.due_at <= now + check_interval_s:
         pending.rank = Rank.LATE
         pending.due_at = pending.expires_at
@@ -55,11 +62,12 @@
 
 
 class QueueingDelayLimit:
-    """Rejects requests that would wait too long at a node whose queue the concurrency limits cannot bound.
+    """Rejects requests that would wait too long at a node; used in a large fleet.
 
-    This is the case in a large fleet. Every gateway observes the wait in the node's answers. A request within its
-    volume's reserve may wait longest; beyond the reserve the permitted wait falls as the volume's use rises; late
-    client retries may wait least. The threshold is random so that the gateways do not all reject at the same time.
+    There the concurrency limits of all gateways together are too high to bound a node's queue. Each gateway estimates
+    the wait from the node's answers. A request within its volume's reserve may wait longest; beyond the reserve the
+    permitted wait falls as the volume's use rises; late client retries may wait least. The threshold is random so
+    that the gateways do not all reject at the same time.
     """
 
     def __init__(self, settings: Settings, least_objective_s: float, random: Random) -> None:
--- a/fawnspool/scheduling/concurrency.py
+++ b/fawnspool/scheduling/concurrency.py
@@ -6,10 +6,11 @@
 
 from fawnspool.scheduling.interface import Settings
 
-TARGET_RESPONSE_FRACTION = 0.35  # part of the least latency objective for a response; the rest is for queueing here
-LIMIT_SMOOTHING = 0.1  # part of the distance to the wanted limit that one answer closes
+# Part of the least latency objective that a node's response may take; the rest is for queueing in this gateway.
+TARGET_RESPONSE_FRACTION = 0.35
+LIMIT_SMOOTHING = 0.1  # part of the difference to the wanted limit by which one answer moves the limit
 LIMIT_PROBE_REQUESTS = 0.2  # added to the wanted limit at each answer (beta in PARDA)
-MAX_REQUESTS_AT_NODE = 12.0  # from all gateways together; more would only lengthen the node's queue
+MAX_REQUESTS_AT_NODE = 12.0  # in flight from all gateways together; more would only lengthen the node's queue
 INITIAL_LIMIT_REQUESTS = 2.0  # at a node that has not answered yet: one request runs and one waits behind it
 MIN_RESPONSE_S = 1e-3  # lower bound of the mean response in the calculation
 
@@ -17,13 +18,17 @@
 def is_large_fleet(settings: Settings) -> bool:
     """Return whether there are too many gateways for their concurrency limits to bound a node's queue.
 
-    Each gateway may have at least INITIAL_LIMIT_REQUESTS; together they exceed MAX_REQUESTS_AT_NODE.
+    In such a fleet, the initial limits of all gateways add up to more than MAX_REQUESTS_AT_NODE.
     """
     return settings.gateway_count * INITIAL_LIMIT_REQUESTS > MAX_REQUESTS_AT_NODE
 
 
 def max_limit_requests(settings: Settings) -> float:
-    """Return the ceiling of one gateway's limit: its even part of MAX_REQUESTS_AT_NODE, at least the initial limit."""
+    """Return the ceiling of one gateway's limit at a node.
+
+    It is twice the initial limit in a large fleet, else an even part of MAX_REQUESTS_AT_NODE, but at least the initial
+    limit.
+    """
     if is_large_fleet(settings):
         return 2 * INITIAL_LIMIT_REQUESTS
     return max(INITIAL_LIMIT_REQUESTS, MAX_REQUESTS_AT_NODE / settings.gateway_count)
@@ -31,7 +36,7 @@
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """The limit at one node, in requests; its whole part applies.
+    """The limit at one node, in requests; it is rounded down where it is applied.
 
     The limit falls while responses take longer than the target. It grows while they are shorter and it is used up.
     """
--- a/fawnspool/scheduling/endpoints.py
+++ b/fawnspool/scheduling/endpoints.py
@@ -15,9 +15,10 @@
     UpdateKind,
 )
 
-MAX_POLL_RETRY_DELAY_S = 0.8  # for any poll interval: an update that the gateway missed counts as known soon after
+# For any poll interval, as the gateway is soon expected to know an update even if it missed it.
+MAX_POLL_RETRY_DELAY_S = 0.8
 POLL_RETRIES_IN_INTERVAL = 8
-MIN_RETRY_JITTER = 0.5  # jitter shortens the delay to this part at most
+MIN_RETRY_JITTER = 0.5  # the delay is multiplied by a random factor between this and 1
 
 
 class EndpointList:
@@ -26,7 +27,7 @@
     Attributes
     ----------
     nodes : dict of int to Endpoint
-        By node; nodes that are gone are left out.
+        The endpoint of each node; nodes whose phase is GONE are left out.
     is_cached : bool
         The latest list was a cached one. It may be old, so it does not prove when a node started.
     """
--- a/fawnspool/scheduling/fair_queue.py
+++ b/fawnspool/scheduling/fair_queue.py
@@ -170,7 +170,7 @@
         return [pending for volume in self.active.values() for pending in volume.requests]
 
     def requests_by_tag(self, default_response_s: float) -> list[PendingRequest]:
-        """Return all queued requests, ordered by the tag that each volume will have when the request is next."""
+        """Return all queued requests, ordered by the tag of their volume once they are the first in its queue."""
         entries = list[tuple[float, int, int, PendingRequest]]()
         for volume_id, volume in self.active.items():
             step_s = volume.tag_step_s(default_response_s) if volume.requests else 0.0
--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -98,7 +98,7 @@
     gateway_count: int
     gateway_id: int
     zone: int
-    polls_endpoints: bool  # the endpoint list is polled; it is not pushed
+    polls_endpoints: bool  # the endpoint list is polled rather than pushed
     poll_interval_s: float
     drain_grace_s: float
     answer_slack_s: float
@@ -168,7 +168,7 @@
     units: float
     shard: int  # -1: a new object, which any node may store
     gateway_count: int  # number of gateways that serve the volume
-    is_client_retry: bool  # the client's second try, where marked
+    is_client_retry: bool  # the request is marked as the client's second try
     writes: bool
 
     @property
--- a/fawnspool/scheduling/load_shedding.py
+++ b/fawnspool/scheduling/load_shedding.py
@@ -11,9 +11,9 @@
 
 
 def all_are_in_time(node_queue: NodeQueue, done_in_s: float, mean_units: float, now: float) -> bool:
-    """Return whether the last queued request would be done before the earliest due time of all.
+    """Return whether the last queued request would be done before the earliest due time of all queued ones.
 
-    Where this holds, the forecast, whose cost grows with the queue, can be skipped: it would find no late request.
+    If so, the forecast, whose cost grows with the queue, can be skipped: it would find no late request.
 
     Parameters
     ----------
@@ -79,8 +79,9 @@
     """Return the request to shed, or None where none would be late.
 
     The candidates are the first late request and all that would be sent before it. Requests of rank LATE are shed
-    first, then those beyond their volume's reserve, by the volume's excess units per weight, highest first; then the
-    lowest priority first; of equals the request that arrived last.
+    first, then BEYOND_RESERVE, then WITHIN_RESERVE. Of one rank, the request whose volume has the most queued units
+    beyond its reserve per weight is shed first (within the reserve, this counts as 0), then the one of the lowest
+    priority, then the one that arrived last.
     """
     first_late = next((index for index, (pending, done_at) in enumerate(predicted) if done_at > pending.due_at), None)
     if first_late is None:
--- a/fawnspool/scheduling/node_queue.py
+++ b/fawnspool/scheduling/node_queue.py
@@ -98,20 +98,22 @@
         return response_here_s if fleet is None else response_here_s + self.queueing_delay_s(now, fleet)
 
     def done_in_s(self, units: float, now: float, fleet: FleetResponseTimes | None) -> float:
-        """Return the time from send to answer of a request of so many units; `fleet` as in `expected_response_s`."""
+        """Return the time from send to answer of a request of `units`; `fleet` as in `expected_response_s`."""
         if fleet is None:
             return self.mean_response_s()
         return self.queueing_delay_s(now, fleet) + fleet.work_s_per_unit * units
 
     def queueing_delay_s(self, now: float, fleet: FleetResponseTimes | None) -> float:
-        """Return the wait at the node: the one its answers showed, or the silence since then if that is longer.
+        """Return the expected wait at the node.
+
+        This is the estimate from the node's answers, or how long its next answer is overdue if that is longer.
 
         Parameters
         ----------
         now : float
             Seconds on the caller's clock.
         fleet : FleetResponseTimes or None
-            The estimate decays towards the usual wait at all nodes as the answers age; None: towards 0.
+            As the node's answers age, the estimate decays towards the median wait at all nodes; None: towards 0.
         """
         usual_wait_s = fleet.median_wait_s * decay(now - fleet.measured_at) if fleet else 0.0
         silence_s = now - self.health.last_answer_at - self.response_times.mean_s if self.in_flight else 0.0
--- a/fawnspool/scheduling/ordering.py
+++ b/fawnspool/scheduling/ordering.py
@@ -29,7 +29,7 @@
             del self._queues[pending.order_key]
 
     def pause(self, pending: PendingRequest, until: float) -> None:
-        """Let no other request of its key start before the given time."""
+        """Let no other request with this request's order key start before the given time."""
         if pending.order_key is not None:
             self._paused_until[pending.order_key] = until
 
--- a/fawnspool/scheduling/outliers.py
+++ b/fawnspool/scheduling/outliers.py
@@ -8,10 +8,10 @@
 from fawnspool.scheduling.interface import Outcome, Result
 
 FAILURES_TO_EJECT = 3  # consecutive failures without an answer; a lossy path causes single ones only
-SILENCE_MEAN_RESPONSES = 3.0  # multiple of the mean response without any answer; shorter silence may be slowness
+SILENCE_MEAN_RESPONSES = 3.0  # multiple of the mean response; a node silent for a shorter time may be just slow
 HALF_OPEN_MAX_BACKOFF_S = 1.0  # bounds the time until a recovered node is noticed
 HALF_OPEN_MAX_DOUBLINGS = 8
-HALF_OPEN_MIN_JITTER = 0.8  # jitter shortens the backoff to this part at most
+HALF_OPEN_MIN_JITTER = 0.8  # the backoff is multiplied by a random factor between this and 1
 
 
 def is_failure(outcome: Outcome, is_silent: bool) -> bool:
--- a/fawnspool/scheduling/pending_request.py
+++ b/fawnspool/scheduling/pending_request.py
@@ -35,7 +35,7 @@
     expires_at : float
         When its client gives up.
     due_at : float
-        End of the request's full priority weight; for a late request, the end of any weight.
+        Until when the request has its full priority weight; for a request of rank LATE, until when it has any.
     shard : int or None
         The shard in whose queue the request was last.
     order_key : int or None
--- a/fawnspool/scheduling/placement.py
+++ b/fawnspool/scheduling/placement.py
@@ -25,7 +25,7 @@
     Parameters
     ----------
     nodes : sequence of NodeQueue
-        All shards that have a node.
+        The queues of all shards that have a node.
     slow_start_allows : callable
         Returns whether a node's slow start allows one more request.
     expected_response_s : callable
--- a/fawnspool/scheduling/rate_limits.py
+++ b/fawnspool/scheduling/rate_limits.py
@@ -1,9 +1,9 @@
 """Rate limits and reserves of volumes: one token bucket per volume, and transfers of its units between gateways.
 
 Each gateway has an even part of a volume's rate limit, and gateways that lack units request them from others. A lender
-deducts the units before it sends the grant, no gateway's part exceeds its even share of the bucket's depth less the
-units it lent recently, and a grant that arrives after that period is ignored. So all gateways together stay within the
-limit even if messages are lost or late.
+deducts the units before it sends the grant, and for the length of the transfer window its part of the bucket holds at
+most its even share of the depth less the units it lent. A grant that arrives after the window is ignored. So all
+gateways together stay within the limit even if messages are lost or late.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 BROADCAST_INTERVAL_S = 1.0  # between two broadcast requests for units of one volume
 TRANSFER_VALIDITY_FRACTION = 0.95  # part of the transfer window for which a grant is valid, as clock rates differ
-LENDERS_ASKED = 2
+LENDERS_ASKED = 2  # gateways that are asked for units at the same time
 MIN_GRANT_UNITS = 1.0
 MAX_VOLUMES = 4096  # number of volumes remembered, even if none is idle
-MIN_METERED_UNITS_PER_S = 1e-9
+MIN_METERED_UNITS_PER_S = 1e-9  # avoids a division by 0
 
 
 @dataclass(slots=True, eq=False)
@@ -40,7 +40,8 @@
     Attributes
     ----------
     tokens : float
-        This gateway's part of the rate limit. It starts empty, as an earlier incarnation may have drawn the units.
+        This gateway's part of the rate limit. It starts empty, as an earlier incarnation of this
+        gateway may have drawn the units.
     reserve_units : float
         This gateway's part of the reserve.
     queued_units : float
@@ -119,7 +120,7 @@
         return has_units
 
     def return_reserve(self, units: float) -> None:
-        """Return the units of a request that was never sent to the reserve."""
+        """Give back to the reserve the units of a request that was never sent."""
         self.reserve_units += units
 
 
@@ -166,7 +167,7 @@
         return limiter
 
     def refill(self, limiter: RateLimiter, now: float) -> None:
-        """Refill a limiter's parts of the limit and the reserve."""
+        """Add the units that accrued to this gateway's parts of a volume's rate limit and reserve."""
         limiter.refill(now, self._transfer_window_s, self._settings.largest_units)
 
     def request_units(self, volume_id: int, limiter: RateLimiter, now: float) -> list[SendPeerMessage]:
@@ -206,7 +207,7 @@
     def _grant(
         self, borrower: int, message: TransferMessage, limiter: RateLimiter, now: float
     ) -> SendPeerMessage | None:
-        """Lend half of the units that are not needed here until units from other gateways may arrive."""
+        """Lend half of the units that this gateway does not need before other gateways could lend it more."""
         lead_time_s = self._check_interval_s if limiter.participants_known else self._transfer_window_s
         spare_units = limiter.tokens - limiter.queued_units - limiter.served_units_per_s * lead_time_s
         has_spare = spare_units >= MIN_GRANT_UNITS
@@ -235,7 +236,7 @@
             limiter.lenders = limiter.lenders | set(event.gateways) - {self._settings.gateway_id}
 
     def record_outcome(self, pending: PendingRequest, outcome: Outcome, now: float) -> None:
-        """Record the volume's use through this gateway, which sets its part of the reserve, and its metered use."""
+        """Record the volume's metered use and its use through this gateway; both set this gateway's reserve."""
         limiter = self.limiter(pending, now)
         if outcome.result is Result.SERVED:
             averaging_window_s = max(self._settings.meter_period_s, self._transfer_window_s)
@@ -250,7 +251,10 @@
             limiter.usage_share = min(1.0, limiter.served_units_per_s / metered_units_per_s)
 
     def forget_idle_volumes(self, now: float) -> None:
-        """Drop idle volumes; a bucket that is created again starts empty, so the limit still holds."""
+        """Drop idle volumes, and the least recently used ones beyond MAX_VOLUMES.
+
+        A bucket that is created again starts empty, so the limit still holds.
+        """
         while self.limiters:
             is_idle = next(iter(self.limiters.values())).refilled_at < now - IDLE_VOLUME_S
             if len(self.limiters) <= MAX_VOLUMES and not is_idle:
--- a/fawnspool/scheduling/response_times.py
+++ b/fawnspool/scheduling/response_times.py
@@ -68,7 +68,7 @@
     measured_at: float = 0.0
 
     def learn(self, response_s: float, units: float, now: float, fleet: FleetResponseTimes) -> None:
-        """Record one answer; its weight in the wait grows with the time since the answer before."""
+        """Record one answer; its weight in the estimated wait grows with the time since the previous answer."""
         smoothing = max(RESPONSE_SMOOTHING, 1 - decay(now - self.measured_at))
         self.mean_s += (response_s - self.mean_s) * (RESPONSE_SMOOTHING if self.mean_s else 1.0)
         waited_s = fleet.learn(response_s, units)
@@ -77,7 +77,7 @@
         self.measured_at = now
 
     def record_overload(self, least_objective_s: float, now: float) -> None:
-        """Record a rejection by the node: a request sent now is taken to wait for over the least latency objective."""
+        """Record a rejection by the node: assume a wait above the least latency objective from now on."""
         self.wait_s = least_objective_s + self.wait_s
         self.measured_at = now
 
--- a/fawnspool/scheduling/retries.py
+++ b/fawnspool/scheduling/retries.py
@@ -8,7 +8,8 @@
 from fawnspool.scheduling.interface import DeduplicationScope, Endpoint, Idempotence, Settings
 from fawnspool.scheduling.pending_request import Attempt, PendingRequest
 
-CLOCK_MARGIN_TICKS = 2  # ticks of the caller's clock by which a deduplication window is taken to be shorter
+# Ticks of the caller's clock by which a retry must precede the end of its deduplication window.
+CLOCK_MARGIN_TICKS = 2
 
 
 class RetryBudget:
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -50,9 +50,9 @@
 from fawnspool.scheduling.retries import RetryPolicy
 from fawnspool.scheduling.timer_tokens import CHECK_TOKEN, POLL_TOKEN, expiry_token, request_of_token
 
-CHECKS_PER_OBJECTIVE = 8  # checks of all queues per least latency objective: a late check costs an eighth of it
+CHECKS_PER_OBJECTIVE = 8  # checks of all queues per least latency objective; waiting for one costs up to an eighth
 EXPIRY_LEAD_TICKS = 3  # ticks of the caller's clock by which a queued request's timer precedes its client's timeout
-EXPIRY_MARGIN_TICKS = 4
+EXPIRY_MARGIN_TICKS = 4  # a timer that expires earlier than this before the client's timeout has no effect
 
 NEVER_RAN = (Result.OVERLOADED, Result.CONNECT_FAILED, Result.NOT_SENT)
 MAY_STILL_RUN = (Result.TIMED_OUT, Result.RESET, Result.CANCELLED)
@@ -282,12 +282,12 @@
         node_queue.queue.record_send(pending)
         write_within_s = self.retries.write_within_s(pending, self.now)
         pending.attempts.append(Attempt(node_queue.node, self.now))
-        # Past its due time the request would only delay others: nodes drop or stop a request after its timeout.
+        # The timeout ends at the due time: nodes then drop or stop the request, which would only delay others.
         timeout_s = max(pending.due_at - self.now, self.check_interval_s)
         self.actions.append(Send(request_id, node_queue.node, timeout_s, write_within_s))
 
     def _shed_load(self, node_queue: NodeQueue) -> None:
-        """While some queued request would be late, drop the least valuable of it and those before it."""
+        """While some queued request would be late, drop the least valuable of the first such one and those before."""
         mean_units = self.settings.mean_units
         while node_queue.queue.queued:
             done_in_s = node_queue.done_in_s(mean_units, self.now, self._fleet_times_if_large)
