--- a/fawnspool/connections/descriptor_limits.py
+++ b/fawnspool/connections/descriptor_limits.py
@@ -7,7 +7,7 @@
 RESERVED_DESCRIPTORS = 32  # for the event loop, the log, the endpoint service and spares, rather than clients or nodes
 MIN_CONNECTIONS = 4  # that each node, and all clients together, may always have
 _NODE_DIVISOR = 3  # nodes get one third of the descriptors that are not reserved
-# Client connections are crowded from a fourth of the limit on; clients may hold a third, so others still have room.
+# The server is crowded once clients hold a fourth of the limit; they may hold a third, so others still have room.
 _CROWDED_DIVISOR = 4
 _MIN_CROWDED_FROM = 2
 
--- a/fawnspool/scheduling/load_shedding.py
+++ b/fawnspool/scheduling/load_shedding.py
@@ -80,7 +80,7 @@
 
     The candidates are the first late request and all that would be sent before it. Requests of rank LATE are shed
     first, then BEYOND_RESERVE, then WITHIN_RESERVE. Of one rank, the request whose volume has the most queued units
-    beyond its reserve per weight is shed first (within the reserve, this counts as 0), then the one of the lowest
+    beyond its reserve per weight is shed first (for WITHIN_RESERVE this counts as 0), then the one of the lowest
     priority, then the one that arrived last.
     """
     first_late = next((index for index, (pending, done_at) in enumerate(predicted) if done_at > pending.due_at), None)
--- a/fawnspool/scheduling/scheduler.py
+++ b/fawnspool/scheduling/scheduler.py
@@ -287,7 +287,7 @@
         self.actions.append(Send(request_id, node_queue.node, timeout_s, write_within_s))
 
     def _shed_load(self, node_queue: NodeQueue) -> None:
-        """While some queued request would be late, drop the least valuable of the first such one and those before."""
+        """While some queued request would be late, drop the least valuable one up to the first late one."""
         mean_units = self.settings.mean_units
         while node_queue.queue.queued:
             done_in_s = node_queue.done_in_s(mean_units, self.now, self._fleet_times_if_large)
@@ -357,7 +357,7 @@
             node_queue.record_overload(self.least_objective_s, self.now)
         elif event.result is Result.SERVED or is_silent:
             response_s = self.now - attempt.sent_at
-            if is_silent:  # requests queued at the node wait longer than that
+            if is_silent:  # requests queued at the node take longer than this timeout
                 response_s += node_queue.response_times.wait_s
             else:
                 node_queue.slow_start.record_served(pending.request.units)
--- a/fawnspool/scheduling/slow_start.py
+++ b/fawnspool/scheduling/slow_start.py
@@ -14,7 +14,8 @@
 
     Each served request returns its units to the credit, so sends follow the node's throughput. In addition the credit
     grows at a part of the rate that this gateway had served there before. All gateways together had served at most
-    what such a node can serve, so the sum of their rates stays within the overload multiple of its present capacity.
+    what the node can serve when warm, so the sum of their rates stays within the overload multiple of its present
+    capacity.
 
     Attributes
     ----------
