--- a/fawnspool/gateway/__init__.py
+++ b/fawnspool/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The running head: tells the decision module what happens and carries out what it decides. It never chooses."""
+"""The gateway process: reports events to the decision module and carries out its actions, deciding nothing itself."""
--- a/fawnspool/gateway/acceptor_log.py
+++ b/fawnspool/gateway/acceptor_log.py
@@ -1,7 +1,7 @@
 """An acceptor's memory on disk: a row for each vote, forced to the disk before the vote is announced.
 
-    mark, FINGERPRINT              settings that the votes were given under; the first row
-    floor, TOKEN                   the acceptor recovered its memory: tokens up to this one may have been promised
+    mark, FINGERPRINT              fingerprint of the settings under which the votes were given; the first row
+    floor, TOKEN                   after a recovery or new settings: any token up to this one may be promised
     vote, ROLE, TOKEN, INCARNATION
 
 A file that can't be read as a whole is not used: the acceptor then has no memory and stays silent until it has
@@ -20,7 +20,7 @@
 from fawnspool.records.frames import FrameReader, FrameWriter, RecordingError
 
 FILE_NAME = "votes.rec"
-MAX_OUTDATED_ROWS = 10_000  # beyond two per role; with more rows the file is rewritten at a start
+MAX_OUTDATED_ROWS = 10_000  # a start rewrites a file that has over 2 rows per role plus this many
 FINGERPRINT_ROW = "mark"
 FLOOR_ROW = "floor"
 VOTE_ROW = "vote"
@@ -55,14 +55,14 @@
     folder
         Folder of the file; created if it does not exist.
     settings
-        Current lease settings. Votes given under other settings count as a floor.
+        Current lease settings. Votes given under other settings are replaced by a floor: the highest token of the file.
     sync
         Whether votes are forced to the disk.
 
     Attributes
     ----------
     memory : AcceptorMemory or None
-        Content of the file at the start; None if there is no memory.
+        Content of the file at the start; None if the file is missing or unusable.
     missing_reason : str
         Why there is no memory.
 
--- a/fawnspool/gateway/acceptor_runner.py
+++ b/fawnspool/gateway/acceptor_runner.py
@@ -1,7 +1,8 @@
-"""Carries out an acceptor's actions: votes are on disk before the messages after them are sent.
+"""Carries out an acceptor's actions in order: votes are on disk before the messages that follow them are sent.
 
-A separate greenlet writes votes in the hub's thread pool, so that a slow disk delays neither requests nor this
-gateway's own renewals. If votes can't be written, the messages after them are not sent: those votes were not given.
+A separate greenlet writes votes in gevent's thread pool, so that a slow disk delays neither requests nor this gateway's
+own lease renewals. If votes can't be written, the messages that follow them are not sent: no other gateway learns of
+votes that are not on disk.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
         self._greenlet: Any = None
 
     def start(self) -> None:
-        """Start to write votes."""
+        """Start the greenlet that carries out the acceptor's actions."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
@@ -53,7 +54,7 @@
         self._enqueue(self.acceptor.receive(now, sender, message))
 
     def tick(self, now: float) -> None:
-        """Let the acceptor do what is due."""
+        """Let the acceptor send its due messages: recovery requests, or nominations for vacant roles."""
         self._enqueue(self.acceptor.tick(now))
 
     def _enqueue(self, actions: list[LeaseAction]) -> None:
--- a/fawnspool/gateway/attempt_results.py
+++ b/fawnspool/gateway/attempt_results.py
@@ -1,8 +1,9 @@
 """The ways in which an attempt can end, and the result that each of them reports to the scheduler.
 
 The results distinguish whether the node may have run the request. Nodes execute only complete requests
-(docs/node-wire.md), so a request that was not completely handed to the kernel never ran. A request that was may have
-run, even if the node closed a reused connection: the gateway cannot know whether the node read the request first.
+(docs/node-wire.md), so a request that was not completely handed to the kernel never ran. A request that was handed
+over completely may have run, even if the node closed a reused connection: the gateway cannot know whether the node read
+the request first.
 """
 
 from __future__ import annotations
--- a/fawnspool/gateway/attempts.py
+++ b/fawnspool/gateway/attempts.py
@@ -24,7 +24,8 @@
 from fawnspool.net.http import LAST_CHUNK, ResponseHead, format_chunk
 
 _STREAMED_STATUSES = (200, 206)
-# Endings before any byte of a response arrived: connections that were idle for longer are then discarded as well.
+# Endings before any byte of a response arrived. After one on a reused connection, connections that were
+# idle for longer than it are no longer trusted and are discarded as well.
 _DISCARD_OLDER_CONNECTIONS = frozenset((AttemptEnding.RESET, AttemptEnding.CLOSED, AttemptEnding.UNWRITTEN_RESET))
 
 
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHooks:
-    """The calls of an attempt to its gateway.
+    """What an attempt uses of its gateway: the nodes' protocol and two callbacks.
 
     Attributes
     ----------
@@ -185,7 +186,7 @@
         except ConnectError as error:
             if attempt.cancelled:
                 raise _AttemptEndedError(AttemptEnding.CANCELLED_UNSENT) from None
-            if time.monotonic() >= attempt.write_by:  # too little time was left to count this as the node's failure
+            if time.monotonic() >= attempt.write_by:  # the time to write was over: not the node's failure
                 raise _AttemptEndedError(AttemptEnding.OUT_OF_TIME) from None
             raise _AttemptEndedError(_connect_ending(error)) from None
 
@@ -326,7 +327,7 @@
             raise _AttemptEndedError(AttemptEnding.TRUNCATED_RESPONSE) from None
 
     def _connection_lost(self, ending: AttemptEnding, unsent: bool = False) -> _AttemptEndedError:
-        """Return the error for a lost connection; if the attempt was cancelled, the cancellation closed it."""
+        """Return the error for a lost connection: a cancellation instead of `ending` if that is what closed it."""
         if not self.attempt.cancelled:
             return _AttemptEndedError(ending)
         if unsent:
--- a/fawnspool/gateway/core.py
+++ b/fawnspool/gateway/core.py
@@ -68,7 +68,8 @@
     Attributes
     ----------
     endpoints
-        Set by the edge before `start`; its client posts to the core's event loop, so the core is created first.
+        The node list; set by the edge after the core is created, as its client posts to the core's event loop, and
+        before `start`.
     pending
         The open requests, by number.
     """
@@ -162,7 +163,7 @@
         pending
             An accepted request.
         grace_s
-            Seconds after the deadline at which the gateway fails the request itself, as the module gave no answer.
+            Seconds after the deadline at which the gateway itself fails a request that the module has not answered.
         streaming_s
             Seconds after that at which the wait ends, even if an answer is still being streamed to the client.
         """
@@ -172,7 +173,7 @@
         pending.done.wait(time.monotonic() + streaming_s)
 
     def abandon(self, pending: ClientRequest, kind: AnswerKind = AnswerKind.CLIENT_LEFT) -> None:
-        """End a request on the client's behalf; the decision module is notified and need not answer it.
+        """Settle a request without waiting for the decision module, which is notified and need not answer it.
 
         An answer that is being streamed is not affected: its attempt detects by itself that the client left.
         """
@@ -252,7 +253,10 @@
     def _attempt_ended(
         self, pending: ClientRequest, attempt: NodeAttempt, outcome: AttemptOutcome
     ) -> interface.Outcome:
-        """Settle the answer and return the module's event; runs in the event loop, which settles answers in order."""
+        """Settle the request if the attempt decides its answer, and return the `Outcome` event for the module.
+
+        Runs in the event loop, so that answers are settled in the order of the events.
+        """
         result = RESULTS[outcome.ending]
         self._count_attempt(pending, attempt, outcome)
         if result is interface.Result.SERVED:
--- a/fawnspool/gateway/drain_worker.py
+++ b/fawnspool/gateway/drain_worker.py
@@ -15,11 +15,11 @@
 from fawnspool.leases.drain import MoveRateLimiter, RetrySchedule, target_shard
 from fawnspool.scheduling import interface
 
-# Name of the nodes as a dependency of a role: one unreachable node has a fault of its own; if all are unreachable, the
-# fault is this gateway's.
+# Name under which all nodes together are a dependency of a role: if one node is unreachable, the node is at fault; if
+# all are unreachable, this gateway is.
 ANY_NODE = "any node"
 NEVER = float("-inf")
-MOVE_TIMEOUTS = 2  # longest duration of one move, in timeouts of a call
+MOVE_TIMEOUTS = 2  # longest duration of one move, in call timeouts
 
 
 class DrainWorker:
@@ -122,7 +122,7 @@
         self.retries.record_failure(time.monotonic(), extent)
 
     def _show_token(self, shard: int) -> bool:
-        """Show the token to a shard's node, once; return whether the node has accepted it.
+        """Show the token to a shard's node until it has accepted it once; return whether it has.
 
         Raises
         ------
@@ -138,7 +138,10 @@
         return address in self._fenced_nodes
 
     def _target(self, record: ExtentRecord, drained: set[int]) -> int | None:
-        """Return the shard to move an extent to: an earlier holder's target if that holder has fenced the extent."""
+        """Return the shard to move an extent to.
+
+        If an earlier holder of the role has fenced the extent for a move, that move's target is kept.
+        """
         source_report = self._migrator.replicas.fetch_report(record.shard, ExtentKey(record.volume, record.extent))
         next_generation = record.stamp.generation + 1
         if (
--- a/fawnspool/gateway/endpoint_client.py
+++ b/fawnspool/gateway/endpoint_client.py
@@ -22,7 +22,7 @@
 
 
 class EndpointRecord(msgspec.Struct, frozen=True):
-    """A list entry in the format of the list service; `age_s` -1: the node started long ago."""
+    """A list entry in the format of the list service; a negative `age_s` means that the node started long ago."""
 
     node: int
     address: str
@@ -59,7 +59,7 @@
     Attributes
     ----------
     zones, kinds
-        Names in the order of the decision module's numbers; any other name counts as the first.
+        Zones and kinds of nodes, in the order of the decision module's numbers; any other name counts as the first.
     pushes
         Whether the service pushes changes; the watch is then opened at the start.
     cache
--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -20,7 +20,7 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
 
-_MAX_EVENTS_PER_ITERATION = 64  # due timers are then handled, however full the queue is
+_MAX_EVENTS_PER_ITERATION = 64  # then due timers are handled, even if more events are queued
 _STOP_TIMEOUT_S = 1.0
 _MAX_LOGGED_ACTION_CHARS = 200
 
--- a/fawnspool/gateway/extent_directory.py
+++ b/fawnspool/gateway/extent_directory.py
@@ -58,7 +58,7 @@
         The map service: a `MapClient`, whose service is also watched, or a service in this process, which is called for
         each request.
     staleness
-        Decides when a record counts as stale; created for one partition.
+        Decides when a record counts as stale; created for one partition, like the empty map of the start.
     log
         Logger.
     watching
@@ -202,7 +202,7 @@
         self._save(delta, previous)
 
     def heartbeat_received(self) -> None:
-        """Record a heartbeat of the watch, which confirms that all received records still hold."""
+        """Record a heartbeat of the watch, which confirms that all received records are still valid."""
         now = time.monotonic()
         for number, partition in enumerate(self.map.partitions):
             self.staleness.notified(now, number, partition.gap is None)
@@ -233,7 +233,7 @@
             If a call of the map service is needed and fails.
         """
         record = None if fresh or self.watch is None else self.map.find(volume, key)
-        if record is None:  # not in the map, but it may have been created a moment ago
+        if record is None:  # the map is not to be used, or it may lack a new extent
             return _location(self._look_up(volume, key, deadline))
         now = time.monotonic()
         choice = self._choose_lookup(now, volume, key, deadline)
@@ -301,7 +301,7 @@
     def redirected(self, volume: str, key: str, shard: int, generation: int) -> ExtentLocation:
         """Record a node's redirect of a request; return the extent's new location.
 
-        The map service's own record of that generation counts as later and will replace the record made here.
+        The record made here has epoch and version 0, so the map service's record of that generation will replace it.
         """
         record = self.map.find(volume, key)
         size = 0 if record is None else record.size
@@ -348,7 +348,7 @@
 def _migrations_in(
     delta: MapDelta, previous: ExtentMap, partition: Partition, span_s: float
 ) -> MigrationObservation | None:
-    """Return the number of extents that a delta moved to another shard, or None for a snapshot, which does not show it.
+    """Return the number of extents that a delta moved to another shard; None for a snapshot, which does not show moves.
 
     A delete does not count as a move, as it leaves no record that could be stale.
     """
--- a/fawnspool/gateway/gateway.py
+++ b/fawnspool/gateway/gateway.py
@@ -52,7 +52,7 @@
 from fawnspool.telemetry.metrics import PrometheusExporter, StateSources
 from fawnspool.telemetry.traces import Traces
 
-MAX_MAP_AGE_MS = 10**9  # the largest age that is sent; also sent if the map was never complete
+MAX_MAP_AGE_MS = 10**9  # largest Fawn-Map-Age-Ms; also sent if the map was never complete
 _WRITING_METHODS = (b"PUT", b"DELETE")
 _OK = 200
 _MS_PER_S = 1000
@@ -248,7 +248,7 @@
             self.leases.hand_over()
 
     def stop(self) -> None:
-        """Stop everything that `start` started, and write the records that are still queued."""
+        """Stop everything that `start` started, and finish the file writes that are still queued."""
         if self.leases is not None:
             self.leases.stop()
         if self.gossip is not None:
@@ -276,7 +276,7 @@
     # ------------------------------------------------------------ requests
 
     def submit(self, request: ObjectRequest) -> ClientRequest:
-        """Accept a request; its `ClientRequest.done` is set with its one final answer."""
+        """Accept a request; `done` of the returned object is set when the one final answer is given."""
         volume = self.volumes[request.volume]
         pending = ClientRequest(
             request=self._module_request(request),
--- a/fawnspool/gateway/gossip_runner.py
+++ b/fawnspool/gateway/gossip_runner.py
@@ -1,6 +1,7 @@
-"""Runs the gossip agent: passes it requests, outcomes, messages and the time, and its events to the scheduler.
+"""Runs the gossip agent: gives it requests, outcomes, messages and the time, and passes its events to the scheduler.
 
-The agent makes all decisions. All calls run in one thread and none yields, so the agent needs no lock.
+The agent makes all decisions. All calls to it run in one thread and none of them yields to another greenlet, so the
+agent needs no lock.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 def gossip_settings(config: SharedBlock, gateway_count: int) -> GossipSettings:
-    """Return the settings that all gateways share; numbers stay unconverted, as the fingerprint covers their text."""
+    """Return the settings that all gateways share; numbers are not converted: the fingerprint covers their text."""
     return GossipSettings(gateway_count, config.every, config.fades, config.shun, config.quorum)
 
 
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class SchedulerView:
-    """Access of gossip to its gateway.
+    """The parts of its gateway that gossip uses.
 
     Parameters
     ----------
@@ -52,7 +53,7 @@
     listed_count
         Returns the number of listed nodes.
     suspects
-        Returns nodes with the consecutive failures that the scheduler has counted.
+        Returns pairs of a node and the consecutive failures that the scheduler has counted for it.
     notify
         Puts an event into the scheduler's queue.
     """
@@ -151,7 +152,7 @@
             self.readmitted_count += 1
             self.log.info("node_readmitted_by_gossip", node=event.node)
             self.ejected.discard(event.node)
-        elif event.node not in self.ejected:  # otherwise only the time of its next attempt at the node has changed
+        elif event.node not in self.ejected:  # otherwise only the time of the next attempt has changed
             self.ejected_count += 1
             self.log.info("node_ejected_by_gossip", node=event.node)
             self.ejected.add(event.node)
--- a/fawnspool/gateway/held_lease.py
+++ b/fawnspool/gateway/held_lease.py
@@ -1,4 +1,4 @@
-"""A held lease as the work of its role sees it. Every call reads the clock anew."""
+"""A held lease, with the methods that the work of its role calls. Each call reads the clock again."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LeaseKeeper(Protocol):
-    """The interface of the runner that keeps a lease."""
+    """The methods of the lease runner that a held lease calls."""
 
     def remaining_s(self, role: int, token: int) -> float:
         """Return the seconds during which a step under this token may still begin."""
@@ -38,13 +38,13 @@
     kind
         Settings of the role's kind.
     partition
-        The role's partition of the work of its kind.
+        Number of the part of the kind's work that this role does.
     token
         The fencing token; it may rise while the role is held.
     greenlet
         The greenlet that runs the role's work.
     recorded_until
-        The latest end of the lease that was written to the record.
+        The latest end of the lease that was written to the record of lease changes.
     """
 
     keeper: LeaseKeeper
--- a/fawnspool/gateway/lease_runner.py
+++ b/fawnspool/gateway/lease_runner.py
@@ -1,6 +1,6 @@
 """Runs the lease protocol: passes messages and time to acceptor and lease holder, and runs the work of held roles.
 
-It makes no decisions. One greenlet owns both objects and receives messages through a queue.
+The runner makes no decisions. One greenlet owns acceptor and lease holder, and receives messages through a queue.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from fawnspool.telemetry.logs import EventLogger
 
 MAX_INBOX = 4096  # datagrams waiting to be handled; beyond that the oldest is dropped
-STEP_RETRY_S = 0.05  # after a step that raised
+STEP_RETRY_S = 0.05  # pause after a step that raised an exception
 RELEASE_PAUSE_S = 0.02  # after each of the two release messages
 WORK_KILL_TIMEOUT_S = 0.02
 WORK_FINISHED = "its work is over"
@@ -48,7 +48,7 @@
 
 
 def lease_settings(config: DutiesBlock, gateway_count: int) -> LeaseSettings:
-    """Return the settings that all gateways share; numbers stay as written, as the fingerprint depends on them."""
+    """Return the settings that all gateways share; numbers are not converted: the fingerprint depends on them."""
     kinds = tuple((block.name, block.shards) for block in config.duty)
     return LeaseSettings(gateway_count, tuple(config.voters), config.lease, config.drift, kinds, config.most)
 
@@ -161,7 +161,10 @@
                 self._channel.send(action.recipient, action.message)
 
     def _carry_out(self, actions: Sequence[LeaseAction]) -> None:
-        """End the work of lost roles before sending: another gateway may acquire a released role at once."""
+        """Handle the holder's events, then send the messages.
+
+        The work of lost roles must end first, as another gateway may acquire a released role at once.
+        """
         self._handle_events()
         self._send(actions)
 
@@ -185,7 +188,9 @@
         return min(self.holder.next_deadline(), self.acceptor.acceptor.next_deadline())
 
     def _step(self, woken_at: float | None) -> None:
-        """Handle what is due, in order; never yields between reading the clock and acting on it.
+        """Record a late wake-up, handle the queued messages, then call `tick` of the holder and the acceptor.
+
+        Never yields to another greenlet between reading the clock and acting on it.
 
         Parameters
         ----------
--- a/fawnspool/gateway/map_client.py
+++ b/fawnspool/gateway/map_client.py
@@ -33,7 +33,7 @@
         """Return the record of an extent, or None if there is none."""
 
     def record_write(self, write: ExtentWrite) -> tuple[ExtentRecord, bool]:
-        """Record a write; return the record that now holds, and whether the write was accepted."""
+        """Record a write; return the record that is then valid, and whether the write was accepted."""
 
     def delete(self, volume: str, key: str) -> ExtentRecord | None:
         """Delete an extent; return its tombstone, or None if there was none."""
@@ -129,7 +129,7 @@
         Returns
         -------
         tuple[ExtentRecord, bool]
-            The record that now holds, and whether the write was accepted.
+            The record that is then valid, and whether the write was accepted.
         """
         reply = self._call(
             b"/put",
@@ -149,7 +149,7 @@
         return tombstone
 
     def record_migration(self, volume: str, key: str, shard: int, generation: int, **token: Any) -> ExtentRecord | None:
-        """Record that a migration moved an extent to a shard at a generation; return the record that now holds.
+        """Record that a migration moved an extent to a shard at a generation; return the record that is then valid.
 
         Parameters
         ----------
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -47,7 +47,7 @@
     HEADER = 0  # format version, number of partitions, time until which the map was complete
     PARTITION = 1  # number, position, pending ranges, snapshot floors
     RECORDS = 2  # records of the partition, each an array of its fields
-    END = 3  # nothing
+    END = 3  # no elements
     DELTA = 4  # a delta
     RECORD = 5  # one record
     COMPLETE = 6  # time until which the map was complete
@@ -86,7 +86,7 @@
             saved = _load_full_map(folder / MAP_FILE)
     except FileNotFoundError:
         return SavedMap()
-    except Exception as error:  # any other content: nothing of the file is used
+    except Exception as error:  # a damaged file may hold anything: none of it is used
         return SavedMap(problem=f"{MAP_FILE}: {error}")
     if saved.map is None:
         return saved
@@ -128,7 +128,11 @@
 
 
 class _PartitionRow(msgspec.Struct):
-    """Elements of a PARTITION row after the number; the field names are the attributes' former names."""
+    """Elements of a PARTITION row after the number.
+
+    `told` is the position, `ahead` the pending ranges and `floor` the snapshot floors; these are former names of the
+    attributes of `Partition`.
+    """
 
     told: tuple[int, int]
     ahead: tuple[tuple[int, int], ...]
--- a/fawnspool/gateway/map_watch.py
+++ b/fawnspool/gateway/map_watch.py
@@ -31,7 +31,7 @@
         """Apply a delta; raises DeltaError if it contradicts itself or the map."""
 
     def heartbeat_received(self) -> None:
-        """Record a heartbeat, which confirms that all received records still hold."""
+        """Record a heartbeat, which confirms that all received records are still valid."""
 
     def watch_lost(self) -> float:
         """Record that the watch ended; return the seconds until the next watch."""
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -75,20 +75,20 @@
         deadline
             Monotonic time by which this call returns.
         undo
-            Undo the migration.
+            Whether to undo the migration if that is still safe.
         begun
-            A migration that was begun earlier; by default, the map determines the migration.
+            A migration that was begun earlier; by default, it is derived from the extent's record in the map.
 
         Returns
         -------
         MigrationStep
-            DONE, SUPERSEDED (another migration has won, or there is nothing to migrate), or WAIT if the deadline passed
-            first.
+            DONE; SUPERSEDED if another migration was carried out instead, the extent does not exist, or there is
+            nothing to migrate or undo; WAIT if the deadline passed first.
 
         Raises
         ------
         StaleTokenError
-            If a node or the map service has seen a newer token than the guard's.
+            If a node or the map service has seen a newer fencing token than the one that `guard` supplies.
         """
         migration = begun
         polls_without_step = 0
@@ -135,7 +135,7 @@
         record = self.map_client.find_record(*key)
         source = self.replicas.fetch_report(migration.source, key)
         target = self.replicas.fetch_report(migration.target, key)
-        # A deleted extent needs no update of the map.
+        # A deleted extent has no record in the map; the map then counts as updated, so that no step updates it.
         map_generation = migration.generation if record is None else record.stamp.generation
         if record is not None:
             notice = required_notice(migration, source, target, map_generation, record.shard)
--- a/fawnspool/gateway/peer_channel.py
+++ b/fawnspool/gateway/peer_channel.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class PeerCodec(Generic[MessageT]):
-    """The datagram format of a subsystem's messages; `decode` raises `malformed` for a body that is not one."""
+    """The datagram format of a subsystem's messages; `decode` raises `malformed` for any other body."""
 
     subsystem: str
     leading_byte: int
--- a/fawnspool/gateway/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -32,7 +32,7 @@
 
 
 class PeerSocket:
-    """This gateway's datagram socket, bound to `address` from the start.
+    """This gateway's datagram socket, bound to `listen` when the object is created.
 
     Parameters
     ----------
--- a/fawnspool/gateway/periodic_checks.py
+++ b/fawnspool/gateway/periodic_checks.py
@@ -88,7 +88,7 @@
 
 
 def _client_left(pending: ClientRequest, now: float) -> bool:
-    """Return whether the client left; not checked while its request is new, being read, or being answered."""
+    """Return whether the client left; False, unchecked, while its request is new, being read or being answered."""
     if now - pending.arrived_at <= CHECK_INTERVAL_S or pending.state is not RequestState.OPEN:
         return False
     return bool(pending.exchange.request_read and pending.exchange.client_has_disconnected())
--- a/fawnspool/gateway/replica_client.py
+++ b/fawnspool/gateway/replica_client.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class StepGuard:
-    """Condition of each step of a migration: a valid lease, or none for a migration by an operator.
+    """Condition of each step of a migration: a valid lease, or no condition if an operator runs it.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
     key: ExtentKey
     body: bytes = b""
     arguments: Mapping[str, int] = field(default_factory=dict)
-    has_effect: bool = False  # if True, the call carries the fencing token
+    has_effect: bool = False  # the call changes the node's state, so it carries the fencing token
 
 
 @dataclass(frozen=True)
--- a/fawnspool/gateway/request_state.py
+++ b/fawnspool/gateway/request_state.py
@@ -100,7 +100,7 @@
     connection
         The connection that the attempt uses; None before and afterwards.
     sent
-        Part of the request was handed to the kernel, so the node may have run it.
+        Writing the request has begun, so the node may have received some or all of it.
     ending
         How the attempt ended; None while it runs.
     """
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -22,7 +22,7 @@
 from fawnspool.scheduling import interface
 from fawnspool.telemetry.logs import EventLogger
 
-POLL_INTERVAL_S = 1.0  # of operators' requests, for all roles of one gateway together
+POLL_INTERVAL_S = 1.0  # seconds between polls; one poll fetches the requests for all roles of the gateway
 POLLS_PER_LEASE = 2
 SHOW_TOKEN_RETRY_S = 0.2
 EXTENTS_PER_SLICE = 2000  # examined before other greenlets may run
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class GatewayView:
-    """The part of a gateway that its work uses: its nodes by number, and the number of requests in flight."""
+    """What the work of leased roles reads of its gateway: nodes by number, and the number of requests in flight."""
 
     nodes: Callable[[], dict[int, Any]]
     requests_in_flight: Callable[[], int]
@@ -57,7 +57,7 @@
         self.map_client = map_client
         self.view = view
         self.log = log
-        self._requests: OperatorRequests | None = None  # None: the map service has not answered
+        self._requests: OperatorRequests | None = None  # None: no role is held, or the last poll failed
 
     @property
     def call_timeout_s(self) -> float:
@@ -121,7 +121,7 @@
         Raises
         ------
         StaleTokenError
-            If the map service has seen a newer holder.
+            If the map service has seen a newer holder's token.
         LeaseExpiredError
             If the lease is over.
         """
@@ -141,7 +141,7 @@
             lease.sleep(SHOW_TOKEN_RETRY_S)
 
     def shard_addresses(self) -> dict[int, tuple[str, int]]:
-        """Return the addresses, by shard, of the nodes that take work."""
+        """Return the addresses, by shard, of the listed nodes that are not gone."""
         return {
             node.shard: node.address for node in self.view.nodes().values() if node.phase is not interface.Phase.GONE
         }
