--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -179,7 +179,7 @@
             self.on_module_error(event)
 
     def _requested_so_far(self, requested_before: Any) -> list[interface.Action]:
-        """Return the actions that the module requested before it raised; none if it began no new list for the event."""
+        """Return the actions that the module requested before it raised; none if it had begun no new list."""
         requested = getattr(self.module, "actions", None)
         if requested is None or requested is requested_before:
             return []
--- a/fawnspool/gateway/map_store.py
+++ b/fawnspool/gateway/map_store.py
@@ -275,7 +275,7 @@
             self._append([RowKind.RECORD, change], 1, extent_map)
 
     def mark_complete(self, extent_map: ExtentMap) -> None:
-        """Save that the map is complete now, at most at the checkpoint policy's interval."""
+        """Save that the map is complete now, at most once per interval of the checkpoint policy."""
         if self.policy.complete_mark_due(time.monotonic()):
             self._append([RowKind.COMPLETE, time.time()], 1, extent_map)
 
--- a/fawnspool/gateway/migrator.py
+++ b/fawnspool/gateway/migrator.py
@@ -1,4 +1,4 @@
-"""Carries out migrations: reads both nodes' reports and the map, takes the next step, and repeats.
+"""Carries out migrations: reads the reports of source and target and the map, takes the next step, and repeats.
 
 `extents/migration.py` determines the next step. A migrator needs no state of its own: if a process is killed during a
 migration, calling `migrate` again in any process resumes it.
--- a/fawnspool/gateway/peers.py
+++ b/fawnspool/gateway/peers.py
@@ -4,7 +4,7 @@
 
     datagram = b"FP1", u32 sender, u64 incarnation, u64 number, body (256 bytes at most)
 
-A body goes to the decision module, or to the subscriber of its leading byte.
+A body goes to the subscriber of its leading byte or, if there is none, to the decision module.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from fawnspool.telemetry import logs
 
 MAX_BODY_BYTES = 256
-SOCKET_RETRY_S = 0.05  # after an error of the socket itself
+SOCKET_RETRY_S = 0.05  # pause after a socket error other than a refused datagram
 _MAGIC = b"FP1"
 _HEADER = struct.Struct(">3sIQQ")
 _RECEIVE_BYTES = 2048  # more than any valid datagram, so that a longer one is not read as a valid one
--- a/fawnspool/gateway/role_context.py
+++ b/fawnspool/gateway/role_context.py
@@ -23,7 +23,7 @@
 from fawnspool.telemetry.logs import EventLogger
 
 POLL_INTERVAL_S = 1.0  # seconds between polls; one poll fetches the requests for all roles of the gateway
-POLLS_PER_LEASE = 2
+POLLS_PER_LEASE = 2  # polls of operators' requests in the duration of a lease, at least
 SHOW_TOKEN_RETRY_S = 0.2
 EXTENTS_PER_SLICE = 2000  # examined before other greenlets may run
 MAP_SERVICE = "the map service"  # as a dependency of a role
@@ -57,7 +57,7 @@
         self.map_client = map_client
         self.view = view
         self.log = log
-        self._requests: OperatorRequests | None = None  # None: no role is held, or the last poll failed
+        self._requests: OperatorRequests | None = None  # None: no role is held, not yet polled, or the last poll failed
 
     @property
     def call_timeout_s(self) -> float:
