--- a/fawnspool/gateway/event_loop.py
+++ b/fawnspool/gateway/event_loop.py
@@ -20,7 +20,7 @@
 from fawnspool.net.wakeup_event import WakeupEvent
 from fawnspool.scheduling import interface
 
-_MAX_EVENTS_PER_ITERATION = 64  # due timers are then handled, however full the queue is
+_MAX_EVENTS_PER_ITERATION = 64  # then due timers are handled, even if more events are queued
 _STOP_TIMEOUT_S = 1.0
 _MAX_LOGGED_ACTION_CHARS = 200
 
@@ -179,7 +179,7 @@
             self.on_module_error(event)
 
     def _requested_so_far(self, requested_before: Any) -> list[interface.Action]:
-        """Return the actions that the module requested before it raised; none if it began no new list for the event."""
+        """Return the actions that the module requested before it raised; none if it had begun no new list."""
         requested = getattr(self.module, "actions", None)
         if requested is None or requested is requested_before:
             return []
