--- a/fawnspool/gossip/agent.py
+++ b/fawnspool/gossip/agent.py
@@ -89,6 +89,6 @@
         return actions
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether it heard no other gateway for `ISOLATION_ROUNDS`, and has sent since it last heard one."""
+        """Return whether this gateway has sent since it last heard another one, more than `ISOLATION_ROUNDS` ago."""
         silent_s = now - max(self.heard_at, self._started_at)
         return silent_s > ISOLATION_ROUNDS * self.settings.interval_s and self._sent_at > self.heard_at
--- a/fawnspool/gossip/findings.py
+++ b/fawnspool/gossip/findings.py
@@ -9,13 +9,13 @@
 
 MAX_NODES = 1024
 MAX_ORIGINS = 256  # gateways whose findings are kept for one node; a bound below a quorum would prevent any ejection
-SENDS_PER_FINDING = 2  # rounds in which a gateway sends a finding on: with one, a fifth of a fleet would not receive it
+SENDS_PER_FINDING = 2  # rounds in which a gateway passes on a finding: with one, a fifth of a fleet would miss it
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What one gateway found about a node's health, at a time on the clock of the gateway that keeps the finding."""
+    """What one gateway found about a node's health, at a time on the clock of the gateway that stores it."""
 
     verdict: HealthVerdict
     failures: int
@@ -92,10 +92,10 @@
         return len(self._remaining)
 
     def pop(self) -> tuple[tuple[int, int], int]:
-        """Remove the latest finding; return its node and origin, and the sends left after this one."""
+        """Remove the latest finding; return its node and origin, and in how many further rounds it must be sent."""
         key, remaining = self._remaining.popitem()
         return key, remaining - 1
 
     def restore(self, remaining: dict[tuple[int, int], int]) -> None:
-        """Put back findings that have sends left."""
+        """Put findings back that must be sent in further rounds; the values are the remaining numbers of sends."""
         self._remaining |= remaining
--- a/fawnspool/gossip/health_evidence.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -34,7 +34,7 @@
 # gateway and one lost answer at another would make all gateways eject the node.
 MIN_FAILURES_OF_OTHERS = MIN_FAILURES - 1
 MIN_BAD_ORIGINS = 2
-OWN_ANSWER_INTERVALS = 2  # own good answers this recent outweigh findings of others, even slightly later ones
+OWN_ANSWER_INTERVALS = 2  # age up to which own good answers outweigh findings of others, even slightly later ones
 REPEAT_INTERVALS = 4  # minimum intervals between two findings about a node that is known to be bad
 FANOUT = 2  # gateways drawn as recipients in a round: a finding reaches a fleet of n within about log2(n) rounds
 MAX_ROWS_SENT = 15  # findings in a datagram: bounds, with the fan-out and the interval, the bytes that a gateway sends
@@ -61,8 +61,8 @@
 def outcome_verdict(event: Outcome) -> HealthVerdict | None:
     """Return what the outcome of an attempt shows about its node's health; None if nothing.
 
-    An error response is no failure: the node answers. A reset of a reused connection shows nothing, as the connection
-    may have been cut on its way to the node.
+    An error response is no failure: the node answers. A reset of a reused connection shows nothing, as a device
+    between gateway and node may have cut the connection.
     """
     if event.result is Result.RESET and event.reused_connection:
         return None
@@ -127,7 +127,7 @@
         return self._readmit(node, findings) if findings.is_ejected else []
 
     def _contradicts(self, now: float, findings: NodeFindings) -> bool:
-        """Return whether a good answer contradicts bad findings; otherwise it isn't worth sending."""
+        """Return whether a good answer contradicts bad findings; if not, no finding is sent about it."""
         own = findings.by_origin.get(self.gateway_id)
         if own is not None and own.is_bad:
             return True
--- a/fawnspool/gossip/messages.py
+++ b/fawnspool/gossip/messages.py
@@ -4,7 +4,7 @@
 
     1 PARTICIPATION       to a registrar: the sender serves these volumes. Usage rows: u64 volume, u16 gateway (the
                           sender), u32 incarnation, f32 units that it has sent so far, u16 age (10 ms)
-    2 PARTICIPANTS_QUERY  the same, and a request for the volumes' other participants
+    2 PARTICIPANTS_QUERY  the same as PARTICIPATION, and a request for the volumes' other participants
     3 PARTICIPANTS        a registrar's answer: usage rows of other gateways
     4 EVIDENCE            health evidence about nodes. Evidence rows: u32 node, u16 gateway that found it, u8 verdict,
                           u8 failures, u16 age (10 ms)
--- a/fawnspool/gossip/settings.py
+++ b/fawnspool/gossip/settings.py
@@ -31,7 +31,7 @@
     max_ejected_fraction
         Fraction of the nodes that may be ejected on others' evidence.
     quorum_fraction
-        Fraction of the gateways that must find a node bad; set it above the fraction that may be wrong or lie at once.
+        Fraction of the gateways that must find a node bad; set it above the fraction that may report falsely at once.
     """
 
     gateway_count: int
--- a/fawnspool/gossip/volume_participants.py
+++ b/fawnspool/gossip/volume_participants.py
@@ -19,11 +19,11 @@
 from fawnspool.gossip.settings import MAX_VOLUMES_PER_ROUND, GossipSettings
 from fawnspool.scheduling.interface import VolumeParticipants
 
-ANNOUNCE_INTERVAL_S = 8.0  # between two announcements of a volume, if all volumes fit into the rounds
-DEMAND_SMOOTHING_S = 0.5  # time constant: a surge shows within it, while a single request is no surge
+ANNOUNCE_INTERVAL_S = 8.0  # between two announcements of a volume; longer if the rounds can't carry all volumes in it
+DEMAND_SMOOTHING_S = 0.5  # time constant of the average: short enough to show a surge, and a single request is none
 QUERY_INTERVAL_S = 2.0  # between two queries about a volume that lacks units
 FIRST_QUERY_INTERVAL_S = QUERY_INTERVAL_S / 8  # between two such queries while no other participant is known
-LACKING_S = 1.0  # how long a volume counts as lacking units after its demand last exceeded its part
+LACKING_S = 1.0  # how long a volume counts as lacking units after its demand last exceeded this gateway's equal part
 INCARNATION_MASK = 0xFFFFFFFF
 NEVER = float("-inf")
 
@@ -65,7 +65,7 @@
     others: GrowOnlyCounter = field(default_factory=GrowOnlyCounter)
 
     def record_demand(self, now: float, units: float) -> bool:
-        """Record requested units; return whether the demand exceeds this gateway's even part of the limit."""
+        """Record requested units; return whether the demand exceeds this gateway's equal part of the limit."""
         decay = math.exp((self.demand_at - now) / DEMAND_SMOOTHING_S)
         self.demand = self.demand * decay + units / DEMAND_SMOOTHING_S
         self.demand_at = now
@@ -183,7 +183,7 @@
         for volume in list(self._lacking_volumes):
             state = self.volumes[volume]
             if state.others.entries:
-                # Reported again, as the scheduler forgets participants that had nothing to lend.
+                # Tell the scheduler again, as it forgets participants that had no units to lend.
                 participants_by_volume[volume] = set(state.others.entries)
             if queries < MAX_VOLUMES_PER_ROUND // 2 and state.is_query_due(now):
                 self._lacking_volumes.move_to_end(volume)
--- a/fawnspool/leases/acceptor.py
+++ b/fawnspool/leases/acceptor.py
@@ -58,7 +58,8 @@
         self.nominator = Nominator(settings, self.gateway_id, self.random, self.promises, now)
         self.foreign_messages = 0  # from gateways whose settings differ
         self.disk_failed = False  # set by the runner, which persists votes
-        # A recovered floor must be stored with or before the next vote, or the file would look complete without it.
+        # The recovered floor must be on disk before the next vote or together with it. Otherwise a restart would
+        # find a vote without the floor, take the memory for complete and skip the recovery.
         self._unpersisted_votes: dict[int, Ballot] = {}
         self._unpersisted_floor = False
 
@@ -134,7 +135,7 @@
         return [PersistVotes(tuple(records), floor), response]
 
     def _vote(self, now: float, entry: BallotEntry, incarnation: int, records: list[VoteRecord]) -> BallotEntry:
-        """Answer the request for one role; append a vote that must be written first to `records`."""
+        """Answer the request for one role; add its vote to `records` if it must be on disk before the answer."""
         role = entry.role
         requested_ballot = Ballot(entry.token, incarnation)
         previous = self.promises.get(role, Promise())
@@ -198,7 +199,7 @@
         return self.nominator.next_check_at()
 
     def tick(self, now: float) -> list[LeaseAction]:
-        """Do what is due: ask the other acceptors for recovery, or nominate gateways for vacant roles."""
+        """Ask the other acceptors for recovery if the memory is lost; otherwise nominate gateways for vacant roles."""
         if self.recovery is not None:
             return self._request_recovery(now, self.recovery)
         return [
--- a/fawnspool/leases/actions.py
+++ b/fawnspool/leases/actions.py
@@ -1,7 +1,8 @@
 """Actions that acceptors and lease holders request from their gateway, and the identity of a gateway.
 
-Actions are ordered: a `PersistVotes` must be on disk before the messages after it are sent. If it can't be written,
-no message after it is sent; the promise in memory remains, which only makes the acceptor stricter.
+Actions are ordered: the votes of a `PersistVotes` must be on disk before the messages after it are sent. If they can't
+be written, no message after it is sent. The promise stays in memory: the acceptor then rejects other gateways although
+it announced no vote, which is safe.
 """
 
 from __future__ import annotations
--- a/fawnspool/leases/ballot.py
+++ b/fawnspool/leases/ballot.py
@@ -1,9 +1,10 @@
 """An acceptor's promise for one role: which ballot has its vote, and until when.
 
-Pure functions, so that the model checker, the simulation and the gateways run the same code. Token and incarnation
-are on disk before a vote is announced; the expiry is not. An acceptor that restarts therefore treats every remembered
-vote as given just now (`restore`). One without its memory stays silent until no vote that it may have given is in
-force, and then learns from the other acceptors how high tokens have risen (`recovered_floor`).
+The functions are pure, so that the model checker, the simulation and the gateways run the same code. A vote's token and
+incarnation are on disk before the vote is announced; its expiry is not stored. An acceptor that restarts therefore
+treats every remembered vote as given just now (`restore`). One that lost its memory gives no votes until every vote
+that it may have given has expired, and then learns from the other acceptors how high tokens have risen
+(`recovered_floor`).
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Ballot(NamedTuple):
-    """A token and the gateway incarnation that asks for it."""
+    """A fencing token and the gateway incarnation that requests votes under it."""
 
     token: int
     incarnation: int
@@ -70,8 +71,9 @@
 def vote(promise: Promise, ballot: Ballot, now: float, floor: int, lease_s: float) -> tuple[Promise, BallotVerdict]:
     """Answer a request for a vote, a first one or a renewal.
 
-    The incarnation that has the vote may ask for it under a higher token. It stays the only holder, and an acceptor
-    that promised a higher token to a proposal that failed can vote for it again.
+    The incarnation that has the vote may request it under a higher token before it expires, as the role still has only
+    one holder. A holder needs this if an acceptor promised a higher token to a proposal that then failed: that acceptor
+    can't vote for the holder's current token.
 
     Parameters
     ----------
@@ -116,10 +118,11 @@
 def recovered_floor(responses: Mapping[int, RecoveryResponse], acceptor_count: int) -> int | None:
     """Return the highest token that may have been promised, for an acceptor without memory.
 
-    A token under which a role was held was promised by a majority. Without this acceptor that is at least a majority
-    less one, so a majority of acceptors with memory contains one that promised it. If all the others have answered,
-    that holds as long as no majority lost its memory, and it allows the first start of a fleet. The acceptor must
-    have been silent for one lease before: every ballot in which a forgotten vote counted is over then.
+    A role is held only under a token that a majority of all acceptors promised. At least a majority less one of the
+    other acceptors promised it, so if a majority answers with its memory, one of them knows the token. If fewer have
+    their memory, but all other acceptors have answered, their highest token is used: it is high enough unless a
+    majority lost its memory, and a fleet that starts for the first time has no memory at all. The acceptor must have
+    given no vote for one lease before, so that every ballot in which a forgotten vote counted is over.
 
     Parameters
     ----------
--- a/fawnspool/leases/candidate.py
+++ b/fawnspool/leases/candidate.py
@@ -2,7 +2,8 @@
 
 A vote counts from the moment of its request on the candidate's own clock, as the acceptor's lease began later. The
 two clocks may drift apart, so a vote that is promised for one lease on the acceptor's clock is guaranteed for a
-slightly shorter time on the candidate's clock. A proposal holds while a majority of its votes stands.
+slightly shorter time on the candidate's clock. The candidate holds the role while the votes of a
+majority of acceptors stand.
 """
 
 from __future__ import annotations
--- a/fawnspool/leases/candidate_directory.py
+++ b/fawnspool/leases/candidate_directory.py
@@ -10,20 +10,20 @@
 from fawnspool.leases.settings import LeaseSettings
 
 SAMPLE_SIZE = 8  # gateways compared for one nomination, so that its cost does not grow with the fleet
-MAX_MISSED = 4  # nominations missed in a row up to which the pause of a gateway doubles
-MAX_HEARTBEATS_MISSED = 3  # two messages in a row may be lost
+MAX_MISSED = 4  # consecutive missed nominations of a gateway up to which the pause after each one doubles
+MAX_HEARTBEATS_MISSED = 3  # heartbeat intervals for which a silent gateway counts as running: two messages may be lost
 
 
 @dataclass(slots=True)
 class _Candidate:
-    """A gateway as this acceptor knows it; `held_count` is the roles that it reported and its nominations since."""
+    """A gateway as this acceptor knows it; `held_count`: its last reported number of roles, plus later nominations."""
 
     last_heard_at: float
     held_count: int = 0
     is_available: bool = False
     incarnation: int = 0
     is_leaving: bool = False
-    missed_nominations: int = 0  # nominations in a row that the gateway did not follow
+    missed_nominations: int = 0  # consecutive nominations after which the gateway requested no vote
     paused_until: float = NEVER
 
 
@@ -72,11 +72,11 @@
         self.candidates[gateway_id].held_count += 1
 
     def record_followed(self, gateway_id: int) -> None:
-        """Record that a gateway followed its nomination."""
+        """Record that a gateway requested a vote after its nomination."""
         self.candidates[gateway_id].missed_nominations = 0
 
     def record_missed(self, now: float, gateway_id: int) -> None:
-        """Pause nominations of a gateway that did not follow its last one, longer each time."""
+        """Pause nominations of a gateway that requested no vote after its last one; the pause gets longer each time."""
         candidate = self.candidates.get(gateway_id)
         if candidate is not None:
             candidate.missed_nominations = min(MAX_MISSED, candidate.missed_nominations + 1)
--- a/fawnspool/leases/drain.py
+++ b/fawnspool/leases/drain.py
@@ -1,8 +1,8 @@
 """Decisions of the gateway that drains one partition of the extents.
 
-The partition of an extent follows from its name, and its target shard from rendezvous hashing, so a successor
-continues where its predecessor stopped without any message from it. Each partition uses an equal part of the fleet's
-rates, and pauses while its gateway is busy.
+The partition and the target shard of an extent are computed from its name, so a new holder of the role continues where
+the previous holder stopped without any message from it. Each partition uses an equal part of the fleet's rates, and
+pauses while its gateway is busy.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 FIRST_BACKOFF_S = 0.2  # after the first failure of an extent; doubled with each further one
 MAX_BACKOFF_S = 10.0
 MAX_BACKOFF_DOUBLINGS = 10
-BURST_S = 1.0  # of the rates that may be used at once; short, so that a start causes no surge
-BUSY_WAIT_S = 0.05
-MIN_WAIT_S = 0.001  # a wait rounded to zero would be requested over and over
+BURST_S = 1.0  # seconds of each rate that may be used at once; short, so that a start causes no surge
+BUSY_WAIT_S = 0.05  # wait of a move while too many requests are in flight on the gateway
+MIN_WAIT_S = 0.001  # a shorter wait may be rounded to zero, and the caller would ask again and again without a pause
 
 
 def partition_of(volume: str, extent: str, partitions: int) -> int:
-    """Return the partition of an extent; a large volume's extents are in many, so that many gateways drain it."""
+    """Return the partition of an extent; extents of a large volume are in many, so that many gateways drain it."""
     return xxhash.xxh3_64_intdigest(f"{volume}\0{extent}".encode()) % partitions
 
 
 def target_shard(volume: str, extent: str, shards: Iterable[int]) -> int | None:
-    """Return the shard that an extent moves to, by rendezvous hashing; None if there is no shard.
+    """Return the shard that an extent moves to, by rendezvous hashing; None if `shards` is empty.
 
     All gateways choose the same shard, extents are spread evenly, and a shard that is added or removed changes the
     target only of extents that move to it or from it.
@@ -84,7 +84,7 @@
 
 
 class RetrySchedule:
-    """Extents whose move failed, each with its backoff while others are moved.
+    """Extents whose move failed, each with the time of its retry; other extents are moved in the meantime.
 
     Beyond `MAX_EXTENTS`, the oldest entry is dropped: that extent is tried as if it had not failed.
     """
--- a/fawnspool/leases/fencing.py
+++ b/fawnspool/leases/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing at nodes and the map service: each rejects a step of a role under an older token than it has seen.
+"""Fencing at nodes and the map service: each rejects a role's step if it has seen a newer token than the step's.
 
 A lease alone is not safe, as a holder may be stopped between its check of the clock and its step. A service that has
 seen no newer token still accepts an older one. A new holder therefore shows its token to every service that it will
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-MAX_ROLES = 4096  # remembered by one service: it must not forget any, so it rejects further ones
+MAX_ROLES = 4096  # whose tokens one service remembers: it must not forget any of them, so it rejects further roles
 
 
 class StaleTokenError(Exception):
--- a/fawnspool/leases/inventory.py
+++ b/fawnspool/leases/inventory.py
@@ -1,4 +1,4 @@
-"""Comparison of the extents that nodes hold with the extent map, for one partition; it repairs nothing."""
+"""Comparison of the extents that nodes hold with the extent map, for one partition; nothing is repaired."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class InventoryReport:
-    """Differences between the map and the nodes; nodes that did not answer are left out of them.
+    """Differences between the extent map and the inventories of the nodes that answered.
 
     Parameters
     ----------
--- a/fawnspool/leases/lease_holder.py
+++ b/fawnspool/leases/lease_holder.py
@@ -25,14 +25,14 @@
 from fawnspool.leases.settings import LeaseSettings
 
 SERIAL_BITS = 31
-MAX_REQUESTS = 256  # remembered by serial; older ones were sent more than a lease ago
+MAX_REQUESTS = 256  # vote requests remembered by serial; earlier ones were sent more than a lease ago
 MAX_LAGS_PER_LEASE = 2  # late wake-ups within a lease at which a gateway is too slow to hold any role
 FIRST_HEARTBEAT_SPREAD = 0.25  # of the heartbeat interval
 HEARTBEAT_SPREAD = (0.8, 1.2)  # of the heartbeat interval
 RELEASE_REPEATS_PER_LEASE = 20
-MIN_RETRIES_PER_LEASE = 20  # of a candidate, however long the wait that an acceptor reports
-RETRY_SLACKS_PER_LEASE = 100  # one slack is added to the wait that an acceptor reports
-REBALANCES_PER_LEASE = 4
+MIN_RETRIES_PER_LEASE = 20  # retries of a candidate, however long the wait that an acceptor reports
+RETRY_SLACKS_PER_LEASE = 100  # this fraction of a lease is added to the wait that an acceptor reports
+REBALANCES_PER_LEASE = 4  # at most so many roles are released within a lease by a gateway that holds too many
 EVENT_LOOP_LAG = "its loop lags"
 SHUTDOWN = "ends"
 NOT_RENEWED = "not renewed"
@@ -100,7 +100,7 @@
         self._rebalanced_at = now
         self._lags: list[float] = []
         self._pending_releases: list[_PendingRelease] = []
-        self._reached_at: dict[tuple[int, str], float] = {}  # by role and dependency
+        self._reached_at: dict[tuple[int, str], float] = {}  # when each dependency of a role was last reachable
 
     # ------------------------------------------------------------ held roles
 
@@ -207,7 +207,7 @@
         is_granted = entry.verdict == BallotVerdict.GRANTED
         if claim is None or requested_at < claim.started_at:
             if is_granted and (claim is None or entry.token != claim.proposal.token):
-                return [BallotEntry(entry.role, entry.token)]  # the claim has ended; others must not wait for its vote
+                return [BallotEntry(entry.role, entry.token)]  # the claim has ended: free its vote for others
             return []
         claim.responded.add(acceptor)
         if is_granted:
@@ -265,7 +265,7 @@
         ]
 
     def release(self, now: float, role: int, reason: str) -> list[LeaseAction]:
-        """Release a role; its event must be handled, and its work ended, before the messages are sent."""
+        """Release a role; the caller must handle `LeaseLost` and end the role's work before it sends the messages."""
         if role not in self.claims:
             return []
         return self._send_releases(now, self._end_claim(now, role, reason))
@@ -287,7 +287,7 @@
         return self.release(now, role, reason)
 
     def record_reachability(self, now: float, role: int, dependency: str, is_reachable: bool) -> list[LeaseAction]:
-        """Record whether a dependency of a role was reachable; after a lease without it, release the role."""
+        """Record whether a dependency of a role was reachable; after a lease in which it was not, release the role."""
         if is_reachable:
             self.backoff.record_usable()
             self._reached_at[role, dependency] = now
@@ -337,10 +337,10 @@
         ]
 
     def _end_expired(self, now: float) -> list[LeaseAction]:
-        """End the claims that are over; if this releases nothing, repeat the releases that are due."""
+        """End the claims that are over; if no vote is released by this, repeat the releases that are due."""
         expired = [role for role, claim in self.claims.items() if claim.is_over(now, self.settings)]
         if any(self._was_unanswered(self.claims[role]) for role in expired) and self.backoff.record_unanswered(now):
-            self._next_heartbeat = now  # acceptors may still receive its messages: report that it accepts no roles
+            self._next_heartbeat = now  # report that this gateway accepts no roles: its messages may still arrive
         released = [entry for role in expired for entry in self._end_claim(now, role, NOT_RENEWED)]
         if released:
             return self._send_releases(now, released)
@@ -379,9 +379,10 @@
         return self._send_to_all(now, LeaseMessageType.HEARTBEAT)
 
     def _rebalance(self, now: float) -> list[LeaseAction]:
-        """Release one role if this gateway holds at least two more than its equal part.
+        """Release one role if this gateway holds at least two more than an equal part of all roles.
 
-        The part follows from the numbers of available gateways that a majority of acceptors reported. Roles are
+        The equal part is computed from the median of the numbers of available gateways that acceptors reported within
+        the last lease; without numbers from a majority of acceptors, no role is released. Roles are
         released one at a time, so that the effect of one release shows before the next.
         """
         settings = self.settings
--- a/fawnspool/leases/messages.py
+++ b/fawnspool/leases/messages.py
@@ -3,17 +3,17 @@
     body = u8 0xD0, u8 type, u32 settings fingerprint, u64 incarnation (drawn at each start of a gateway), u32 serial,
            u16 count, u16 availability, then entries of u16 role, u64 token, u8 verdict, u16 wait (milliseconds)
 
-    1 VOTE_REQUEST       candidate to acceptor   votes wanted: role, token, verdict: 1 if it holds the role already.
-                                                 count: roles held, availability: of this gateway for roles
-    2 VOTE_RESPONSE      acceptor to candidate   to the request of that serial: verdict, the token promised, the wait
-                                                 for others. count: running gateways that accept roles
-    3 RELEASE            holder to acceptor      releases votes: role, token, verdict: 1 if it held the role.
+    1 VOTE_REQUEST       candidate to acceptor   requests votes. Entries: role, token, verdict (1 if the sender holds
+                                                 the role). count: roles held; availability: whether it accepts roles
+    2 VOTE_RESPONSE      acceptor to candidate   answers the request with that serial. Entries: role, promised token,
+                                                 verdict, wait until the vote is free. count: available gateways
+    3 RELEASE            holder to acceptor      releases votes. Entries: role, token, verdict (1 if it held the role).
                                                  count, availability as in VOTE_REQUEST
     4 HEARTBEAT          gateway to acceptor     the gateway is running; count, availability as in VOTE_REQUEST
-    5 NOMINATION         acceptor to gateway     vacant roles to become a candidate for; token: the highest promised
+    5 NOMINATION         acceptor to gateway     asks to become a candidate. Entries: role, highest token promised
     6 RECOVERY_REQUEST   acceptor to acceptor    asks for the highest token; sent after the loss of the memory
-    7 RECOVERY_RESPONSE  acceptor to acceptor    to the request of that serial. count: 1 if it has its memory; one
-                                                 entry, its token the highest
+    7 RECOVERY_RESPONSE  acceptor to acceptor    answers the request with that serial. count: 1 if the sender has its
+                                                 memory; one entry with the highest token that it promised
 
 Responses carry the incarnation of the gateway that asked, so that its other incarnations ignore them. The leading byte
 distinguishes these bodies from those of the scheduler (1, 2). A body that can't be decoded is counted and dropped.
--- a/fawnspool/leases/nominator.py
+++ b/fawnspool/leases/nominator.py
@@ -17,7 +17,7 @@
 from fawnspool.leases.messages import BallotEntry
 from fawnspool.leases.settings import LeaseSettings
 
-TURNS_PER_LEASE = 16  # the next acceptor nominates only if the one before it had no success
+TURNS_PER_LEASE = 16  # each later acceptor waits one turn longer, and nominates only if those before it had no success
 RECHECK_SPREAD = (0.8, 1.2)  # of the renewal interval
 
 
@@ -39,7 +39,7 @@
         self.promises = promises
         self.directory = CandidateDirectory(settings, random)
         self.nominated: dict[int, int] = {}  # role to the gateway nominated last
-        self.held_elsewhere: dict[int, tuple[float, int]] = {}  # by others' votes: assumed until when, incarnation
+        self.held_elsewhere: dict[int, tuple[float, int]] = {}  # by other acceptors' votes: until when, by whom
         self.holders: dict[int, int] = {}  # role to the incarnation that reported holding it
         self.vacant_since: dict[int, float] = {}
         self._checks: list[tuple[float, int]] = []  # a heap; rows that differ from `_next_check` are outdated
@@ -66,7 +66,7 @@
         self.vacant_since.pop(role, None)
 
     def record_held_elsewhere(self, now: float, role: int, incarnation: int) -> None:
-        """Record that a gateway holds the role by other acceptors' votes, so that none is nominated."""
+        """Record that a gateway holds the role by other acceptors' votes, so that none is nominated here."""
         self.held_elsewhere[role] = (now + self.settings.lease_s, incarnation)
 
     def record_released_elsewhere(self, now: float, role: int, incarnation: int) -> None:
@@ -111,7 +111,7 @@
     def _turn_delay(self, role: int, now: float) -> float:
         """Return how long this acceptor waits for its turn.
 
-        The role determines which acceptor is first; acceptors known to be away are skipped.
+        The role determines which acceptor is first; acceptors that are leaving or have fallen silent are skipped.
         """
         acceptors = self.settings.acceptors
         first = role % len(acceptors)
--- a/fawnspool/leases/role_claim.py
+++ b/fawnspool/leases/role_claim.py
@@ -28,7 +28,7 @@
     rejected_by
         Acceptors that promised their vote to another gateway for longer than a renewal interval.
     successor
-        The same claim under a higher token, until a majority has granted that token.
+        Votes under a higher token, which replaces the current one once a majority has granted it, or None.
     is_outbid
         Whether an acceptor whose vote is free has promised a higher token.
     responded
@@ -59,7 +59,7 @@
         return [self.proposal.token, self.successor.token]
 
     def is_over(self, now: float, settings: LeaseSettings) -> bool:
-        """Return whether the lease has ended, or the candidacy has failed."""
+        """Return whether the lease has ended, or a candidate got no majority within a renewal interval."""
         if self.is_holding:
             return now >= self.expires_at(settings)
         return now >= self.started_at + settings.renewal_interval_s
@@ -90,7 +90,7 @@
         return True
 
     def try_promote(self, now: float, settings: LeaseSettings) -> bool:
-        """Make the candidate the holder if its votes stand long enough for a step; return whether it became one."""
+        """Make the candidate the holder if its votes outlast the safety margin; return whether it became the holder."""
         if self.is_holding or self.expires_at(settings) - settings.margin_s <= now:
             return False
         self.is_holding = True
@@ -111,7 +111,7 @@
     def needs_higher_token(self, now: float, settings: LeaseSettings) -> bool:
         """Return whether a holder should ask for a higher token.
 
-        If one acceptor can't vote for the current token, the loss of another acceptor may end the hold. The holder
+        If one acceptor can't vote for the current token, the loss of another acceptor may end the lease. The holder
         requests a higher token at most once per lease, so that two gateways do not outbid each other forever.
         """
         return self.is_outbid and self.successor is None and now - self.proposal.started_at >= settings.lease_s
