--- a/fawnspool/gossip/findings.py
+++ b/fawnspool/gossip/findings.py
@@ -7,7 +7,7 @@
 
 from fawnspool.gossip.messages import HealthVerdict
 
-MAX_NODES = 1024
+MAX_NODES = 1024  # nodes with findings that a gateway keeps; also the length of its queue of findings
 MAX_ORIGINS = 256  # gateways whose findings are kept for one node; a bound below a quorum would prevent any ejection
 SENDS_PER_FINDING = 2  # rounds in which a gateway passes on a finding: with one, a fifth of a fleet would miss it
 NEVER = float("-inf")
--- a/fawnspool/gossip/grow_only_counter.py
+++ b/fawnspool/gossip/grow_only_counter.py
@@ -93,7 +93,7 @@
         participants
             Number of participating gateways.
         rate, burst
-            The most that one of them may count, per second and at once.
+            The most that one gateway may count per second, and at once.
         """
         at_least = sum(entry.value for entries in self.entries.values() for entry in entries)
         ages_s = [max(0.0, now - entries[0].at) for entries in self.entries.values()]
--- a/fawnspool/gossip/health_evidence.py
+++ b/fawnspool/gossip/health_evidence.py
@@ -34,7 +34,7 @@
 # gateway and one lost answer at another would make all gateways eject the node.
 MIN_FAILURES_OF_OTHERS = MIN_FAILURES - 1
 MIN_BAD_ORIGINS = 2
-OWN_ANSWER_INTERVALS = 2  # age up to which own good answers outweigh findings of others, even slightly later ones
+OWN_ANSWER_INTERVALS = 2  # intervals for which own good answers outweigh findings of others, even slightly later ones
 REPEAT_INTERVALS = 4  # minimum intervals between two findings about a node that is known to be bad
 FANOUT = 2  # gateways drawn as recipients in a round: a finding reaches a fleet of n within about log2(n) rounds
 MAX_ROWS_SENT = 15  # findings in a datagram: bounds, with the fan-out and the interval, the bytes that a gateway sends
@@ -42,7 +42,7 @@
 IMMEDIATE_TRIALS = 3  # expected number of gateways that try an ejected node at once when one found it healthy
 FLEET_TRIALS_PER_S = 2.0  # attempts of the whole fleet at an ejected node
 PRESENT_S = 10.0  # how long a gateway counts as present after its last message
-SAME_FINDING_S = 0.02  # a finding later than the known one by no more is the same one, received by another path
+SAME_FINDING_S = 0.02  # a finding at most this much later than the known one is the same, received by another path
 
 _VERDICTS = {
     Result.SERVED: HealthVerdict.HEALTHY,
--- a/fawnspool/gossip/participant_registry.py
+++ b/fawnspool/gossip/participant_registry.py
@@ -41,7 +41,7 @@
         return counter
 
     def answer(self, now: float, volume: int, requester: int, counter: GrowOnlyCounter) -> list[UsageRow]:
-        """Return a sample of the other gateways that serve a volume; none beyond the limit of answers in a round."""
+        """Return a sample of the other gateways that serve a volume; none once the round's answers are used up."""
         if self._answer_count >= MAX_VOLUMES_PER_ROUND:
             return []
         self._answer_count += 1
--- a/fawnspool/gossip/settings.py
+++ b/fawnspool/gossip/settings.py
@@ -13,7 +13,7 @@
 import xxhash
 
 REGISTRARS_PER_VOLUME = 2  # two, as one may be down or cut off
-MAX_VOLUMES_PER_ROUND = 4  # volumes that a gateway sends, or answers as a registrar: bounds its traffic
+MAX_VOLUMES_PER_ROUND = 4  # volumes that a gateway reports, and queries that it answers as a registrar; bounds traffic
 
 
 @dataclass(frozen=True)
--- a/fawnspool/gossip/volume_participants.py
+++ b/fawnspool/gossip/volume_participants.py
@@ -1,8 +1,8 @@
-"""Volume participants: each gateway reports the volumes that it serves, and its use of them, to their registrars.
+"""Volume participants: each gateway reports the volumes that it serves, and its use of them, to registrars.
 
-When a gateway lacks units of a limit that other gateways may have, it queries the registrars for the other
-participants. Nothing is granted here: after a lost, late, duplicate or wrong message, a gateway only asks the wrong
-gateways for units for a while.
+A volume's registrars are the gateways that keep the list of its participants. When a gateway lacks units of a limit
+that other gateways may have, it queries the registrars for the other participants. Nothing is granted here: after a
+lost, late, duplicate or wrong message, a gateway only asks the wrong gateways for units for a while.
 """
 
 from __future__ import annotations
@@ -80,7 +80,7 @@
 
 
 class VolumeTable:
-    """Volumes that one gateway serves, and those that it registers for the fleet.
+    """Volumes that one gateway serves, and its record as a registrar.
 
     Parameters
     ----------
--- a/fawnspool/leases/acceptor.py
+++ b/fawnspool/leases/acceptor.py
@@ -58,8 +58,8 @@
         self.nominator = Nominator(settings, self.gateway_id, self.random, self.promises, now)
         self.foreign_messages = 0  # from gateways whose settings differ
         self.disk_failed = False  # set by the runner, which persists votes
-        # The recovered floor must be on disk before the next vote or together with it. Otherwise a restart would
-        # find a vote without the floor, take the memory for complete and skip the recovery.
+        # The recovered floor must be on disk before the next vote or together with it: a memory that has votes but
+        # lacks the floor could be taken for complete after a restart.
         self._unpersisted_votes: dict[int, Ballot] = {}
         self._unpersisted_floor = False
 
--- a/fawnspool/leases/backoff.py
+++ b/fawnspool/leases/backoff.py
@@ -6,7 +6,7 @@
 
 from fawnspool.leases.candidate import NEVER
 
-MAX_UNUSABLE = 4  # consecutive pauses for an unreachable service up to which their length doubles
+MAX_UNUSABLE = 4  # consecutive pauses for work that can't be done up to which their length doubles
 MAX_UNANSWERED = 3  # consecutive pauses for missing answers up to which their length doubles
 
 
@@ -44,10 +44,10 @@
         return now >= self.until
 
     def record_unusable(self, now: float) -> None:
-        """Pause because a service that a role needs is unreachable; a call during a pause changes nothing.
+        """Pause because a role's work can't be done here; a call during a pause changes nothing.
 
-        Several roles that are released for the same reason therefore start one pause. Each further pause is twice as
-        long, up to 8 leases: if the service is unreachable from all gateways, all of them pause, and none for longer.
+        Several roles that are released in a row for one cause therefore start one pause. Each further pause is twice as
+        long, up to 8 leases: if a service is unreachable from all gateways, all of them pause, and none for longer.
         """
         if self.is_over(now):
             self._unusable = min(MAX_UNUSABLE, self._unusable + 1)
--- a/fawnspool/leases/lease_holder.py
+++ b/fawnspool/leases/lease_holder.py
@@ -1,7 +1,8 @@
 """One gateway as candidate and lease holder: it follows nominations, requests votes, renews and releases roles.
 
-A gateway that accepts no roles for now, or whose event loop runs late, releases the roles that it holds. A token is
-used by one claim of one incarnation, and never again once released, so that a late message can't revive the claim.
+A gateway that shuts down, or whose event loop runs late repeatedly, releases all its roles. One that can't do a role's
+work releases that role and accepts none for a while. A token is used by one claim of one incarnation, and never again
+once released, so that a late message can't revive the claim.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 MAX_LAGS_PER_LEASE = 2  # late wake-ups within a lease at which a gateway is too slow to hold any role
 FIRST_HEARTBEAT_SPREAD = 0.25  # of the heartbeat interval
 HEARTBEAT_SPREAD = (0.8, 1.2)  # of the heartbeat interval
-RELEASE_REPEATS_PER_LEASE = 20
-MIN_RETRIES_PER_LEASE = 20  # retries of a candidate, however long the wait that an acceptor reports
+RELEASE_REPEATS_PER_LEASE = 20  # a release is repeated once, after this fraction of a lease
+MIN_RETRIES_PER_LEASE = 20  # a candidate retries at least so often, however long the wait that an acceptor reports
 RETRY_SLACKS_PER_LEASE = 100  # this fraction of a lease is added to the wait that an acceptor reports
 REBALANCES_PER_LEASE = 4  # at most so many roles are released within a lease by a gateway that holds too many
 EVENT_LOOP_LAG = "its loop lags"
--- a/fawnspool/leases/messages.py
+++ b/fawnspool/leases/messages.py
@@ -10,10 +10,11 @@
     3 RELEASE            holder to acceptor      releases votes. Entries: role, token, verdict (1 if it held the role).
                                                  count, availability as in VOTE_REQUEST
     4 HEARTBEAT          gateway to acceptor     the gateway is running; count, availability as in VOTE_REQUEST
-    5 NOMINATION         acceptor to gateway     asks to become a candidate. Entries: role, highest token promised
+    5 NOMINATION         acceptor to gateway     asks to become a candidate for vacant roles. Entries: role, highest
+                                                 promised token
     6 RECOVERY_REQUEST   acceptor to acceptor    asks for the highest token; sent after the loss of the memory
     7 RECOVERY_RESPONSE  acceptor to acceptor    answers the request with that serial. count: 1 if the sender has its
-                                                 memory; one entry with the highest token that it promised
+                                                 memory; one entry with the highest token that it knows
 
 Responses carry the incarnation of the gateway that asked, so that its other incarnations ignore them. The leading byte
 distinguishes these bodies from those of the scheduler (1, 2). A body that can't be decoded is counted and dropped.
