--- a/fawnspool/leases/recovery.py
+++ b/fawnspool/leases/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of an acceptor that lost its memory: a silence of one lease, then requests to the other acceptors.
 
-The silence is needed because votes that the acceptor gave before, and ballots in which they count, may stand for up to
-a lease.
+The silence is needed because votes that the acceptor has forgotten, and ballots in which they count, may stand for
+up to a lease.
 """
 
 from __future__ import annotations
