--- a/fawnspool/gossip/settings.py
+++ b/fawnspool/gossip/settings.py
@@ -13,7 +13,7 @@
 import xxhash
 
 REGISTRARS_PER_VOLUME = 2  # two, as one may be down or cut off
-MAX_VOLUMES_PER_ROUND = 4  # volumes that a gateway sends, or answers as a registrar: bounds its traffic
+MAX_VOLUMES_PER_ROUND = 4  # volumes that a gateway reports, and queries that it answers as a registrar; bounds traffic
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
     max_ejected_fraction
         Fraction of the nodes that may be ejected on others' evidence.
     quorum_fraction
-        Fraction of the gateways that must find a node bad; set it above the fraction that may be wrong or lie at once.
+        Fraction of the gateways that must find a node bad; set it above the fraction that may report falsely at once.
     """
 
     gateway_count: int
