--- a/fawnspool/api/answer_writer.py
+++ b/fawnspool/api/answer_writer.py
@@ -44,7 +44,7 @@
         self.gateway = gateway
 
     def finish(self, pending: ClientRequest) -> None:
-        """Count the request and write its final answer, unless the answer was streamed or the client left."""
+        """Count the request and write its final answer, unless it was streamed or the client has disconnected."""
         exchange: Exchange = pending.exchange
         kind = pending.answer_kind or AnswerKind.FAILED
         self.gateway.count_finished(pending, kind.value)
--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -1,6 +1,7 @@
 """PUT, GET, HEAD, DELETE and LIST on /v1/volumes/{volume}/objects/{key}, and the gateway's own pages on /-/.
 
-client -> `request_reader` (parse, limits) -> `Gateway.submit` -> event loop -> a node -> `answer_writer`
+The path of a request:
+client -> `request_reader` (parsing, limits) -> `Gateway.submit` -> event loop -> node -> `answer_writer`.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 from fawnspool.net.server import Server, ServerCallbacks
 from fawnspool.net.server_options import ServerOptions
 
-_NEW_OBJECT = ExtentLocation(shard=-1, size=0)  # any node may store a new object
+_NEW_OBJECT = ExtentLocation(shard=-1, size=0)  # no shard: any node may store a new object
 _GATEWAY_PAGES = b"/-/"
 _FORWARDED_HEADERS = (b"if-match", b"if-none-match", b"range")
 _MOVED_STATUS = 421
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True)
 class _Operation:
-    """An operation that a client requested, with what is sent to the nodes for it."""
+    """An operation that a client requested, and the parts of the request that is sent to a node for it."""
 
     exchange: Exchange
     volume: str
@@ -172,7 +173,7 @@
     def _read_with_one_fresh_lookup(
         self, operation: _Operation, deadline: float, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
-        """Read at the location in the local map; if no object is there, ask the map service once and read again."""
+        """Read at the location in the local map; if no object is there, ask the map service and read once more."""
         directory = self.gateway.extent_directory
         read_location: ExtentLocation | None = _NEW_OBJECT
         read_at = 0.0
@@ -203,7 +204,7 @@
         deadline = self.reader.deadline(exchange, class_index)
         location = self._find(volume, key, deadline)
         operation = _Operation(exchange, volume, key, class_index, b"PUT", self._read_body(exchange))
-        generation = -1  # of the location to which the request was last sent
+        generation = -1  # generation of the map's record when the request was last sent
 
         def submit(location: ExtentLocation) -> ClientRequest:
             nonlocal generation
@@ -217,7 +218,10 @@
         self.answers.finish(pending)
 
     def _record_write(self, operation: _Operation, pending: ClientRequest, generation: int) -> None:
-        """Record the new location at the map service; if that fails, the request has failed."""
+        """Record the new location at the map service.
+
+        If that fails, the client gets an error; if the map service rejects the record, the client gets a 412.
+        """
         exchange = operation.exchange
         assert pending.served_by_shard is not None
         is_new = exchange.head.headers.get(b"if-none-match", b"").strip() == b"*"
@@ -278,7 +282,10 @@
     # ------------------------------------------------------------ the steps of a request
 
     def _find(self, volume: str, key: str, deadline: float, fresh: bool = False) -> ExtentLocation | None:
-        """Return the object's location, None: there is no object; `fresh`: ask the map service, not the local map."""
+        """Return the object's location, or None if there is no object.
+
+        If `fresh` is true, ask the map service instead of the local map.
+        """
         try:
             return self.gateway.extent_directory.find(volume, key, deadline, fresh)
         except MapServiceError as error:
@@ -307,10 +314,10 @@
     def _submit_following_moves(
         self, operation: _Operation, location: ExtentLocation, submit: Callable[[ExtentLocation], ClientRequest]
     ) -> ClientRequest:
-        """Submit and wait; submit again if a node reports that the extent has moved or is about to open there.
+        """Submit the request and wait for its answer; submit it again if the node does not serve the extent.
 
-        Such a node has not run the request. Each submission is a separate request to the decision module, and the
-        client gets one answer.
+        A node reports this if the extent has moved, or if the node is about to open it; such a node has not run the
+        request. Each submission is a separate request to the decision module, and the client gets one answer.
 
         Raises
         ------
@@ -338,7 +345,7 @@
         raise UnavailableError("moving", "the object is being moved and no node serves it yet: nothing was done")
 
     def _submit(self, operation: _Operation, shard: int, size: int | None) -> ClientRequest:
-        """Submit one request; `size`: bytes to be read or written, None: not known."""
+        """Submit one request; `size` is the number of bytes to be read or written, None if it is not known."""
         exchange = operation.exchange
         headers = exchange.head.headers
         operation_id = read_token(exchange, b"fawn-op") or self._next_operation_id()
@@ -368,8 +375,9 @@
         return f"{self.config.head.number}-{self.gateway.last_request_id + 1:x}"
 
     def _wait(self, pending: ClientRequest) -> None:
-        """Wait for the final answer; raise the error, if any, that occurred in reading the client's body."""
-        # The gateway fails an overdue request after the module's time for an answer, but before the client gives up.
+        """Wait for the final answer; if reading the client's body failed, raise that error."""
+        # If the decision module gives no answer by the deadline, the gateway itself fails the request after this time,
+        # which ends before the client gives up.
         grace_s = min(self.config.clients.answer_margin / 2, (pending.deadline - pending.arrived_at) / 6)
         self.gateway.wait_for_answer(pending, grace_s, self.config.clients.request_timeout)
         if pending.body.error is not None:
--- a/fawnspool/api/request_reader.py
+++ b/fawnspool/api/request_reader.py
@@ -2,7 +2,7 @@
 
 Headers that clients may send: `Fawn-Class` (a request class), `Fawn-Patience-Ms` (how long the client will
 wait), `Fawn-Repeat: 1` (a retry by the client), `Fawn-Op` (the client's name for the operation, the same in its
-retries), `Idempotency-Key`, `Fawn-Run` (requests of one run share it).
+retries), `Idempotency-Key`, `Fawn-Run` (the same value in all requests of one run).
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ObjectTarget:
-    """A request's target; `raw_key` None: the volume itself."""
+    """A request's target: an object, or the volume itself if `raw_key` is None."""
 
     volume: str
     raw_key: str | None
@@ -154,7 +154,9 @@
         return index
 
     def deadline(self, exchange: Exchange, class_index: int) -> float:
-        """Validate the headers, before any other component is involved.
+        """Validate the timeout and token headers, and return the request's deadline.
+
+        Called before any other component is involved.
 
         Returns
         -------
@@ -181,7 +183,7 @@
         return self._without_margin(timeout_s)
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return the time after which starting a request is pointless; roughly, as it is not validated yet."""
+        """Return the time after which a request need not start; an estimate, as the head is not yet validated."""
         raw = head.headers.get(b"fawn-patience-ms", b"")
         if raw.isdigit() and len(raw) <= MAX_TIMEOUT_DIGITS:
             timeout_s = int(raw) / 1000
@@ -194,7 +196,7 @@
         return timeout_s - min(self.config.clients.answer_margin, timeout_s / 4)
 
     def units(self, size: int | None) -> float:
-        """Return the units of a request for `size` bytes; None: not known, counted as the largest request."""
+        """Return the units of a request for `size` bytes; those of the largest request if `size` is None."""
         units = self.config.units
         if size is None:
             return float(units.largest)
--- a/fawnspool/net/admission_throttle.py
+++ b/fawnspool/net/admission_throttle.py
@@ -13,12 +13,12 @@
     """Admits at most `max_per_iteration` greenlets per iteration of the loop; the others wait in order of arrival.
 
     Without the throttle, a thousand requests that arrive together would all start before the loop returns to the
-    requests in progress, and each request would take as long as the whole thousand.
+    requests in progress, and each request would take as long as all thousand together.
     """
 
     def __init__(self, max_per_iteration: int) -> None:
         self.max_per_iteration = max_per_iteration
-        self._passed = 0  # in this iteration
+        self._passed = 0  # greenlets admitted in this iteration of the loop
         self._waiting: deque[WakeupEvent] = deque()
         loop = get_hub().loop
         self._iteration_watcher = loop.check()
@@ -26,7 +26,9 @@
         self._keep_awake = loop.timer(0.0)  # keeps the loop iterating while greenlets wait
 
     def enter(self, deadline: float | None = None) -> None:
-        """Wait until the calling greenlet is admitted, or until the deadline, past which a request needs little work.
+        """Wait until the calling greenlet is admitted, or until the deadline.
+
+        A request whose deadline has passed need not be throttled, as rejecting it takes little work.
 
         Parameters
         ----------
--- a/fawnspool/net/arrival_clock.py
+++ b/fawnspool/net/arrival_clock.py
@@ -1,7 +1,8 @@
 """Converts the kernel's receive timestamps to the monotonic clock.
 
 The kernel stamps received bytes by the wall clock, which may be set by any amount at any moment. So the offset between
-the two clocks is observed periodically and with every timestamp, and a timestamp is used only where it is plausible.
+the two clocks is observed periodically and with every timestamp. A timestamp is not used if it converts to an
+impossible time, such as one in the future (see `ArrivalClock.arrival`).
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
         self._former_offset = self._offset  # before the wall clock was last set
         self._observed_at = now
         self._set_after = now - _TRUSTED_PAST_S  # last observation before the wall clock was set
-        self._set_before = now  # first observation after it
+        self._set_before = now  # first observation after the wall clock was set
 
     def observe(self, wall: float, now: float) -> None:
         """Record the offset between the two clocks."""
--- a/fawnspool/net/client_connection.py
+++ b/fawnspool/net/client_connection.py
@@ -26,12 +26,13 @@
     is_new
         The pool opened the connection for its current request, rather than reusing it.
     last_used
-        When its last request ended (monotonic seconds).
+        When the connection's last request ended (monotonic seconds).
     lenient
         If true, bytes after a complete response do not invalidate the response; they only make the connection unusable
-        for another request (`has_trailing_data`). Otherwise they raise TrailingDataError. If true, a response without
-        a length also is complete once its sender closes the connection (RFC 9112, 6.3), but never where the connection
-        breaks (`SocketStream` remembers a break that any call met). Otherwise such a response is never complete.
+        for another request (`has_trailing_data`). If false, they raise TrailingDataError.
+        If true, a response without a length is complete once the server closes the connection (RFC 9112, 6.3), but not
+        if the connection breaks (`SocketStream` remembers an error that any of its calls reported). If false, such a
+        response is never complete.
     ends_at_close
         The current response ends when the peer closes the connection.
     has_trailing_data
@@ -127,7 +128,7 @@
         if not self.ends_at_close or self._parser.in_head:
             raise ConnectionClosedError
         self._parser.complete = True
-        self.has_trailing_data = True  # there is no other response after this one
+        self.has_trailing_data = True  # the peer has closed the connection, so it cannot be reused
         self._parser.events.append(END_OF_MESSAGE)
 
     def is_cut_in_head(self) -> bool:
--- a/fawnspool/net/connection_pool.py
+++ b/fawnspool/net/connection_pool.py
@@ -30,7 +30,7 @@
     Attributes
     ----------
     max_connections
-        Most connections open at once, in use or idle.
+        Largest number of connections that may be open at once, in use or idle.
     connect_timeout_s
         Timeout of one connection attempt.
     idle_timeout_s
@@ -41,8 +41,8 @@
         Minimum time between two requests on one connection, so that late bytes of one response are not taken for the
         next response.
     max_with_spares
-        If requests repeatedly wait for connections that cool down, the pool opens spare connections for later
-        requests until this many are open in all.
+        If requests repeatedly wait for the cooldown of a connection, the pool opens spare connections for later
+        requests, as long as fewer than this many connections are open, spare or not.
     """
 
     max_connections: int
@@ -99,9 +99,10 @@
         return self._open(deadline)
 
     def _take_idle(self) -> ClientConnection:
-        """Remove and return the most recently used connection that has cooled down, so that the others may expire.
+        """Remove and return an idle connection: the most recently used of those whose cooldown has passed.
 
-        If none has cooled down, return the most recently used one.
+        If the cooldown of none has passed, it is the most recently used one. The least recently used ones are left, so
+        that surplus connections reach the idle timeout.
         """
         cooled_before = time.monotonic() - self.options.cooldown_s
         for index in range(len(self.idle) - 1, -1, -1):
@@ -136,7 +137,7 @@
         try:
             self.release(self._open(time.monotonic() + self.options.connect_timeout_s))
         except ConnectError:
-            pass  # no request waits for it
+            pass  # no request waits for the spare connection
         finally:
             self._is_opening_spare = False
 
@@ -167,7 +168,10 @@
         connection.close()
 
     def prune(self) -> None:
-        """Close idle connections past the idle timeout or closed by the peer, which `acquire` may never reach."""
+        """Close idle connections that are past the idle timeout or were closed by the peer.
+
+        `acquire` may never reach them, as it takes the most recently used connections first.
+        """
         now = time.monotonic()
         unusable = [
             connection
@@ -179,7 +183,7 @@
             self.discard(connection)
 
     def discard_older_than(self, broken: ClientConnection) -> None:
-        """Discard connections idle for longer than a reused one that broke: they are no longer trusted either."""
+        """Discard the idle connections last used no later than `broken`, a reused one: they are not trusted either."""
         while self.idle and self.idle[0].last_used <= broken.last_used:
             self.discard(self.idle.popleft())
 
@@ -204,7 +208,7 @@
 ) -> tuple[ResponseHead, bytes]:
     """Send one request and read its whole response.
 
-    If a reused connection breaks, the request is sent again on another one, so this is only for idempotent requests.
+    If a reused connection breaks, the request is sent again on another one, so `call` is only for idempotent requests.
 
     Parameters
     ----------
--- a/fawnspool/net/exceptions.py
+++ b/fawnspool/net/exceptions.py
@@ -4,20 +4,20 @@
 
     ConnectionFailedError
     ├── ConnectError                no connection was established, so nothing was sent
-    │   ├── ConnectTimeoutError     not before the deadline
+    │   ├── ConnectTimeoutError     the deadline passed first
     │   ├── ConnectRefusedError     refused, or the system reports the address as unreachable
     │   └── PoolExhaustedError      no connection or file descriptor is left on this side
     └── ConnectionLostError         the connection ended before its response was complete
-        ├── ConnectionBrokenError   by a socket error such as a reset
-        └── ConnectionClosedError   by a close, of the peer or of this side
-    HttpError                       a message that is rejected
+        ├── ConnectionBrokenError   a socket error, such as a reset, ended it
+        └── ConnectionClosedError   the peer or this side closed it
+    HttpError                       a message is rejected as malformed, too large or not allowed
     └── TrailingDataError           bytes after the end of a response
     ClientDisconnectedError         the client of a server disconnected during an exchange
     DeadlineExceededError           (a TimeoutError) a wait reached its caller's deadline
     StreamClosedError               (an OSError) the stream was closed on this side
     RangeNotSatisfiableError        the requested range contains no byte of the representation
-    ConcurrentWaitError             (a RuntimeError) a programming error
-    AnsweredTwiceError              (a RuntimeError) a programming error
+    ConcurrentWaitError             (a RuntimeError) two greenlets wait for one direction of a socket
+    AnsweredTwiceError              (a RuntimeError) a handler answered an exchange twice
 """
 
 from __future__ import annotations
@@ -73,12 +73,12 @@
 
 
 class HttpError(Exception):
-    """A message that is rejected.
+    """A message is rejected.
 
     Attributes
     ----------
     status
-        Status of the error response, if the peer is a client.
+        Status of the error response that this side sends if the rejected message is a request.
     text
         Human-readable reason.
     """
--- a/fawnspool/net/exchange.py
+++ b/fawnspool/net/exchange.py
@@ -29,7 +29,7 @@
     Attributes
     ----------
     closing
-        No further request is read on the connection.
+        No further request is read on the connection; it closes after the current exchange.
     request_cut
         The last response was sent before its request was completely read.
     flooded
@@ -49,7 +49,7 @@
         """Return the next event of the request being read."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the peer has closed the connection."""
+        """Return whether the peer has closed the connection or sent too many bytes."""
 
     def must_end(self) -> bool:
         """Return whether the connection ends with its current response."""
@@ -71,7 +71,7 @@
     arrived_at
         When the request's first bytes reached this host (monotonic seconds).
     answered
-        The response was sent or has begun, or none is owed.
+        The response has begun or was sent, or no response is needed because the client has disconnected.
     request_read
         The request has been read to its end.
     body_bytes
@@ -122,7 +122,7 @@
         status, headers, body
             Parts of the response; the body is not sent in response to HEAD.
         close
-            Close the connection after the response in any case.
+            Close the connection after the response, even if it could be kept open.
         """
         bodiless = self.head.method == b"HEAD" or status in BODILESS_STATUSES
         self._send_response(status, headers, len(body), b"" if bodiless else body, close)
@@ -157,7 +157,7 @@
         self.connection.closing |= not complete
 
     def abandon(self) -> None:
-        """Treat the client as disconnected, so that no response is owed; a client that sent too much gets a 400."""
+        """End the exchange without a response, as to a disconnected client; one that sent too many bytes gets a 400."""
         if self.connection.flooded:
             self.connection.note_cause(CloseCause.BAD_MESSAGE)
             body = format_error_body("bad-request", "too many bytes after a request that is being handled")
@@ -168,9 +168,10 @@
         self.connection.closing = True
 
     def client_has_disconnected(self) -> bool:
-        """Return whether the client closed its connection while it waits for the response.
+        """Return whether the client closed its connection before it got the response.
 
-        A close is also detected after further bytes that follow the request; these bytes are left unread.
+        Once the request has been read, the close is also detected behind further bytes that the client sent; these
+        bytes are left unread.
         """
         connection = self.connection
         if connection.stream.closed:
@@ -190,7 +191,10 @@
         return not complete or not self.head.keep_alive or self.connection.must_end()
 
     def _is_fully_received(self) -> bool:
-        """Return whether the whole request has been received, so that the connection may be kept open."""
+        """Return whether the whole request has been received, so that the connection may be kept open.
+
+        Reads the end of a request without a body if it is already parsed.
+        """
         if self.head.length == 0:
             events = self.connection.parser.events
             if events and events[0] is END_OF_MESSAGE:
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -68,7 +68,7 @@
     target: bytes
     headers: dict[bytes, bytes]
     keep_alive: bool
-    length: int | None  # of the body, bytes; None: chunked
+    length: int | None  # of the body in bytes; None: the body is chunked
     expects_continue: bool  # the client waits for 100 (Continue)
 
 
@@ -79,7 +79,7 @@
     code: int
     headers: dict[bytes, bytes]
     keep_alive: bool
-    length: int | None  # of the body, bytes; None: chunked, or up to the end of the connection
+    length: int | None  # of the body in bytes; None: chunked, or ended by the close of the connection
 
 
 class EndOfMessage:
@@ -99,7 +99,7 @@
     events
         Parsed events that the caller has not removed yet.
     in_head
-        A message has begun and its head is not complete.
+        A message has begun, but its head is not complete yet.
     """
 
     limits: MessageLimits
@@ -111,7 +111,7 @@
     _headers: dict[bytes, bytes] = field(default_factory=dict)
     _head_bytes: int = 0
     _header_count: int = 0
-    _error: HttpError | None = None  # raised by a callback; httptools raises its own error instead
+    _error: HttpError | None = None  # an error raised in a callback, for which httptools raises its own error
 
     def feed(self, data: bytes) -> None:
         """Parse bytes and append the resulting events to `events`.
@@ -135,7 +135,7 @@
         return self._error or HttpError(self._error_status, f"malformed HTTP message: {error}")
 
     def _rejected(self, status: int, text: str) -> HttpError:
-        """Return the error that a callback must raise, and keep it, as httptools raises its own error instead."""
+        """Return the error that a callback must raise; also keep it, as httptools replaces it by its own error."""
         self._error = HttpError(status, text)
         return self._error
 
@@ -240,7 +240,7 @@
         self.complete = False  # whether the current response is complete
 
     def expect_response(self) -> None:
-        """Treat the following bytes as a new response and not as trailing data. Called when a request is sent."""
+        """Treat the following bytes as a new response rather than as trailing data of the last one."""
         self.complete = False
 
     def on_message_begin(self) -> None:
@@ -295,7 +295,7 @@
     headers
         Headers other than those for framing.
     length
-        Length of the body, bytes; None: chunked, or a status that has no body.
+        Length of the body in bytes; None: the body is chunked, or the status allows no body.
     close
         The connection is closed after the response.
     """
@@ -319,7 +319,7 @@
     headers
         Headers other than Host and those for framing.
     length
-        Length of the body, bytes; 0: no body; None: chunked.
+        Length of the body in bytes; 0: there is no body; None: the body is chunked.
     """
     parts = [b"%s %s HTTP/1.1\r\nHost: %s\r\n" % (method, target, host)]
     parts += [b"%s: %s\r\n" % row for row in headers]
--- a/fawnspool/net/lingering_close.py
+++ b/fawnspool/net/lingering_close.py
@@ -1,7 +1,8 @@
 """Closing a connection without losing the response that was sent last.
 
-If received bytes are unread, the system closes the connection with a reset, which tells the peer that its bytes were
-not read. A reset also discards our own bytes that the peer has not received yet, so a close waits briefly for these.
+If received bytes are unread at the close, the system ends the connection with a reset, which tells the peer that its
+bytes were not read. A reset also discards sent bytes that the peer has not received yet, so before the close, the
+server waits briefly until the peer has received them.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from fawnspool.net.socket_stream import SocketStream
 
 LINGER_S = 0.2
-_LINGER_BYTES = 262_144  # most bytes read of a request that was answered before it was complete
+_LINGER_BYTES = 262_144  # of a request that was answered before it was complete, at most this much is read
 _READ_BYTES = 65536
 _POLL_S = 0.002
 
--- a/fawnspool/net/listener.py
+++ b/fawnspool/net/listener.py
@@ -55,10 +55,11 @@
 
 
 def refuse_connections(sock: Any) -> bool:
-    """Drop the first packet of each new connection from now on.
+    """Drop the first packet (SYN) of each new connection from now on.
 
-    Handshakes in progress still complete, so that the queue can be emptied before the socket is closed. A close alone
-    would reset queued connections, and checking the queue first would leave a gap between the check and the close.
+    Handshakes in progress still complete. As no connection is added to the queue after them, the caller can accept all
+    queued connections before it closes the socket. A close alone would reset the queued connections, and without the
+    filter, a connection could still be queued between the last check of the queue and the close.
 
     Returns
     -------
--- a/fawnspool/net/node_headers.py
+++ b/fawnspool/net/node_headers.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class AttemptHeader:
-    """What a gateway sends to a node about an attempt.
+    """What a gateway sends to a node about an attempt, in the header `fawn-call`.
 
     Attributes
     ----------
@@ -25,7 +25,7 @@
     idempotence, deduplication_scope
         Values of the enumerations of `fawnspool.scheduling.interface`.
     deduplication_window_s, time_left_s
-        Seconds; milliseconds on the wire.
+        In seconds here; the header carries milliseconds.
     operation
         The client's identifier of the operation.
     idempotency_key
@@ -78,14 +78,14 @@
 
 @dataclass(slots=True)
 class NodeReport:
-    """What a node reports with each response.
+    """What a node reports with each response, in the header `fawn-told`.
 
     Attributes
     ----------
     served_elsewhere
         Units of the volume that the node has served for other gateways since its last response to this gateway.
     volume_units_per_s
-        The volume's use by all gateways; None: not reported.
+        Units per second that all gateways together use of the volume; None: not reported.
     load
         The fields of the node's load report, in the order of the settings.
     overloaded
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -1,8 +1,8 @@
 """A small HTTP/1.1 server on gevent: one greenlet per connection, blocking calls, and a deadline for every wait.
 
-The server does the framing of messages and enforces limits and timeouts; the handler interprets the requests. It gets
-an `Exchange` and must answer it exactly once. The server answers an unanswered exchange with 500 and closes its
-connection.
+The server does the framing of messages and enforces limits and timeouts; the handler interprets the requests. The
+handler gets an `Exchange` and must answer it exactly once. If the handler returns without an answer, the server answers
+with 500 and closes the connection.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
-_EVICTION_CANDIDATES = 64  # most waiting connections checked, of each kind
+_EVICTION_CANDIDATES = 64  # an eviction checks at most this many waiting connections of each kind
 _FULL_RETRY_S = 0.01  # interval at which a full server tries again to accept
 _ACCEPTS_PER_ITERATION = 16  # most connections accepted in one iteration of the loop
 _HANDSHAKE_S = 0.02  # handshakes in progress when new connections are refused complete within this time
@@ -49,13 +49,15 @@
     Attributes
     ----------
     on_error
-        Called with an exception that a handler raised, or of an accept that failed.
+        Called with an exception that the handler raised, or with the error of an accept that failed.
     on_rejected
         Called when a request was rejected before the handler got it, or by an HttpError of the handler.
     on_unanswered
-        Called when a connection has ended without a response that it owed.
+        Called when a connection has ended without the response to a request that was read, unless the client
+        closed or reset the connection.
     start_deadline
-        Returns how long a request may wait for the throttle, from its head and its arrival (monotonic seconds).
+        Takes a request's head and arrival time, and returns the time until which the request may wait for the throttle
+        (both in monotonic seconds).
     """
 
     on_error: Callable[[Exception], None] | None = None
@@ -78,7 +80,7 @@
     accepted
         Number of connections accepted.
     closed_counts
-        Number of connections ended, by state and cause.
+        Number of ended connections, by their last state and the cause of their end.
     draining
         Every response is the last of its connection.
     """
@@ -138,9 +140,10 @@
         return len(self.connections) >= self.options.max_connections
 
     def _make_room(self) -> bool:
-        """Wait for a connection in the backlog, then evict an idle one. False: none can be evicted yet.
+        """Wait for a connection in the backlog, then evict a waiting connection for it. False: none can be evicted yet.
 
-        A connection to a full server waits in the backlog until there is room, so that it is not closed unread.
+        When the server is full, a new connection stays in the backlog until there is room, instead of being accepted
+        and closed without its request being read.
         """
         socket.wait_read(self.sock.fileno())
         if self.evict_waiting():
@@ -206,7 +209,7 @@
         return self.draining or is_crowded(len(self.connections), self.options.crowded_from)
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return until when a request may wait for the throttle (monotonic seconds)."""
+        """Return the time until which a request may wait for the throttle (monotonic seconds)."""
         if self.callbacks.start_deadline is None:
             return arrived_at + self.options.read_timeout_s
         return self.callbacks.start_deadline(head, arrived_at)
@@ -263,7 +266,7 @@
     def drain(self, until: float) -> None:
         """Make every response the last of its connection, and close the connections that wait for a request.
 
-        A connection whose request has arrived in the meantime is still served.
+        A connection whose next request arrives before it is closed is still served.
 
         Parameters
         ----------
--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -1,8 +1,8 @@
 """One client's connection to an HTTP/1.1 server, which carries one request at a time.
 
 A connection is a small state machine (`connections/states.py`). Its invariant: a request that has been read is
-answered once, unless its client has disconnected. Bytes that have not been read stay unread when the connection ends,
-so that the system's reset shows the client that it may send them again.
+answered once, unless its client has disconnected. Bytes that have not been read stay unread when the connection ends:
+the system then resets the connection, which shows the client that these bytes had no effect and may be sent again.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
-FLOOD_BYTES = 32_768  # unread bytes after a request being handled at which an untrusted client counts as disconnected
+# An untrusted client that has sent this many bytes after the request being handled is treated as disconnected.
+FLOOD_BYTES = 32_768
 _HEAD_READ_BYTES = 65536
 _OWED_REASONS = {
     HTTPStatus.REQUEST_TIMEOUT: "the complete request was not received in time",
@@ -74,7 +75,7 @@
         """Return whether a connection must end with its response."""
 
     def start_deadline(self, head: RequestHead, arrived_at: float) -> float:
-        """Return until when a request may wait for the throttle."""
+        """Return the time until which a request may wait for the throttle (monotonic seconds)."""
 
     def note_error(self, error: Exception) -> None:
         """Report that a handler raised an exception."""
@@ -96,13 +97,13 @@
     opened_at
         When the connection was accepted (monotonic seconds).
     state, cause
-        Its state, and why it ended (None while it is open).
+        State of the connection, and why it ends (None while no reason is known).
     exchange
         The request being handled, or the last one; None while the next request is awaited.
     has_carried_request
         The head of at least one request has been received.
     closing
-        No further request is read.
+        No further request is read; the connection closes after the current exchange.
     peer_closed
         The peer has closed its side.
     request_cut
@@ -142,7 +143,7 @@
         self.peer_closed = False
         self.request_cut = False
         self.flooded = False
-        self._request_deadline = math.inf  # by when the request being read must be complete
+        self._request_deadline = math.inf  # the request being read must be complete by then
 
     # ------------------------------------------------------------ called by the exchange
 
@@ -179,7 +180,7 @@
         return events.popleft()
 
     def has_disconnected(self) -> bool:
-        """Return, without waiting or reading any bytes, whether the peer has closed or sent too much."""
+        """Return whether the peer has closed the connection or sent too many bytes, without waiting or reading any."""
         if self.peer_closed or self.flooded:
             return True
         try:
@@ -190,16 +191,16 @@
             return False
         self.peer_closed = first == b"" or self.stream.closed_by_peer()
         if not self.peer_closed and self.server.options.untrusted_clients:
-            # Once the receive buffer is full, the peer's close cannot be detected.
+            # Once the receive buffer is full, the peer's close could no longer be detected, so the flood counts as one.
             self.flooded = self.stream.unread_bytes() >= FLOOD_BYTES
         return self.peer_closed or self.flooded
 
     def must_end(self) -> bool:
-        """Return whether the connection ends with its current response; not while another request waits."""
+        """Return whether the connection ends with its current response; False if a further request has arrived."""
         return self.server.is_last_response() and not self._has_more_input()
 
     def _has_more_input(self) -> bool:
-        """Return whether another request has been received, at least in part, read or unread."""
+        """Return whether at least a part of another request has been received, whether or not it has been read."""
         if self.parser.events or self.parser.in_head:
             return True
         return not self.server.reading_ended and self.stream.has_unread()
@@ -348,7 +349,7 @@
     # ------------------------------------------------------------ closing
 
     def _send_owed_response(self) -> None:
-        """Mark the connection as closing, and send the response that is owed to a request read in part or whole."""
+        """Mark the connection as closing, and send the error response, if any, that `owed_status` requires."""
         self.closing = True
         status = owed_status(self.state, self.cause or CloseCause.KILLED)
         if status is not None:
--- a/fawnspool/net/server_options.py
+++ b/fawnspool/net/server_options.py
@@ -22,15 +22,15 @@
     read_timeout_s
         Timeout for the next piece of a request, and for the client to read a response.
     max_connections
-        Most connections open at once.
+        Largest number of connections that may be open at once.
     max_starts_per_iteration
-        Most requests started in one iteration of the event loop; None: no limit.
+        Largest number of requests that start in one iteration of the event loop; None: no limit.
     untrusted_clients
         Enforce stricter rules: a whole request must arrive within `read_timeout_s`; if `max_connections` are open, the
-        connection that has waited longest without a request is evicted; and a client that sends too much after a
-        request being handled is treated as disconnected.
+        connection that has waited longest without a request is evicted; and a client that sends too many bytes while
+        its request is being handled is treated as disconnected.
     crowded_from
-        With this many connections open, each response ends its connection; None: never.
+        While at least this many connections are open, each response ends its connection; None: no such number.
     """
 
     limits: MessageLimits = field(default_factory=MessageLimits)
--- a/fawnspool/net/socket_stream.py
+++ b/fawnspool/net/socket_stream.py
@@ -37,8 +37,8 @@
 
     Its methods raise OSError if the connection breaks, and TimeoutError only at a deadline (monotonic seconds).
 
-    The system reports a broken connection only once, to the first call; later reads look like a clean end. So the
-    stream remembers the error, whichever call met it, and never reports a clean end after it.
+    The system reports only once that a connection broke, to the next call on the socket; later reads return no bytes,
+    as at a clean end. So the stream remembers the error, whichever call got it, and never reports a clean end after it.
     """
 
     __slots__ = ("_broken_by", "_reader", "_sock", "_writer", "closed")
@@ -46,7 +46,7 @@
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self._sock = sock
-        self.closed = False  # on this side
+        self.closed = False  # whether this side has closed the stream
         self._broken_by: ConnectionError | None = None
         self._reader: ReadinessWaiter | None = None
         self._writer: ReadinessWaiter | None = None
@@ -121,8 +121,8 @@
         try:
             self._reader.wait(deadline)
         except TimeoutError:
-            # After the process was stopped, the loop finds both an expired deadline and bytes that arrived before it,
-            # and it runs timers first. Such bytes are not late, so they are read.
+            # When a stopped process continues, the event loop may find both an expired deadline and bytes that arrived
+            # before it. It runs the timer first, but these bytes are not late, so they are read.
             if self.closed or not self.at_end():
                 raise
         if self.closed:
@@ -176,7 +176,7 @@
         return self._broken_by
 
     def _check_clean_end(self) -> None:
-        """Raise ConnectionError if the end that was read is not clean: the connection broke before or after it."""
+        """Raise ConnectionError if the connection broke, before or after the end of the stream that was just read."""
         if self._broken_by is None and self._tcp_state() == _TCP_CLOSE:
             self._broken_by = ConnectionResetError(errno.ECONNRESET, "connection was reset after its end")
         if self._broken_by is not None:
@@ -207,7 +207,7 @@
         return first_byte
 
     def at_end(self) -> bool:
-        """Return whether the peer has closed the connection or sent bytes that are unread."""
+        """Return whether a read would not wait: the connection has ended, or received bytes are unread."""
         try:
             return self.peek() is not None
         except OSError:
@@ -228,7 +228,7 @@
             return False
 
     def closed_by_peer(self) -> bool:
-        """Return whether, according to the system, the peer has closed its side, even after unread bytes."""
+        """Return whether, according to the system, the peer has closed its side, even if bytes before it are unread."""
         return self._tcp_state() in (_TCP_CLOSE, _TCP_CLOSE_WAIT)
 
     def unread_bytes(self) -> int:
--- a/fawnspool/net/timer_wheel.py
+++ b/fawnspool/net/timer_wheel.py
@@ -15,7 +15,7 @@
 
 TICK_S = 0.002
 _MIN_HEAP_TO_COMPACT = 64  # ticks; a smaller heap is not worth compacting
-_STALE_FACTOR = 4  # a heap is compacted when it has more than this many times the ticks in use
+_STALE_FACTOR = 4  # a heap is compacted when it has more than this many entries per tick with waits
 
 
 class TimedWait(Protocol):
@@ -28,11 +28,12 @@
 class TimerWheel:
     """Waits grouped by the tick of their deadline, with one timer set for the earliest tick.
 
-    Most waits end before their deadline, so adding and removing are cheap and only the ticks in use are sorted.
+    Most waits end before their deadline, so adding and removing a wait must be cheap: each tick has an unordered set of
+    waits, and only the ticks are kept in order, in a heap.
     """
 
     def __init__(self) -> None:
-        self.heap: list[int] = []  # ticks in use, some of them twice, and ticks whose waits were all removed
+        self.heap: list[int] = []  # ticks with waits (some of them twice) and ticks whose waits were all removed
         self.hub = get_hub()
         self._waits: dict[int, set[TimedWait]] = {}  # by tick
         self._timer_tick: int | None = None  # tick that the timer is set for
@@ -68,7 +69,7 @@
             self._compact()
 
     def _compact(self) -> None:
-        """Drop ticks without waits once they are most of the heap."""
+        """Remove the ticks without waits from the heap once they are most of it."""
         if len(self.heap) > _MIN_HEAP_TO_COMPACT and len(self.heap) > _STALE_FACTOR * len(self._waits):
             self.heap = sorted(self._waits)
 
--- a/fawnspool/net/wakeup_event.py
+++ b/fawnspool/net/wakeup_event.py
@@ -1,4 +1,4 @@
-"""An event for one waiting greenlet, cheaper than gevent's."""
+"""An event for one waiting greenlet, which takes less CPU time than gevent's own event."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class WakeupEvent:
-    """An event that any greenlet sets and one waits for; as with `threading.Event`, waiting on a set event returns."""
+    """An event that any greenlet may set and one greenlet waits for.
+
+    As with `threading.Event`, the event stays set until `clear`, and waiting for a set event returns at once.
+    """
 
     __slots__ = ("_waiter", "is_set")
 
--- a/fawnspool/relay/__init__.py
+++ b/fawnspool/relay/__init__.py
@@ -1,5 +1,5 @@
-"""The edge for the platform's protocol, next to `api` on the same core; it makes no scheduling decisions.
+"""The edge for the platform's protocol; like `api`, it uses the gateway core and makes no scheduling decisions.
 
-Only this package uses the protocol's own names: its shelf is a node, its block a shard, its siblings are the gateways
-of the fleet, its grades the plans of volumes, its localities zones.
+Only this package uses the protocol's own names. Where the protocol says "shelf", the other packages say "node"; "block"
+is a shard, "siblings" are the gateways of the fleet, "grades" the plans of volumes, and "localities" zones.
 """
--- a/fawnspool/relay/config.py
+++ b/fawnspool/relay/config.py
@@ -35,9 +35,9 @@
     max_descriptors
         Limit on the process' open file descriptors.
     known_endpoints
-        The endpoint list that the gateway last had, in the platform's format.
+        The endpoint list that the gateway had last, in the platform's format. The gateway starts with it.
     zones, node_kinds
-        Names in the order of the decision module's numbers.
+        Names of the zones and kinds of nodes; the decision module's number for each is its index.
     node_idle_timeout_s
         Time after which nodes close an idle connection.
     """
@@ -61,7 +61,8 @@
     Raises
     ------
     ConfigError
-        The configuration is invalid; the subclasses tell why the file can't be read.
+        The configuration is invalid or can't be read; subclasses are raised for a missing or incomplete file and if
+        no file descriptor is left.
     """
     tree = _read_json(path)
     if not isinstance(tree, dict):
--- a/fawnspool/relay/discovery.py
+++ b/fawnspool/relay/discovery.py
@@ -17,7 +17,8 @@
 from fawnspool.telemetry.logs import EventLogger
 
 LIST_TARGET = b"/catalog/members"
-HEARTBEAT_S = 2.0  # interval of a watch's heartbeats while nothing changes (PROTOCOL, Discovery)
+# Interval of a watch's heartbeats while nothing changes (the platform's document PROTOCOL, section Discovery).
+HEARTBEAT_S = 2.0
 _PHASES = {"active": interface.Phase.READY, "leaving": interface.Phase.DRAINING, "left": interface.Phase.GONE}
 _MS_PER_S = 1000
 _NUMBER_FIELDS = ("share", "born_ms")
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True)
 class EndpointNames:
-    """Names in the order of the decision module's numbers; an unknown name is mapped to number 0."""
+    """Names of zones and node kinds; the decision module's number of a name is its index, or 0 if it is unknown."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredNode:
-    """A listed node, as far as the gateway keeps it."""
+    """What the gateway keeps of a node in the endpoint list."""
 
     name: str
     address: tuple[str, int]
@@ -49,9 +50,9 @@
     Attributes
     ----------
     zone, kind
-        Names, unchecked values of the list.
+        Names as the list gives them, which may be unknown or of any JSON type.
     started_at
-        Wall-clock time in seconds; 0: long ago.
+        Wall-clock time in seconds at which the host started; 0: long ago.
     """
 
     node: DiscoveredNode
@@ -97,7 +98,7 @@
         self.post(interface.EndpointUpdate(interface.UpdateKind.CACHED, 0, ()))
 
     def fetch(self) -> None:
-        """Open the watch: the service pushes lists, so a single response would be followed by no further updates."""
+        """Open the watch, on which the service pushes updates; a single response would bring no later ones."""
         self.watch(True)
 
     def move(self, address: tuple[str, int]) -> None:
@@ -123,7 +124,7 @@
         return LIST_TARGET + b"?stream=1&index=%d" % self.version
 
     def on_heartbeat(self) -> None:
-        """Confirm a cached list: the heartbeat means that nothing has changed since the watch's start version."""
+        """Confirm a cached list: a heartbeat means no change since the version at which the watch began."""
         if not self.confirmed:
             self.confirmed = True
             self.post(interface.EndpointUpdate(interface.UpdateKind.DELTA, self.version, ()))
@@ -134,7 +135,7 @@
         Raises
         ------
         MalformedUpdateError
-            The message is malformed, or a snapshot that is older than the current list.
+            The message is malformed, or it is a snapshot that is older than the current list.
         """
         message = _decode(data)
         is_snapshot = bool(message.get("whole", True))
--- a/fawnspool/relay/errors.py
+++ b/fawnspool/relay/errors.py
@@ -50,7 +50,7 @@
 
 
 class OutdatedListError(MalformedUpdateError):
-    """A snapshot that is older than the current list."""
+    """The message is a snapshot that is older than the current list."""
 
     def __init__(self, received: int, current: int) -> None:
         super().__init__(f"received list version {received}, which is older than the current version {current}")
--- a/fawnspool/relay/graceful_shutdown.py
+++ b/fawnspool/relay/graceful_shutdown.py
@@ -13,8 +13,9 @@
 from fawnspool.relay.request_handler import RequestHandler
 from fawnspool.telemetry.logs import EventLogger
 
-# PROTOCOL, Figures: after SIGTERM, clients open new connections for at most 0.4 s and use kept connections until they
-# are closed. SIGKILL follows after the longest deadline (counted as at most 3 s) plus 0.7 s.
+# From the platform's document PROTOCOL, section Figures: after SIGTERM, clients open new connections for at most 0.4 s,
+# and use their open connections until these are closed. SIGKILL follows SIGTERM after the longest deadline of the
+# request classes (counted as at most 3 s) plus 0.7 s.
 NEW_CONNECTIONS_S = 0.4
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.7
@@ -26,8 +27,8 @@
 
     The gateway continues to serve clients until shortly before the platform kills it, as no other gateway has the
     state that their volumes need. Then it refuses new connections, closes idle connections and answers the open
-    requests. It ends when no connection is open. The absence of open requests would not be enough, as a connection
-    that was just accepted may carry a request that is not read yet.
+    requests. The shutdown ends when no connection is open. It can't end as soon as no request is open, because a
+    connection that was just accepted may carry a request that is not read yet.
 
     Parameters
     ----------
--- a/fawnspool/relay/node_client.py
+++ b/fawnspool/relay/node_client.py
@@ -11,8 +11,9 @@
 from fawnspool.net.http import ResponseHead, format_request_head
 from fawnspool.scheduling.interface import Settings
 
-USUAL_BODY_BYTES = 65536  # PROTOCOL
-MAX_BODY_BYTES = 1 << 20  # valid bodies of 112 KB from clients and of 400 KB from nodes were seen despite PROTOCOL
+USUAL_BODY_BYTES = 65536  # the size of bodies that the platform's document PROTOCOL states
+# Larger than the usual size: despite PROTOCOL, valid bodies of 112 KB from clients and of 400 KB from nodes were seen.
+MAX_BODY_BYTES = 1 << 20
 _NOT_STARTED = b"not-started"
 _OK = 200
 _NEVER_RUN_STATUSES = (503, 504)
@@ -60,7 +61,7 @@
         return tuple(value for value in values if value is not None)
 
     def ending(self, head: ResponseHead) -> AttemptEnding:
-        """Return the ending of an attempt with a complete response."""
+        """Return how an attempt ended whose response is complete."""
         if head.code == _OK:
             return AttemptEnding.ANSWERED
         if head.code in _NEVER_RUN_STATUSES and head.headers.get(_NOT_STARTED) == b"1":
@@ -69,7 +70,7 @@
 
 
 def _number(raw: bytes | None) -> float | None:
-    """Parse a number of 0 or more; None: it is missing or malformed."""
+    """Parse a finite number of 0 or more; None: it is missing or malformed."""
     if raw is None:
         return None
     try:
--- a/fawnspool/relay/process.py
+++ b/fawnspool/relay/process.py
@@ -32,8 +32,8 @@
 _DEFAULT_CONNECT_TIMEOUT_S = 0.25
 _BAD_CONFIG_STATUS = 2
 _CANNOT_LISTEN_STATUS = 3
-# Collections of the oldest generation pause the process longest, and its objects are mostly long-lived, so it is
-# collected rarely.
+# Garbage collections of the oldest generation pause the process longest and free little, as its objects are mostly
+# long-lived, so the third threshold makes them rare.
 _COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
@@ -132,7 +132,10 @@
         return self.handler.server.evict_waiting() or self.core.pools.close_one_idle()
 
     def reload(self) -> None:
-        """Read the replaced file (SIGHUP); a new discovery address applies at once, other changes after a restart."""
+        """Read the configuration file again (on SIGHUP).
+
+        A new discovery address applies at once, other changes only after a restart.
+        """
         try:
             new = read_config(self.path, self.environ, self.free_descriptor)
         except ConfigError as error:
@@ -146,7 +149,7 @@
         self.log.error("config_rejected", error=str(error))
 
     def drain(self) -> None:
-        """Shut down gracefully (SIGTERM, SIGINT); a second signal does not extend the time."""
+        """Shut down gracefully (on SIGTERM or SIGINT); a second signal changes nothing."""
         if self.shutdown.has_begun:
             return
         self.shutdown.run()
@@ -186,7 +189,7 @@
     environ
         Environment variables, which name the configuration file.
     early_signals
-        SIGHUPs that arrived before the process' own handler was set.
+        SIGHUPs that arrived before `main` set the handler that reloads the configuration.
 
     Returns
     -------
@@ -225,7 +228,7 @@
 
 
 def _tune_collections() -> None:
-    """Exclude all current objects, which are never garbage, from later collections, and make those rarer."""
+    """Exclude all current objects, which live as long as the process, from later collections, and make those rarer."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_COLLECTION_THRESHOLDS)
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -1,6 +1,7 @@
 """Handling of the platform's clients: each request is parsed, checked, passed to the core and answered once.
 
-client -> this module (parse, limits) -> `GatewayCore.accept` -> event loop -> a node -> one final answer here
+The path of a request:
+client -> this module (parsing, limits) -> `GatewayCore.accept` -> event loop -> node -> this module (final answer).
 
 No malformed request reaches the decision module.
 """
@@ -30,7 +31,7 @@
 HEALTH_TARGET = b"/_health"
 MAX_HEAD_BYTES = 8192
 MAX_HEAD_FIELDS = 40
-MAX_REQUESTS_PER_ITERATION = 16  # most requests started in one iteration of the event loop
+MAX_REQUESTS_PER_ITERATION = 16  # requests started in one iteration of the event loop
 _MS_PER_S = 1000
 _TEXT = (b"Content-Type", b"text/plain")
 _FORWARDED_HEADERS = (b"request-id", b"idempotency-key")
@@ -51,7 +52,7 @@
 
 
 class LongBodyMemory:
-    """Accounts for the memory of bodies of unusual length, as clients control how many of them arrive at once.
+    """Limits the memory of request bodies longer than usual, as clients control how many of them arrive at once.
 
     Parameters
     ----------
@@ -277,7 +278,10 @@
         return request_io
 
     def _read_timeout(self, head: RequestHead, request_class: RequestClass) -> float:
-        """Return the client's time-out in seconds, at most the class' deadline; also check for the idempotency key."""
+        """Return the client's timeout in seconds, at most the deadline of the class.
+
+        Raises HttpError if the timeout is malformed, or if the class requires an idempotency key and there is none.
+        """
         raw = head.headers.get(b"request-timeout-ms", b"")
         if not _TIMEOUT_MS.fullmatch(raw):
             raise HttpError(400, "Request-Timeout-Ms must be an integer above 0, in milliseconds")
@@ -318,6 +322,6 @@
 
 
 def _start_deadline(head: RequestHead, arrived_at: float) -> float:
-    """Return until when a request may wait for the throttle, from its unchecked time-out header."""
+    """Return the time until which a request may wait for the throttle, from its timeout header if well-formed."""
     raw = head.headers.get(b"request-timeout-ms", b"")
     return arrived_at + (int(raw) / _MS_PER_S if _TIMEOUT_MS.fullmatch(raw) else REQUEST_TIMEOUT_S)
--- a/fawnspool/relay/snapshots.py
+++ b/fawnspool/relay/snapshots.py
@@ -126,8 +126,8 @@
     def text(self) -> str:
         """Return a short text for the log.
 
-        It holds the shard and the state, then `b` concurrency limit, `h` queued requests, `o` requests in flight, `r`
-        mean response time and `w` mean wait, both in milliseconds.
+        The text begins with the shard and the state. Numbers follow, each after a letter: `b` concurrency limit, `h`
+        queued requests, `o` requests in flight, `r` mean response time and `w` mean wait, both in milliseconds.
         """
         state = "sound" if self.is_available else "trials"
         cold = " cold" if self.may_be_cold else ""
--- a/fawnspool/telemetry/counters.py
+++ b/fawnspool/telemetry/counters.py
@@ -1,7 +1,8 @@
 """Counters of one gateway, cheap enough to update for every request; `metrics` exports them to Prometheus.
 
 The number of labels is bounded: classes and plans come from the settings, outcomes are a fixed set, and nodes come
-from the endpoint list (beyond `MAX_NODES`, those seen first are dropped). No label depends on a volume, key or client.
+from the endpoint list (if there are more than `MAX_NODES`, the counters of those seen first are dropped). No label
+depends on a volume, key or client.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
     lag
         Delays of the gateway's event loop, in seconds.
     overdue
-        Answers that the gateway sent at its own deadline, before the decision module answered.
+        Requests that the gateway failed itself, as the decision module had given no answer in time.
     """
 
     def __init__(self) -> None:
--- a/fawnspool/telemetry/metrics.py
+++ b/fawnspool/telemetry/metrics.py
@@ -22,7 +22,7 @@
     Attributes
     ----------
     node_gauges
-        Values by name of the gauge and node.
+        Values by name of the gauge, then by node.
     map_status
         Status of the extent map.
     duty_status, shared_status
@@ -156,7 +156,10 @@
 
 
 def _duty_metrics(status: Status) -> Iterator[Metric]:
-    """Yield the metrics of leases; their labels are bounded, as the settings list the duties and causes are few."""
+    """Yield the metrics of leases.
+
+    The number of labels is bounded: the settings list the leased roles (duties), and there are few causes of a loss.
+    """
     held = GaugeMetricFamily("fawnspool_duty_held", "The token under which this head holds a duty.", labels=["duty"])
     for name, row in status["held"].items():
         held.add_metric([name], row["token"])
