--- a/fawnspool/api/objects.py
+++ b/fawnspool/api/objects.py
@@ -292,7 +292,11 @@
             raise UnavailableError("no-catalogue", str(error)) from None
 
     def _read_body(self, exchange: Exchange) -> RequestBody:
-        """Read a small body completely, so that it can be sent again and a slow client does not delay others."""
+        """Return the request's body, after reading it completely if it is small.
+
+        A body that was read completely can be sent again in a retry, and a slow client does not delay others while it
+        sends the body. The rest of a larger body is read from the client while it is sent to a node.
+        """
         head = exchange.head
         max_replayed_bytes = self.config.clients.replay_bytes
         if head.length is not None and head.length <= max_replayed_bytes:
--- a/fawnspool/api/request_reader.py
+++ b/fawnspool/api/request_reader.py
@@ -105,7 +105,7 @@
 
 
 def read_token(exchange: Exchange, name: bytes) -> str:
-    """Return the value of a header that holds a short name; "" if the header is absent."""
+    """Return the value of a header that holds a token (1 to 64 characters); "" if the header is absent."""
     raw = exchange.head.headers.get(name)
     if raw is None:
         return ""
--- a/fawnspool/net/arrival_clock.py
+++ b/fawnspool/net/arrival_clock.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 OFFSET_TOLERANCE_S = 0.01  # a larger change between two observations means that the wall clock was set, not slewed
-_TRUSTED_PAST_S = 60.0  # timestamps from this long before the first observation are accepted
+_TRUSTED_PAST_S = 60.0  # timestamps up to this long before the first observation are accepted
 
 
 class ArrivalClock:
@@ -39,8 +39,7 @@
         """Return the monotonic time at which bytes arrived.
 
         If the wall clock was set after the bytes arrived, their timestamp is converted with the previous offset. The
-        result is never later than `now`, and at most slightly earlier than the last observation before the clock was
-        set.
+        result is never later than `now`, and never earlier than the last observation before the clock was set.
 
         Parameters
         ----------
--- a/fawnspool/net/http.py
+++ b/fawnspool/net/http.py
@@ -47,7 +47,7 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 _STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, text) for code, text in REASONS.items()}
-_FIRST_FINAL_STATUS = 200  # a lower status is informational: another head follows
+_FIRST_FINAL_STATUS = 200  # a response with a lower status is informational; another head follows it
 _OPTIONAL_WHITESPACE = b" \t"  # may surround a field's value and is not part of it (RFC 9110, 5.5)
 _SINGLE_HEADERS = frozenset((b"host", b"content-length", b"transfer-encoding", b"range", b"expect"))
 
--- a/fawnspool/net/server.py
+++ b/fawnspool/net/server.py
@@ -35,9 +35,9 @@
 from fawnspool.net.socket_stream import SocketStream
 
 _EVICTION_CANDIDATES = 64  # an eviction checks at most this many waiting connections of each kind
-_FULL_RETRY_S = 0.01  # interval at which a full server tries again to accept
+_FULL_RETRY_S = 0.01  # a full server waits this long before it tries again to accept
 _ACCEPTS_PER_ITERATION = 16  # most connections accepted in one iteration of the loop
-_HANDSHAKE_S = 0.02  # handshakes in progress when new connections are refused complete within this time
+_HANDSHAKE_S = 0.02  # once new connections are refused, handshakes in progress complete within this time
 _KILL_TIMEOUT_S = 1.0  # how long `stop` waits for killed greenlets to end
 _POLL_S = 0.002
 
--- a/fawnspool/net/server_connection.py
+++ b/fawnspool/net/server_connection.py
@@ -32,7 +32,7 @@
 from fawnspool.net.server_options import ServerOptions
 from fawnspool.net.socket_stream import SocketStream
 
-# An untrusted client that has sent this many bytes after the request being handled is treated as disconnected.
+# An untrusted client is treated as disconnected when this many bytes after the request being handled are unread.
 FLOOD_BYTES = 32_768
 _HEAD_READ_BYTES = 65536
 _OWED_REASONS = {
@@ -191,7 +191,8 @@
             return False
         self.peer_closed = first == b"" or self.stream.closed_by_peer()
         if not self.peer_closed and self.server.options.untrusted_clients:
-            # Once the receive buffer is full, the peer's close could no longer be detected, so the flood counts as one.
+            # Once the receive buffer is full, the peer's close can no longer be detected, so a peer that has sent this
+            # much is treated as if it had closed.
             self.flooded = self.stream.unread_bytes() >= FLOOD_BYTES
         return self.peer_closed or self.flooded
 
--- a/fawnspool/net/server_options.py
+++ b/fawnspool/net/server_options.py
@@ -30,7 +30,8 @@
         connection that has waited longest without a request is evicted; and a client that sends too many bytes while
         its request is being handled is treated as disconnected.
     crowded_from
-        While at least this many connections are open, each response ends its connection; None: no such number.
+        While at least this many connections are open, each response ends its connection; None: there is no
+        such limit.
     """
 
     limits: MessageLimits = field(default_factory=MessageLimits)
--- a/fawnspool/net/socket_stream.py
+++ b/fawnspool/net/socket_stream.py
@@ -300,7 +300,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
-        if code in (errno.EINPROGRESS, errno.EINTR):  # after EINTR the connect continues as well
+        if code in (errno.EINPROGRESS, errno.EINTR):  # a connect interrupted by a signal (EINTR) continues too
             code = stream.finish_connect(deadline)
     except BaseException:
         stream.close()
--- a/fawnspool/relay/node_client.py
+++ b/fawnspool/relay/node_client.py
@@ -66,7 +66,7 @@
             return AttemptEnding.ANSWERED
         if head.code in _NEVER_RUN_STATUSES and head.headers.get(_NOT_STARTED) == b"1":
             return AttemptEnding.REJECTED
-        return AttemptEnding.NODE_ERROR  # also any other response that does not state that the request never ran
+        return AttemptEnding.NODE_ERROR  # also for any response that does not state that the request never ran
 
 
 def _number(raw: bytes | None) -> float | None:
--- a/fawnspool/relay/request_handler.py
+++ b/fawnspool/relay/request_handler.py
@@ -111,7 +111,7 @@
         }
         self.plan_indexes = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
         self.open: dict[bytes, ClientRequest] = {}  # by the client's request id, which no two open requests may share
-        self.last_answer_by = math.inf  # monotonic seconds; finite once the gateway shuts down
+        self.last_answer_by = math.inf  # deadline of all answers (monotonic seconds); infinite until the shutdown
         self.server = Server(
             listen,
             self.handle,
