--- a/fawnspool/net/arrival_clock.py
+++ b/fawnspool/net/arrival_clock.py
@@ -1,13 +1,14 @@
 """Converts the kernel's receive timestamps to the monotonic clock.
 
 The kernel stamps received bytes by the wall clock, which may be set by any amount at any moment. So the offset between
-the two clocks is observed periodically and with every timestamp, and a timestamp is used only where it is plausible.
+the two clocks is observed periodically and with every timestamp. A timestamp is not used if it converts to an
+impossible time, such as one in the future (see `ArrivalClock.arrival`).
 """
 
 from __future__ import annotations
 
 OFFSET_TOLERANCE_S = 0.01  # a larger change between two observations means that the wall clock was set, not slewed
-_TRUSTED_PAST_S = 60.0  # timestamps from this long before the first observation are accepted
+_TRUSTED_PAST_S = 60.0  # timestamps up to this long before the first observation are accepted
 
 
 class ArrivalClock:
@@ -22,7 +23,7 @@
         self._former_offset = self._offset  # before the wall clock was last set
         self._observed_at = now
         self._set_after = now - _TRUSTED_PAST_S  # last observation before the wall clock was set
-        self._set_before = now  # first observation after it
+        self._set_before = now  # first observation after the wall clock was set
 
     def observe(self, wall: float, now: float) -> None:
         """Record the offset between the two clocks."""
@@ -38,8 +39,7 @@
         """Return the monotonic time at which bytes arrived.
 
         If the wall clock was set after the bytes arrived, their timestamp is converted with the previous offset. The
-        result is never later than `now`, and at most slightly earlier than the last observation before the clock was
-        set.
+        result is never later than `now`, and never earlier than the last observation before the clock was set.
 
         Parameters
         ----------
