--- a/fawnspool/scheduling/interface.py
+++ b/fawnspool/scheduling/interface.py
@@ -168,7 +168,7 @@
     units: float
     shard: int  # -1: a new object, which any node may store
     gateway_count: int  # number of gateways that serve the volume
-    is_client_retry: bool  # the request is marked as the client's second try
+    is_client_retry: bool  # the client's second try, where marked
     writes: bool
 
     @property
